--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lilacsill.mesh.proxy.neighbours import WATCHED
+from lilacsill.mesh.proxy.failure_detector import MONITORS
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.proxy.table import Table
 from lilacsill.mesh.proxy.watch_list import WatchList
@@ -82,13 +82,13 @@
 def watching(size: int) -> Step:
     """Whom a proxy watches, of so many, worked out anew."""
     nodes = [fleet.node_of(number) for number in range(size)]
-    return Step("watch list, all new", size, cpu_us(lambda: WatchList(nodes[0], WATCHED).sync(nodes)), "us")
+    return Step("watch list, all new", size, cpu_us(lambda: WatchList(nodes[0], MONITORS).sync(nodes)), "us")
 
 
 def watching_one_more(size: int) -> Step:
     """And after one of them has gone or come."""
     nodes = [fleet.node_of(number) for number in range(size)]
-    watch_list = WatchList(nodes[0], WATCHED)
+    watch_list = WatchList(nodes[0], MONITORS)
     watch_list.sync(nodes)
 
     def go_and_come() -> None:
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -12,15 +12,15 @@
 from typing import Any
 
 from lilacsill.address import Address, parse_address
-from lilacsill.mesh.proxy.control_api import OfferServer
+from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
-from lilacsill.mesh.proxy.far import BackendGateway
+from lilacsill.mesh.proxy.backend_gateway import BackendGateway
 from lilacsill.mesh.proxy.forwarding import Forwarder
-from lilacsill.mesh.proxy.life import Life
-from lilacsill.mesh.proxy.neighbours import Neighbours
+from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
+from lilacsill.mesh.proxy.failure_detector import FailureDetector
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.proxy.table import Table
-from lilacsill.mesh.runtime.messages import Endpoint, Message
+from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.rpc import Peers
 from lilacsill.mesh.runtime.settings import Settings
@@ -127,7 +127,7 @@
         self.number, self.settings, self._reactor = number, settings, reactor
         self.over = self.cut = False
         assert settings.app is not None
-        self._life = Life(1_000_000)
+        self._life = BackendLifecycle(1_000_000)
         self._gateway = BackendGateway(reactor, self._life, settings.app)
         self.carrier = Forwarder(
             reactor, Routes(), self._gateway, settings.node, settings.service, BOUNDS, Random(number)
@@ -138,21 +138,28 @@
         self.news.proxy, self.news.shared = self, shared
         self.news.on_news = lambda: on_news(self)
         self._links = Links(reactor, self)
-        self.neighbours = Neighbours(self._links, settings.node, self.news.others, self._accused)
-        self._gateway.look = self.neighbours.look
+        self.neighbours = FailureDetector(self._links, settings.node, self.news.others, self._accused)
         self._listen()
-        self._life.answered(f"i-{number:08x}-{self.news.endpoint().incarnation}", settings.service, SLOTS)
+        self._life.on_health_check(f"i-{number:08x}-{self.news.endpoint().incarnation}", settings.service, SLOTS)
         self.news.start()
         if pings:
             self.neighbours.start()
 
     def _listen(self) -> None:
-        self._offers = OfferServer(self._reactor, Address(self.settings.ip, self.settings.ports[0]), self._gateway)
+        self._offers = OfferServer(
+            self._reactor, Address(self.settings.ip, self.settings.ports[0]), self._gateway, self
+        )
 
     def _accused(self) -> None:
-        self.news.accused = self.neighbours.accused
+        self.news.accused = self.neighbours.suspects
         self.news.tell()
 
+    def status(self) -> bytes:
+        return b"{}"
+
+    def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
+        self.neighbours.indirect_ping(request, reply)
+
     def leave(self) -> None:
         """As on SIGTERM."""
         self.news.leaving = True
@@ -176,5 +183,5 @@
         self.news.close_links()
         self._links.peers.keep(set())
         self._offers.close()
-        for sink in list(self._offers.sinks):
+        for sink in list(self._offers.links):
             sink.link.close()
--- a/benchmarks/capacity/traffic.py
+++ b/benchmarks/capacity/traffic.py
@@ -4,7 +4,7 @@
 
 from collections import Counter
 
-import lilacsill.mesh.proxy.control_api
+import lilacsill.mesh.proxy.offer_server
 import lilacsill.mesh.runtime.link
 import lilacsill.mesh.runtime.rpc
 from lilacsill.net.stream import Stream
@@ -41,6 +41,6 @@
 
 def count() -> None:
     """All links that this process opens or accepts from now on are counted."""
-    for module in (lilacsill.mesh.runtime.rpc, lilacsill.mesh.proxy.control_api):
+    for module in (lilacsill.mesh.runtime.rpc, lilacsill.mesh.proxy.offer_server):
         module.Link = CountingLink  # type: ignore[attr-defined]
     lilacsill.mesh.runtime.link.Stream = CountingStream  # type: ignore[attr-defined]
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -19,7 +19,7 @@
 from lilacsill.mesh.simulation.load_reports import Fair, Environment
 from lilacsill.mesh.simulation.failure_detection import Street
 from lilacsill.mesh.runtime.frames import frame
-from lilacsill.mesh.proxy.neighbours import WATCHED
+from lilacsill.mesh.proxy.failure_detector import MONITORS
 from lilacsill.mesh.proxy.watch_list import WatchList
 from lilacsill.mesh.runtime.messages import Endpoint, Freshness, Item, Poll, PollReply, encode
 
@@ -51,9 +51,9 @@
 
 def watched_of(me: str, nodes: list[str]) -> list[str]:
     """Whom that node watches."""
-    watch_list = WatchList(me, WATCHED)
+    watch_list = WatchList(me, MONITORS)
     watch_list.sync(nodes)
-    return watch_list.watched
+    return watch_list.monitored
 
 
 def one(job: tuple[int, int]) -> dict[str, float]:
@@ -64,7 +64,7 @@
     credit = world.play()
     cpu_us = 1e6 * (process_time() - began) / max(1, credit.asked)
     street = Street(nodes, seed)
-    asked = sum(len(p.neighbours.watched()) for p in street.proxies.values())
+    asked = sum(len(p.neighbours.monitored()) for p in street.proxies.values())
     sent = street.net.sent
     street.net.time.run(street.net.time.now + 4_000_000)
     pings = (street.net.sent - sent) / 4 / nodes
--- /dev/null
+++ b/lilacsill/mesh/proxy/admission.py
@@ -0,0 +1,207 @@
+"""Admission control before a backend: which requests run, wait, or are rejected. No I/O; the caller passes the time.
+
+All requests to the backend pass here, so the count of those in flight is exact. A request that would wait too long for
+its latency target is rejected at once, since its sender may find room elsewhere.
+
+The queue is ordered by expected duration, weighted by priority: a full backend serves the most value when short work
+goes first (Smith, "Various optimizers for single-stage production", 1956). Short requests are mostly inner calls that
+another request waits for. They must not fail because longer work fills the queue, or their callers fail too and retry:
+they displace the longest request that waits, and may wait beyond their target.
+
+A request that can only be late is worth less than one that can be in time, and goes behind it. Otherwise the clients
+that return after an outage fill the queue, and all that come after them are late, too.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from enum import StrEnum
+from heapq import heapify, heappop, heappush
+
+from lilacsill.mesh.runtime.messages import Load
+
+from .duration_statistics import DurationStatistics
+from .failure_rate import FailureRate
+from .reasons import RejectionReason
+
+MAX_WAITING_PER_SLOT = 1.0
+PRIORITY_WEIGHT = 1.5  # each step of lower priority counts as so much longer
+LATE_WEIGHT = 2.2  # a late request counts as so much longer: it has 0.3 of its value, and 0.3 risks a second rejection
+DISPLACING_SHARE = 0.5  # of the weight of the longest request that waits: a lighter one displaces it
+
+
+class AdmissionState(StrEnum):
+    """Where a request is between its arrival and its end."""
+
+    NEW = "new"
+    WAITING = "waiting"
+    RUNNING = "running"
+    DONE = "done"
+
+
+class AdmissionRequest:
+    """A request that asks for one of the backend's slots."""
+
+    __slots__ = (
+        "priority",
+        "start_by",
+        "route",
+        "on_started",
+        "on_rejected",
+        "fleet_ms",
+        "is_late",
+        "state",
+        "started_at",
+        "weight",
+    )
+
+    def __init__(
+        self,
+        priority: int,
+        start_by: int,
+        route: str,
+        on_started: Callable[[], None],
+        on_rejected: Callable[[RejectionReason], None],
+        fleet_ms: int | None = None,
+        is_late: bool = False,
+    ) -> None:
+        """Describe a request.
+
+        Args:
+            priority: Lower is more urgent.
+            start_by: The latest time, in microseconds, at which it is of use to start the request.
+            route: The name of its route.
+            on_started: Called once the request has a slot.
+            on_rejected: Called if the request leaves the queue without a slot.
+            fleet_ms: What requests of this route usually take in the whole fleet; None: not measured.
+            is_late: Whether the request can only miss its latency target.
+        """
+        self.priority, self.start_by, self.route = priority, start_by, route
+        self.fleet_ms, self.is_late = fleet_ms, is_late
+        self.on_started, self.on_rejected = on_started, on_rejected
+        self.state = AdmissionState.NEW
+        self.started_at = 0
+        self.weight = 0.0  # the lightest goes first
+
+
+class AdmissionController:
+    """The slots of one backend, and the queue for them."""
+
+    def __init__(self) -> None:
+        self.slots = 1
+        self.running = 0
+        self.waiting = 0
+        self.durations = DurationStatistics()
+        self.failure_rate = FailureRate()
+        self._queue: list[tuple[float, int, AdmissionRequest]] = []  # a heap; may contain requests that do not wait
+        self._sequence = 0  # of requests of the same weight the first goes first
+
+    def load(self, now: int) -> Load:
+        """Return what other proxies are told about the load of this backend."""
+        return Load(
+            self.running + self.waiting,
+            self.slots,
+            self.durations.reported_slowdown,
+            round(self.failure_rate.current(now), 2),
+        )
+
+    def admit(self, request: AdmissionRequest, now: int) -> RejectionReason | None:
+        """Start a request, let it wait, or reject it.
+
+        Returns:
+            Why the request is rejected, in which case `on_rejected` is not called; None if it runs or waits.
+        """
+        if self.running < self.slots and not self.waiting:
+            self._start(request, now)
+            return None
+        request.weight = self._weight(request)
+        displaced = None
+        if self.waiting >= MAX_WAITING_PER_SLOT * self.slots:
+            displaced = self._heaviest_waiting()
+            if displaced is None or request.weight >= DISPLACING_SHARE * displaced.weight:
+                return RejectionReason.FULL
+        if now + self._expected_wait_us(request) > request.start_by:
+            return RejectionReason.FULL
+        if displaced is not None and self.withdraw(displaced):
+            displaced.on_rejected(RejectionReason.FULL)
+        self._enqueue(request)
+        return None
+
+    def withdraw(self, request: AdmissionRequest) -> bool:
+        """Take a request out of the queue. Return whether it was waiting: then it will never run."""
+        if request.state is not AdmissionState.WAITING:
+            return False
+        request.state = AdmissionState.DONE
+        self.waiting -= 1
+        return True
+
+    def finish(self, request: AdmissionRequest, now: int, measured: bool) -> None:
+        """Free the slot of a running request.
+
+        Args:
+            request: The request; if it does not run, nothing changes.
+            now: The current time in microseconds.
+            measured: Whether a successful response of the backend ended the request, so that its duration counts.
+        """
+        if request.state is not AdmissionState.RUNNING:
+            return
+        request.state = AdmissionState.DONE
+        self.running -= 1
+        if measured:
+            self.durations.record(request.route, (now - request.started_at) / 1000, request.fleet_ms)
+        self.start_next(now)
+
+    def start_next(self, now: int) -> None:
+        """Start waiting requests while there are free slots."""
+        while self._queue and self.running < self.slots:
+            request = heappop(self._queue)[2]
+            if request.state is not AdmissionState.WAITING:
+                continue
+            self.waiting -= 1
+            if now > request.start_by:
+                request.state = AdmissionState.DONE
+                request.on_rejected(RejectionReason.FULL)
+            else:
+                self._start(request, now)
+
+    def reject_expired(self, now: int) -> None:
+        """Reject the requests that have waited too long."""
+        waiting = [entry for entry in self._queue if entry[2].state is AdmissionState.WAITING]
+        self._queue = [entry for entry in waiting if now <= entry[2].start_by]
+        heapify(self._queue)
+        self._reject([request for _, _, request in waiting if now > request.start_by], RejectionReason.FULL)
+
+    def reject_all(self, reason: RejectionReason) -> None:
+        """Reject all that wait: the backend takes nothing more."""
+        queue, self._queue = self._queue, []
+        self._reject([request for _, _, request in queue], reason)
+
+    def _reject(self, requests: list[AdmissionRequest], reason: RejectionReason) -> None:
+        for request in requests:
+            if self.withdraw(request):
+                request.on_rejected(reason)
+
+    def _start(self, request: AdmissionRequest, now: int) -> None:
+        request.state, request.started_at = AdmissionState.RUNNING, now
+        self.running += 1
+        request.on_started()
+
+    def _enqueue(self, request: AdmissionRequest) -> None:
+        request.state = AdmissionState.WAITING
+        self.waiting += 1
+        self._sequence += 1
+        heappush(self._queue, (request.weight, self._sequence, request))
+
+    def _weight(self, request: AdmissionRequest) -> float:
+        weight = self.durations.expected_us(request.route, request.fleet_ms) * PRIORITY_WEIGHT**request.priority
+        return weight * LATE_WEIGHT if request.is_late else weight
+
+    def _heaviest_waiting(self) -> AdmissionRequest | None:
+        waiting = (request for _, _, request in self._queue if request.state is AdmissionState.WAITING)
+        return max(waiting, key=lambda request: request.weight, default=None)
+
+    def _expected_wait_us(self, request: AdmissionRequest) -> float:
+        ahead = sum(
+            1 for _, _, other in self._queue if other.state is AdmissionState.WAITING and other.weight <= request.weight
+        )
+        return (ahead + 1) * 1000 * self.durations.mean_or_default_ms() / self.slots
--- /dev/null
+++ b/lilacsill/mesh/proxy/backend_connection.py
@@ -0,0 +1,204 @@
+"""One connection to the backend of this machine: one request at a time, responses matched by `Attempt-Id`."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from httptools import HttpResponseParser
+
+from lilacsill.http1.connection import Connection
+from lilacsill.http1.message import Message, Reader, chunk, request_head
+from lilacsill.mesh.runtime.messages import Headers
+
+from .reasons import FailureReason
+
+MAX_IDLE_US = 4_000_000  # backends close idle connections after a time; a request on its way then would be lost
+KEEP_ALIVE_SHARE = 0.5  # of the time-out that the backend's `Keep-Alive` header states
+STREAMED_FROM_BYTES = 64 * 1024  # a longer response is streamed, a shorter one is passed on when it is complete
+MAX_BODY_BYTES = 64 * 1024 * 1024
+HOP_BY_HOP = frozenset(
+    (
+        b"connection",
+        b"keep-alive",
+        b"proxy-connection",
+        b"te",
+        b"trailer",
+        b"transfer-encoding",
+        b"upgrade",
+        b"content-length",
+        b"proxy-authenticate",
+        b"proxy-authorization",
+    )
+)
+
+
+class ResponseHandler(Protocol):
+    """The request that is in flight on a connection."""
+
+    attempt_id: bytes
+    idempotent: bool
+
+    def on_response(self, response: Message) -> None:
+        """Handle a complete response, or the end of one that was streamed."""
+
+    def on_response_part(self, response: Message) -> None:
+        """Handle that more of a long response has come; `response.take()` returns it."""
+
+    def on_lost(self, reason: FailureReason) -> None:
+        """Handle that no complete response will come; the request may have run."""
+
+
+class ConnectionOwner(Protocol):
+    """The pool of a connection."""
+
+    def now(self) -> int:
+        """Return the current time in microseconds."""
+
+    def release(self, connection: BackendConnection) -> None:
+        """Take a connection back whose response is complete."""
+
+    def forget(self, connection: BackendConnection) -> None:
+        """Strike a connection that is over off the pool's list."""
+
+    def record_reset(self, idle_us: int, in_flight_us: int) -> None:
+        """Count a request that was lost with its connection."""
+
+
+def end_to_end_headers(message: Message) -> Headers:
+    """Return the header lines that are not meant for a single connection only (RFC 9110, section 7.6.1)."""
+    excluded = HOP_BY_HOP
+    connection = message.fields.get(b"connection")
+    if connection is not None and connection.lower() not in (b"close", b"keep-alive"):
+        excluded = HOP_BY_HOP | {name.strip().lower() for name in connection.split(b",")}
+    return [line for line in message.lines or [] if line[0].lower() not in excluded]
+
+
+class BackendConnection(Connection):
+    """A connection that its pool hands to one request after the other."""
+
+    def __init__(self, owner: ConnectionOwner) -> None:
+        super().__init__()
+        self._owner = owner
+        self._reader = Reader(HttpResponseParser, MAX_BODY_BYTES, keep_lines=True)
+        self.handler: ResponseHandler | None = None
+        self.max_idle_us = MAX_IDLE_US  # how long the backend keeps it
+        self.idle_since = 0  # 0: it has not been idle yet
+        self.idle_us = 0  # how long it was idle before the request in flight; 0: it was new, or a response has begun
+        self.sent_at = 0
+        self.reusable = True
+        self.uploading = False  # a part of the request's body is still to be sent
+
+    @property
+    def can_be_reused(self) -> bool:
+        """Whether another request may go out on it."""
+        return self.open and self.reusable and self.written and not self.uploading
+
+    def send_request(
+        self,
+        handler: ResponseHandler,
+        method: bytes,
+        target: bytes,
+        headers: Headers,
+        body: bytes,
+        content_length: int | None,
+        body_complete: bool,
+    ) -> None:
+        """Send a request.
+
+        Args:
+            handler: Gets the response.
+            method: The HTTP method.
+            target: The request target.
+            headers: The header lines without framing.
+            body: What is there of the body.
+            content_length: The length of the body; None: not known, it is sent in chunks.
+            body_complete: Whether `body` is all of it; otherwise `send_body` follows.
+        """
+        self.handler, self.uploading = handler, not body_complete
+        self.sent_at = self._owner.now()
+        self.idle_us = self.sent_at - self.idle_since if self.idle_since else 0
+        if content_length is None:
+            headers = [*headers, (b"Transfer-Encoding", b"chunked")]
+            body = _chunked(body, body_complete)
+        elif content_length or method != b"GET":
+            headers = [*headers, (b"Content-Length", b"%d" % content_length)]
+        self.send(request_head(method, target, headers) + body)
+
+    def send_body(self, data: bytes, last: bool, chunked: bool) -> None:
+        """Send more of the request's body."""
+        if chunked:
+            data = _chunked(data, last)
+        self.uploading = not last
+        if data:
+            self.send(data)
+
+    def on_data(self, data: bytes) -> None:
+        """Pass responses to the request in flight."""
+        self.idle_us = 0  # the backend has not forgotten this connection
+        responses = self._reader.feed(data)
+        for response in responses:
+            handler = self.handler
+            if handler is None:  # bytes on an idle connection belong to no request
+                return self.drop()
+            if response.fields.get(b"attempt-id", b"") != handler.attempt_id:
+                continue  # an extra response; the one to this request is still due
+            self._end_response(response, is_last=response is responses[-1])
+            handler.on_response(response)
+        if self.closed or self.discarding:
+            return None
+        if self._reader.error is not None:
+            return self._lose(FailureReason.MALFORMED_RESPONSE)
+        return self._on_incomplete_response()
+
+    def _end_response(self, response: Message, is_last: bool) -> None:
+        self.handler = None
+        if not response.keep_alive:
+            self.reusable = False
+        self.max_idle_us = _keep_alive_us(response)
+        if is_last and self._reader.current is None and self._reader.error is None:
+            # Before the handler runs, since that starts the next request that waits for a slot.
+            self._owner.release(self)
+
+    def _on_incomplete_response(self) -> None:
+        current, handler = self._reader.current, self.handler
+        if current is None:
+            if handler is None:
+                self._owner.release(self)
+        elif handler is None:
+            self.drop()  # the beginning of a response that nobody asked for
+        elif self._reader.in_body and current.received > STREAMED_FROM_BYTES:
+            if current.fields.get(b"attempt-id", b"") != handler.attempt_id:
+                current.take()
+            else:
+                handler.on_response_part(current)
+
+    def on_fault(self) -> None:
+        """Give up the request after a fault of this process."""
+        self._lose(FailureReason.INTERNAL_ERROR)
+
+    def on_end(self) -> None:
+        """Give up the request: the backend has closed the connection."""
+        self._lose(FailureReason.CONNECTION_CLOSED)
+
+    def _lose(self, reason: FailureReason) -> None:
+        handler, self.handler = self.handler, None
+        if handler is not None:
+            self._owner.record_reset(self.idle_us, self._owner.now() - self.sent_at)
+        self._owner.forget(self)
+        if not self.closed:
+            self.drop()
+        if handler is not None:
+            handler.on_lost(reason)
+
+
+def _chunked(data: bytes, last: bool) -> bytes:
+    return (chunk(data) if data else b"") + (chunk(b"") if last else b"")
+
+
+def _keep_alive_us(response: Message) -> int:
+    """Return how long the connection may be idle, by the `Keep-Alive` header of a response."""
+    for parameter in response.fields.get(b"keep-alive", b"").split(b","):
+        name, _, value = parameter.strip().partition(b"=")
+        if name.lower() == b"timeout" and value.strip().isdigit():
+            return min(MAX_IDLE_US, int(int(value) * 1_000_000 * KEEP_ALIVE_SHARE))
+    return MAX_IDLE_US
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -19,9 +19,9 @@
 from lilacsill.mesh.runtime.rpc import Peers
 from lilacsill.mesh.runtime.settings import Settings
 
+from .backend_lifecycle import BackendLifecycle
+from .failure_detector import with_incarnations
 from .forwarding import Forwarder
-from .life import Life
-from .neighbours import told
 
 REGISTRIES = 2
 WAIT_MS = 700
@@ -35,7 +35,7 @@
 class DiscoveryClient:
     """Keeps routes and tables up to date, and tells registries of the own endpoint."""
 
-    def __init__(self, settings: Settings, reactor: Reactor, carrier: Forwarder, life: Life) -> None:
+    def __init__(self, settings: Settings, reactor: Reactor, carrier: Forwarder, life: BackendLifecycle) -> None:
         self._settings, self._reactor, self._carrier, self._life = settings, reactor, carrier, life
         self._peers = Peers(reactor)
         self._registries = {f"{seed.host}:{settings.ports[0]}" for seed in settings.seeds}
@@ -72,7 +72,7 @@
 
     def endpoint(self) -> Endpoint:
         life, settings = self._life, self._settings
-        cold_us = life.cold_until - self._reactor.now()
+        cold_us = life.warming_up_until - self._reactor.now()
         state = "leaving" if self.leaving else life.state
         return Endpoint(
             settings.node,
@@ -122,7 +122,9 @@
             self._carrier.routes.seq if wants else -1,
             self._newest,
             wait_ms,
-            told(self.accused, {n: self.endpoints[n].incarnation for n in self.accused if n in self.endpoints}),
+            with_incarnations(
+                self.accused, {n: self.endpoints[n].incarnation for n in self.accused if n in self.endpoints}
+            ),
         )
         self._peers.to(parse_address(registry)).ask(
             ask, wait_ms * 1000 + LATE_US, partial(self._answered, registry, number, self._reactor.now())
@@ -206,7 +208,7 @@
         if held is not None and held.incarnation == endpoint.incarnation and held.version >= endpoint.version:
             return
         self.endpoints[endpoint.node] = endpoint
-        if held is None or place_of(held) != place_of(endpoint):
+        if held is None or address_and_departure(held) != address_and_departure(endpoint):
             self._others = None
         if held is not None and held.incarnation != endpoint.incarnation:
             self._drop_links(held)
@@ -215,6 +217,6 @@
         self._carrier.table(endpoint.service).told(endpoint, now)
 
 
-def place_of(endpoint: Endpoint) -> tuple[str, int, bool]:
+def address_and_departure(endpoint: Endpoint) -> tuple[str, int, bool]:
     """What neighbours need to know of it: its address, and whether it leaves."""
     return endpoint.host, endpoint.port, endpoint.state == "leaving"
--- /dev/null
+++ b/lilacsill/mesh/proxy/failure_detector.py
@@ -0,0 +1,154 @@
+"""Failure detection among proxies by pings, indirect pings and suspicion, as in SWIM.
+
+Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
+2002. No I/O; time and messages are passed in.
+
+Rendezvous hashing names three monitors for each proxy; it needs no coordination. If a proxy does not answer a ping, two
+others ping it as well. If they do not reach it either, it is reported to the registries as a suspect, and they believe
+two reporting proxies. A proxy that was stalled itself, or finds most of those that it monitors silent, suspects its own
+connection and reports nothing.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from functools import partial
+from typing import Any, Protocol
+
+from lilacsill.mesh.runtime.hashing import chosen
+from lilacsill.mesh.runtime.messages import IndirectPing, IndirectPingReply, Message, Ping
+
+from .watch_list import WatchList
+
+MONITORS = 3  # of each proxy
+HELPERS = 2  # that ping a silent proxy as well
+PERIOD_US = 500_000  # of pings
+PING_TIMEOUT_US = 350_000
+INDIRECT_PING_TIMEOUT_US = 500_000
+STALLED_US = 200_000  # a round that is so late: this process was stalled
+SELF_DOUBT_US = 1_500_000  # after a stall nothing is reported for so long
+
+
+class Environment(Protocol):
+    """The clock, the timers and the links of the process."""
+
+    def now(self) -> int:
+        """Return the current time in microseconds."""
+
+    def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> object:
+        """Call something later."""
+
+    def ask(self, address: str, message: Message, timeout_us: int, answered: Callable[[Message | None], None]) -> None:
+        """Send a question; `answered` is called once, with None if there was no answer in time."""
+
+
+class FailureDetector:
+    """The failure detector of one proxy."""
+
+    def __init__(
+        self,
+        environment: Environment,
+        node: str,
+        peers: Callable[[], dict[str, str]],
+        on_suspect: Callable[[], None],
+    ) -> None:
+        """Create a detector that does nothing until it is started.
+
+        Args:
+            environment: Clock, timers and links.
+            node: The name of this proxy.
+            peers: Returns the addresses of the other proxies by name; another dict whenever they have changed.
+            on_suspect: Called when a proxy is added to `suspects`.
+        """
+        self._environment, self._node, self._peers, self._on_suspect = environment, node, peers, on_suspect
+        self._last_round_at = environment.now()
+        self._self_doubt_until = 0
+        self._pinged: set[str] = set()  # whose answer is due
+        self._silent: set[str] = set()  # in their last round
+        self.suspects: set[str] = set()
+        self._known_peers: dict[str, str] | None = None  # that the watch list is made of
+        self._watch_list = WatchList(node, MONITORS)
+
+    def start(self) -> None:
+        """Begin to ping."""
+        self._environment.after(PERIOD_US, self._round)
+
+    def monitored(self) -> list[str]:
+        """Return the names of the proxies that this one monitors."""
+        peers = self._peers()
+        if peers is not self._known_peers:
+            self._known_peers = peers
+            self._watch_list.sync(peers)
+        return self._watch_list.monitored
+
+    def _round(self) -> None:
+        self._check_for_stall()
+        self._last_round_at = self._environment.now()
+        self._environment.after(PERIOD_US, self._round)
+        peers, monitored = self._peers(), self.monitored()
+        self._silent &= set(monitored)
+        self.suspects &= set(monitored)
+        for node in monitored:
+            if node not in self._pinged:
+                self._pinged.add(node)
+                self._environment.ask(peers[node], Ping(), PING_TIMEOUT_US, partial(self._on_pong, node))
+
+    def _check_for_stall(self) -> None:
+        now = self._environment.now()
+        if now - self._last_round_at > PERIOD_US + STALLED_US:
+            self._self_doubt_until = now + SELF_DOUBT_US
+
+    def _on_pong(self, node: str, reply: Message | None) -> None:
+        self._pinged.discard(node)
+        if isinstance(reply, IndirectPingReply):
+            self._silent.discard(node)
+            self.suspects.discard(node)
+            return
+        self._silent.add(node)
+        self._check_for_stall()  # the answer may be there, unread
+        peers = self._peers()
+        if not self._doubts_itself() and node in peers and node not in self.suspects:
+            self._ping_indirectly(node, peers)
+
+    def _ping_indirectly(self, node: str, peers: dict[str, str]) -> None:
+        # The helpers depend on the silent proxy alone, so that all its monitors ask the same few.
+        helpers = [helper for helper in chosen(node, peers, HELPERS + 1) if helper != self._node][:HELPERS]
+        replies: list[bool | None] = []
+        for helper in helpers:
+            self._environment.ask(
+                peers[helper],
+                IndirectPing(peers[node]),
+                INDIRECT_PING_TIMEOUT_US,
+                partial(self._on_indirect_pong, node, replies, len(helpers)),
+            )
+
+    def _on_indirect_pong(
+        self, node: str, replies: list[bool | None], helper_count: int, reply: Message | None
+    ) -> None:
+        replies.append(reply.reachable if isinstance(reply, IndirectPingReply) else None)
+        if len(replies) < helper_count:
+            return
+        # At least one helper must have answered, and none may have reached the proxy.
+        unreachable = False in replies and True not in replies
+        if unreachable and not self._doubts_itself() and node in self._silent:
+            self.suspects.add(node)
+            self._on_suspect()
+
+    def _doubts_itself(self) -> bool:
+        monitored = self.monitored()
+        if self._environment.now() < self._self_doubt_until:
+            return True
+        return 2 * len(self._silent & set(monitored)) > max(2, len(monitored))
+
+    def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
+        """Ping a third proxy for another one, and reply whether it answered."""
+
+        def on_pong(pong: Message | None) -> None:
+            reply(IndirectPingReply(isinstance(pong, IndirectPingReply)))
+
+        self._environment.ask(request.address, Ping(), PING_TIMEOUT_US, on_pong)
+
+
+def with_incarnations(suspects: Iterable[str], incarnations: dict[str, int]) -> list[tuple[str, int]]:
+    """Return suspects in order of their names, each with the incarnation that is meant; without the unknown ones."""
+    return [(node, incarnations[node]) for node in sorted(suspects) if node in incarnations]
--- /dev/null
+++ b/lilacsill/mesh/proxy/failure_rate.py
@@ -0,0 +1,32 @@
+"""The failure rate of a backend, as the proxy beside it measures it. No I/O; the caller passes the time.
+
+The backend's own health check may be wrong in either direction, so only the outcomes of real requests count. The rate
+decays without outcomes, so that real work tries the backend again: a high rate makes a backend less likely to be
+chosen and never excludes it.
+"""
+
+from __future__ import annotations
+
+GAIN = 0.12  # of the exponential smoothing
+HALF_LIFE_US = 2_500_000  # without outcomes the rate halves in this time
+
+
+class FailureRate:
+    """The smoothed share of requests to one backend that failed."""
+
+    def __init__(self) -> None:
+        self._rate = 0.0
+        self._updated_at = 0
+
+    def current(self, now: int) -> float:
+        """Return the rate as of now, between 0 and 1."""
+        if not self._rate:
+            return 0.0
+        decay: float = 0.5 ** ((now - self._updated_at) / HALF_LIFE_US)
+        return self._rate * decay
+
+    def record(self, succeeded: bool, now: int) -> None:
+        """Count the outcome of one request."""
+        rate = self.current(now)
+        self._rate = rate + GAIN * ((not succeeded) - rate)
+        self._updated_at = now
--- a/lilacsill/mesh/proxy/forwarding.py
+++ b/lilacsill/mesh/proxy/forwarding.py
@@ -17,9 +17,10 @@
 from lilacsill.mesh.runtime.messages import BodyChunk, Headers, NoResponse, Offer, Rejected, Response
 from lilacsill.mesh.runtime.reactor import Reactor
 
-from .backend import passed_on
+from .backend_connection import end_to_end_headers
+from .backend_gateway import BackendGateway
+from .backend_request import MAX_BUFFERED_BYTES
 from .budget import Budget
-from .far import PILE, BackendGateway
 from .routes import Route, Routes
 from .table import Stand, Table
 from .transports import Exchange, ExchangeLinks, LocalExchange
@@ -135,7 +136,7 @@
         # One that comes back has lost part of its time to the aim already: it has less left than is usual on its route.
         spent_us = usual(forwarder.patience.setdefault(route.name, [0, 0]), patience_us) - patience_us
         self._aim_at = now + route.aim_us - max(0, spent_us)
-        self._headers = [line for line in passed_on(request) if line[0].lower() not in OWN]
+        self._headers = [line for line in end_to_end_headers(request) if line[0].lower() not in OWN]
         self._headers.append((b"Calling-Service", forwarder.caller))
         self._body = request.take()  # what of it has come and is kept for another offer
         self._whole = whole
@@ -223,7 +224,7 @@
             self._failed.append(self._attempt_over(message))
             self._repeat()
         else:
-            if self._client.piece(message.data, message.last) > PILE and self._exchange is not None:
+            if self._client.piece(message.data, message.last) > MAX_BUFFERED_BYTES and self._exchange is not None:
                 self._exchange.hold(True)
             if message.last:
                 self._done()
@@ -296,7 +297,7 @@
             return self._finish(m.status, m.headers, m.body)
         self._exchange, self._streaming = exchange, True
         if (
-            self._client.begin(m.status, m.headers, m.content_length, m.body, self) > PILE
+            self._client.begin(m.status, m.headers, m.content_length, m.body, self) > MAX_BUFFERED_BYTES
             and self._exchange is not None
         ):
             self._exchange.hold(True)
--- /dev/null
+++ b/lilacsill/mesh/proxy/offer_server.py
@@ -0,0 +1,139 @@
+"""The listener for other proxies: links that carry offers, one exchange at a time, pings, and operators' status calls.
+
+Each message that goes back carries the number of the exchange that it belongs to.
+"""
+
+from __future__ import annotations
+
+import socket
+from collections.abc import Callable
+from functools import partial
+from typing import Protocol
+
+from lilacsill.address import Address
+from lilacsill.mesh.runtime.link import Link, Listener
+from lilacsill.mesh.runtime.messages import (
+    BodyChunk,
+    IndirectPing,
+    IndirectPingReply,
+    Message,
+    Offer,
+    Ping,
+    Response,
+    Status,
+    StatusReply,
+)
+from lilacsill.mesh.runtime.reactor import Reactor
+
+from .backend_gateway import BackendGateway
+from .backend_request import MAX_BUFFERED_BYTES, BackendRequest
+
+RESUME_CHECK_US = 5_000  # how often a paused request body is checked
+
+
+class ProxyQueries(Protocol):
+    """Answers the questions of other proxies and of operators about this process."""
+
+    def status(self) -> bytes:
+        """Return the status report as JSON."""
+
+    def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
+        """Ping a third proxy for another one, and reply whether it answered."""
+
+
+class OfferLink:
+    """One link from another proxy. An exchange has the link to itself while it lasts."""
+
+    def __init__(
+        self,
+        gateway: BackendGateway,
+        queries: ProxyQueries,
+        sock: socket.socket,
+        on_closed: Callable[[OfferLink], None],
+    ) -> None:
+        self._gateway, self._queries, self._on_closed = gateway, queries, on_closed
+        self._request: BackendRequest | None = None
+        self._number = 0  # of the exchange that is in progress, or was the last
+        self.link = Link(sock, self._on_message, self._on_link_closed)
+        self.link.on_flushed = self._on_flushed
+
+    def send(self, message: Message) -> int:
+        """Send an outcome, or a part of one. Return how many bytes are not sent yet."""
+        if _ends_exchange(message):
+            self._request = None
+        if not self.link.open:
+            return 0
+        return self.link.send(message, self._number)
+
+    def _on_message(self, link: Link, number: int, message: Message) -> None:
+        if isinstance(message, Offer):
+            self._on_offer(link, number, message)
+        elif isinstance(message, BodyChunk):
+            if self._request is not None and number == self._number:
+                self._on_body(self._request, message)
+        elif isinstance(message, Status):
+            link.send(StatusReply(self._queries.status()), number)
+        elif isinstance(message, Ping):
+            link.send(IndirectPingReply(True), number)
+        elif isinstance(message, IndirectPing):
+            self._queries.indirect_ping(message, partial(self._reply, number))
+        else:
+            link.close()
+
+    def _on_offer(self, link: Link, number: int, offer: Offer) -> None:
+        if self._request is not None:
+            return link.close()
+        self._number = number
+        request = self._gateway.offer(offer, self)
+        # It may be over already.
+        self._request = None if request is None or request.is_over else request
+        return None
+
+    def _on_body(self, request: BackendRequest, body_chunk: BodyChunk) -> None:
+        request.send_body(body_chunk)
+        if request.unsent > MAX_BUFFERED_BYTES:
+            self.link.stream.pause()
+            self._gateway.after(RESUME_CHECK_US, self._resume)
+
+    def _resume(self) -> None:
+        if self._request is not None and self._request.unsent > MAX_BUFFERED_BYTES // 2:
+            self._gateway.after(RESUME_CHECK_US, self._resume)
+        elif self.link.open:
+            self.link.stream.resume()
+
+    def _reply(self, number: int, message: Message) -> None:
+        if self.link.open:
+            self.link.send(message, number)
+
+    def _on_flushed(self) -> None:
+        if self._request is not None:
+            self._request.resume()
+
+    def _on_link_closed(self, link: Link) -> None:
+        request, self._request = self._request, None
+        if request is not None:
+            request.cancel()
+        self._on_closed(self)
+
+
+def _ends_exchange(message: Message) -> bool:
+    if isinstance(message, Response):
+        return message.body_complete
+    return not isinstance(message, BodyChunk) or message.last
+
+
+class OfferServer:
+    """Accepts the links of other proxies."""
+
+    def __init__(self, reactor: Reactor, address: Address, gateway: BackendGateway, queries: ProxyQueries) -> None:
+        """Listen. Raises OSError if the address cannot be bound."""
+        self._gateway, self._queries = gateway, queries
+        self.links: set[OfferLink] = set()
+        self.listener = Listener(reactor, address, self._on_accepted)
+
+    def _on_accepted(self, sock: socket.socket) -> None:
+        self.links.add(OfferLink(self._gateway, self._queries, sock, self.links.discard))
+
+    def close(self) -> None:
+        """Accept no more links. Those that are open stay."""
+        self.listener.close()
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -12,20 +12,22 @@
 from lilacsill.http1.message import Message as Request
 from lilacsill.mesh.runtime.control import ControlServer, Respond
 from lilacsill.mesh.runtime.log_ring import log
-from lilacsill.mesh.runtime.messages import Headers, Message
+from lilacsill.mesh.runtime.messages import Headers, IndirectPing, Message
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.rpc import Answered, Peers
 from lilacsill.mesh.runtime.settings import Settings, SettingsError, load
 
-from .backend import BackendConnection
-from .control_api import OfferServer
+from .backend_connection import BackendConnection
+from .backend_gateway import BackendGateway
+from .backend_lifecycle import BackendLifecycle, parse_heartbeat
 from .discovery import DiscoveryClient
-from .far import BackendGateway
+from .failure_detector import FailureDetector
 from .forwarding import Forwarder
 from .inbound import Clients
-from .life import Life, beat_of
-from .neighbours import Neighbours
+from .offer_server import OfferServer
+from .reasons import FailureReason, RejectionReason
 from .routes import Routes
+from .server_load import reported_slots
 
 LEAVE_LOOK_US = 50_000
 NOTICE_US = 2_600_000  # clients go elsewhere after two missed looks at readiness
@@ -41,7 +43,7 @@
         if settings.app is None:
             raise SettingsError(f"{settings.path}: AppAddress: a proxy stands beside a backend")
         self._settings, self._reactor = settings, reactor
-        self._life = Life(settings.bound_us("DrainWithinMs", 2000))
+        self._life = BackendLifecycle(settings.bound_us("DrainWithinMs", 2000))
         self._gateway = BackendGateway(reactor, self._life, settings.app)
         ratio, slack = settings.bounds.get("RetryRatio", 0.2), settings.bounds.get("RetrySlack", 0.0)
         window_us = settings.bound_us("RetryWindowS", 10_000)
@@ -58,24 +60,22 @@
             slack_from,
         )
         self._news = DiscoveryClient(settings, reactor, self._carrier, self._life)
-        self._far = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway)
+        self._far = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway, self)
         self._clients = Clients(reactor, settings.listen["Outgoing"], self._carrier)
         self._control = ControlServer(reactor, settings.listen["ControlPort"], self._called)
         self._ready = ControlServer(reactor, settings.listen["ReadyCheck"], self._asked_ready)
         self._leaving_since = 0
         self._probing = False
         self._news.on_news = self._news_came
-        self._gateway.status = self._status
-        self._neighbours = Neighbours(Asking(reactor), settings.node, self._news.others, self._accused)
-        self._gateway.look = self._neighbours.look
+        self._neighbours = FailureDetector(Asking(reactor), settings.node, self._news.others, self._accused)
         reactor.on_signal(signal.SIGTERM, self._terminated)
         reactor.on_signal(signal.SIGHUP, self._settings_changed)
         self._news.start()
         self._neighbours.start()
 
     def _accused(self) -> None:
-        self._news.accused = self._neighbours.accused
-        log.info("cannot see %s", " ".join(sorted(self._neighbours.accused)))
+        self._news.accused = self._neighbours.suspects
+        log.info("cannot see %s", " ".join(sorted(self._neighbours.suspects)))
         self._news.tell()
 
     # The platform
@@ -92,8 +92,8 @@
         if not server or server == path or "/" in server:
             return respond(404, b'{"Message":"no such call"}')
         if request.method == b"DELETE":
-            if self._life.left(server, self._reactor.now()):
-                self._gateway.gate.clear("life")
+            if self._life.on_stopped(server, self._reactor.now()):
+                self._gateway.admission.reject_all(RejectionReason.WRONG_INCARNATION)
                 self._news.changed()
             return respond(200, b"{}")
         if request.method != b"PUT":
@@ -102,13 +102,13 @@
             body = msgspec.json.decode(bytes(request.body))
         except msgspec.DecodeError as e:
             return respond(400, msgspec.json.encode({"Message": f"not JSON: {e}"}))
-        beat = beat_of(server, body)
+        beat = parse_heartbeat(server, body)
         if beat is None:
             return respond(400, b'{"Message":"Details or Condition: not whole"}')
         before = (self._life.server, self._life.state)
-        if self._life.beat(beat, self._reactor.now()):
+        if self._life.on_heartbeat(beat, self._reactor.now()):
             if self._life.server != before[0]:
-                self._gateway.pool.clear()
+                self._gateway.pool.close_idle()
             if self._life.state == "draining" and before[1] != "draining":
                 self._drains()
             self._news.changed()
@@ -116,15 +116,15 @@
 
     def _drains(self) -> None:
         half_us = self._settings.bound_us("DrainWithinMs", 2000) // 2
-        self._reactor.after(half_us, self._gateway.gate.clear, "draining")
+        self._reactor.after(half_us, self._gateway.admission.reject_all, RejectionReason.DRAINING)
 
     def _news_came(self) -> None:
         most = self._carrier.routes.most_connections(self._life.service or self._settings.service)
         if most is not None:
-            self._gateway.pool.most = most
+            self._gateway.pool.max_connections = most
         told = self._news.endpoints.get(self._settings.node)
         leaves = told.server if told is not None and told.state == "draining" else ""
-        if leaves and self._life.known_to_leave(leaves, self._reactor.now()):
+        if leaves and self._life.on_reported_drain(leaves, self._reactor.now()):
             self._drains()
         self._look_at_backend()
 
@@ -138,7 +138,7 @@
         Probe(self._gateway, health, self._probed)
 
     def _probed(self, server: str, slots: int) -> None:
-        if server and self._life.answered(server, self._settings.service, slots):
+        if server and self._life.on_health_check(server, self._settings.service, slots):
             log.info("the backend is %s", server)
             self._news.changed()
         elif not server:
@@ -148,8 +148,9 @@
         self._probing = False
         self._look_at_backend()
 
-    def _status(self) -> bytes:
-        now, life, gate = self._reactor.now(), self._life, self._gateway.gate
+    def status(self) -> bytes:
+        """Return the status report as JSON."""
+        now, life, gate = self._reactor.now(), self._life, self._gateway.admission
         return msgspec.json.encode(
             {
                 "node": self._settings.node,
@@ -164,16 +165,16 @@
                     "service": life.service,
                     "state": life.state,
                     "slots": life.slots,
-                    "dark": not self._gateway.dark.lit,
-                    "connections": len(self._gateway.pool.open),
-                    "most": self._gateway.pool.most,
-                    "forgotten": self._gateway.pool.resting.found,
+                    "dark": not self._gateway.circuit_breaker.is_closed,
+                    "connections": len(self._gateway.pool.connections),
+                    "most": self._gateway.pool.max_connections,
+                    "forgotten": self._gateway.pool.idle_limit.resets,
                     "running": gate.running,
                     "load": gate.load(now),
                 },
                 "vector": self._news.vector,
-                "watches": self._neighbours.watched(),
-                "accused": sorted(self._neighbours.accused),
+                "watches": self._neighbours.monitored(),
+                "accused": sorted(self._neighbours.suspects),
                 "tables": {
                     service: [
                         {
@@ -195,6 +196,10 @@
             }
         )
 
+    def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
+        """Ping a third proxy for another one, and reply whether it answered."""
+        self._neighbours.indirect_ping(request, reply)
+
     # The way out
 
     def _settings_changed(self) -> None:
@@ -252,31 +257,28 @@
     """One look at the backend's health."""
 
     def __init__(self, gateway: BackendGateway, path: bytes, done: Callable[[str, int], None]) -> None:
-        self._done, self.attempt_id, self.is_head, self.repeatable = done, b"", False, True
+        self._done, self.attempt_id, self.idempotent = done, b"", True
         self._path = path
         self._pool, self._reactor = gateway.pool, gateway.reactor
-        gateway.pool.take(True, self._connected, lambda e: done("", 0))
+        gateway.pool.acquire(True, self._connected, lambda e: done("", 0))
 
     def _connected(self, connection: BackendConnection) -> None:
         headers: Headers = [(b"Host", b"backend")]
-        connection.begin(self, b"GET", self._path, headers, b"", 0, True)
+        connection.send_request(self, b"GET", self._path, headers, b"", 0, True)
         self._reactor.after(PROBE_LATE_US, self._late, connection)
 
     def _late(self, connection: BackendConnection) -> None:
-        if connection.user is self:
-            connection.user = None
-            self._pool.forget(connection)
-            connection.drop()
-            self.on_lost("late")
+        if connection.handler is self:
+            self._pool.discard(connection)
+            self.on_lost(FailureReason.TIMED_OUT)
 
-    def on_answer(self, answer: Request) -> None:
+    def on_response(self, answer: Request) -> None:
         server = answer.header(b"answering-server") or ""
-        told = (answer.header(b"server-load") or "").split(",")
-        slots = int(told[2]) if len(told) == 3 and told[2].strip().isdigit() else 1
+        slots = reported_slots(answer.fields.get(b"server-load", b"")) or 1
         self._done(server if answer.status == 200 else "", slots)
 
-    def on_part(self, answer: Request) -> None:
+    def on_response_part(self, answer: Request) -> None:
         answer.take()
 
-    def on_lost(self, why: str) -> None:
+    def on_lost(self, reason: FailureReason) -> None:
         self._done("", 0)
--- /dev/null
+++ b/lilacsill/mesh/proxy/reasons.py
@@ -0,0 +1,29 @@
+"""Why a request was rejected, or got no response. The texts go over the wire, so they stay as they are."""
+
+from __future__ import annotations
+
+from enum import StrEnum
+
+
+class RejectionReason(StrEnum):
+    """Why a request was not passed to the backend (`Rejected.reason`)."""
+
+    FULL = "full"
+    WRONG_INCARNATION = "life"  # another incarnation of the backend is meant, or none has been heard of
+    DRAINING = "draining"
+    UNREACHABLE = "unreachable"
+    LATE = "late"
+
+
+class FailureReason(StrEnum):
+    """Why a request that was passed to the backend got no response (`NoResponse.reason`)."""
+
+    BACKEND_SILENT = "its backend is silent"
+    BACKEND_LOST_IT = "its backend holds it no more"
+    TIMED_OUT = "no answer in time"
+    UNFOUNDED_PROMISE = "a promise that is not the backend's"
+    SEAL_MISSING = "a success without its seal"
+    UNREQUESTED_ENCODING = "a body that nobody asked for"
+    MALFORMED_RESPONSE = "what came is no answer"
+    CONNECTION_CLOSED = "the connection ended"
+    INTERNAL_ERROR = "failed here"
--- a/lilacsill/mesh/proxy/transports.py
+++ b/lilacsill/mesh/proxy/transports.py
@@ -14,7 +14,8 @@
 from lilacsill.mesh.runtime.messages import BodyChunk, Message, NoResponse, Offer, Rejected, Response
 from lilacsill.mesh.runtime.reactor import Reactor
 
-from .far import BackendGateway, BackendRequest
+from .backend_gateway import BackendGateway
+from .backend_request import BackendRequest
 
 CONNECT_US = 400_000
 IDLE_MOST = 24  # links that are kept for each address
@@ -69,7 +70,7 @@
 
     def piece(self, piece: BodyChunk) -> None:
         if self._request is not None:
-            self._request.piece(piece)
+            self._request.send_body(piece)
 
     @property
     def unsent(self) -> int:
@@ -82,7 +83,10 @@
 
     def hold(self, on: bool) -> None:
         if self._request is not None:
-            self._request.hold(on)
+            if on:
+                self._request.pause()
+            else:
+                self._request.resume()
 
 
 class LinkExchange:
--- a/lilacsill/mesh/proxy/watch_list.py
+++ b/lilacsill/mesh/proxy/watch_list.py
@@ -1,9 +1,9 @@
-"""Whom a proxy watches: the nodes for which rendezvous hashing names it among their few watchers. No I/O.
+"""Which proxies a proxy monitors: those for which rendezvous hashing names it among their few monitors. No I/O.
 
-For each node it is enough to know `count` others with a higher weight than this one's: then this one does not watch
-it. To find them takes few looks unless this one's weight is among the highest, so the whole list takes n log n looks in
-place of the n squared that sorting the others of every node would; and while those few stay, nothing about that node
-changes.
+A proxy does not monitor a node if it knows as many others with a higher weight for that node as a node has monitors.
+It takes few comparisons to find them, unless its own weight is among the highest. So the whole list takes n log n
+comparisons, where sorting the monitors of every node would take n squared. As long as those others stay, nothing
+changes for that node.
 """
 
 from __future__ import annotations
@@ -14,43 +14,47 @@
 
 
 class WatchList:
-    """One proxy's."""
+    """The nodes that one proxy monitors."""
 
-    def __init__(self, me: str, count: int) -> None:
-        self._me, self._count = me, count
-        self._stronger: dict[str, tuple[str, ...]] = {}  # of each node: others with a higher weight, `count` at most
-        self.watched: list[str] = []
+    def __init__(self, node: str, monitors: int) -> None:
+        """Begin with an empty list, for a proxy `node` in a fleet where each node has so many `monitors`."""
+        self._node, self._monitors = node, monitors
+        # For each node others with a higher weight than this proxy, no more than a node has monitors.
+        self._outranking: dict[str, tuple[str, ...]] = {}
+        self.monitored: list[str] = []
 
     def sync(self, nodes: Iterable[str]) -> None:
-        """These are the others now."""
-        nodes = set(nodes) - {self._me}
-        lost = self._stronger.keys() - nodes
-        new = nodes - self._stronger.keys()
-        if not lost and not new:
+        """Take over the names of all proxies."""
+        current = set(nodes) - {self._node}
+        removed = self._outranking.keys() - current
+        added = current - self._outranking.keys()
+        if not removed and not added:
             return
-        for node in lost:
-            del self._stronger[node]
-        again = [n for n, stronger in self._stronger.items() if not lost.isdisjoint(stronger)]
-        self._challenge(new)
-        self._stronger.update(dict.fromkeys(new, ()))
-        for node in {*again, *new}:
-            self._stronger[node] = self._find_stronger(node)
-        self.watched = sorted(n for n, stronger in self._stronger.items() if len(stronger) < self._count)
-
-    def _challenge(self, new: set[str]) -> None:
-        """New nodes may take this one's place at those that it watches."""
-        for node, stronger in self._stronger.items():
-            if len(stronger) < self._count:
-                mine = (weight(node, self._me), self._me)
-                more = [n for n in new if (weight(node, n), n) > mine]
-                self._stronger[node] = (*stronger, *more)[: self._count]
-
-    def _find_stronger(self, node: str) -> tuple[str, ...]:
-        mine = (weight(node, self._me), self._me)
+        for node in removed:
+            del self._outranking[node]
+        affected = [node for node, outranking in self._outranking.items() if not removed.isdisjoint(outranking)]
+        self._compare_with_added(added)
+        self._outranking.update(dict.fromkeys(added, ()))
+        for node in {*affected, *added}:
+            self._outranking[node] = self._find_outranking(node)
+        self.monitored = sorted(
+            node for node, outranking in self._outranking.items() if len(outranking) < self._monitors
+        )
+
+    def _compare_with_added(self, added: set[str]) -> None:
+        """Find the new nodes that take this one's place as a monitor."""
+        for node, outranking in self._outranking.items():
+            if len(outranking) < self._monitors:
+                own = (weight(node, self._node), self._node)
+                more = [other for other in added if (weight(node, other), other) > own]
+                self._outranking[node] = (*outranking, *more)[: self._monitors]
+
+    def _find_outranking(self, node: str) -> tuple[str, ...]:
+        own = (weight(node, self._node), self._node)
         found: list[str] = []
-        for other in self._stronger:
-            if other != node and (weight(node, other), other) > mine:
+        for other in self._outranking:
+            if other != node and (weight(node, other), other) > own:
                 found.append(other)
-                if len(found) == self._count:
+                if len(found) == self._monitors:
                     break
         return tuple(found)
--- a/lilacsill/mesh/simulation/failure_detection.py
+++ b/lilacsill/mesh/simulation/failure_detection.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from lilacsill.mesh.proxy.neighbours import Neighbours, told
+from lilacsill.mesh.proxy.failure_detector import FailureDetector, with_incarnations
 from lilacsill.mesh.registry.directory import Directory
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, IndirectPingReply, Message, Ping
 
@@ -26,10 +26,10 @@
         self.machine = street.net.machines[self.address] = Machine(street.net, self.address, MS)
         self.machine.begin()
         self.endpoint = Endpoint(self.node, 1, 1, f"10.2.0.{number}", 1, "z", "s", f"i{number}", "ready", 8, 0)
-        self.neighbours = Neighbours(self.machine, self.node, self._others, self._tell)
+        self.neighbours = FailureDetector(self.machine, self.node, self._others, self._tell)
         handlers: dict[type, Callable[[Any, Callable[[Message], None]], None]] = {
             Ping: lambda m, reply: reply(IndirectPingReply(True)),
-            IndirectPing: self.neighbours.look,
+            IndirectPing: self.neighbours.indirect_ping,
         }
         self.machine.handlers = handlers
         self.machine.after(street.net.rng.randrange(500 * MS), self.neighbours.start)
@@ -48,7 +48,7 @@
         self._tell()
 
     def _tell(self) -> None:
-        missing = told(self.neighbours.accused, dict.fromkeys(self.street.proxies, 1))
+        missing = with_incarnations(self.neighbours.suspects, dict.fromkeys(self.street.proxies, 1))
         for directory in self.street.directories:
             self.street.net.carry(self.address, "registries", lambda b=directory: self._told(b, missing))  # type: ignore[misc]
 
--- a/lilacsill/mesh/simulation/load_reports.py
+++ b/lilacsill/mesh/simulation/load_reports.py
@@ -1,8 +1,8 @@
 """Proxies and the backends beside them in virtual time: the choice, the gates, the news of loads, and nothing else.
 
-The tables and gates are the product's own (`lilacsill.mesh.proxy.table`, `lilacsill.mesh.proxy.gate`); the way between
-two proxies is a delay. It tells how even the load is and how much comes late, as nodes double from 8 to 400, and what
-news of loads could gain.
+The tables and gates are the product's own (`lilacsill.mesh.proxy.table`, `lilacsill.mesh.proxy.admission`); the way
+between two proxies is a delay. It tells how even the load is and how much comes late, as nodes double from 8 to 400,
+and what news of loads could gain.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from lilacsill.mesh.proxy.gate import Gate, Ticket
+from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
 from lilacsill.mesh.proxy.table import Stand, Table
 from lilacsill.mesh.runtime.messages import Endpoint, Load
 
@@ -88,7 +88,7 @@
     def __init__(self, fair: Fair, seed: int, table: Callable[[Random], Table] = Table) -> None:
         self.fair, self.rng, self.time = fair, Random(seed), Time()
         self.credit = CreditLedger()
-        self.gates = [Gate() for _ in range(fair.nodes)]
+        self.gates = [AdmissionController() for _ in range(fair.nodes)]
         for gate in self.gates:
             gate.slots = fair.slots
         self._speeds = [SPEEDS[i % len(SPEEDS)] for i in range(fair.nodes)]
@@ -183,20 +183,20 @@
 
     def _offered(self, node: int) -> None:
         world, gate = self._world, self._world.gates[node]
-        until = self._aim_at - gate.expected_us("r", world.usual_ms)
-        ticket = Ticket(
+        until = self._aim_at - gate.durations.expected_us("r", world.usual_ms)
+        ticket = AdmissionRequest(
             1, until, "r", lambda: self._begun(node, ticket), lambda why: self._turned(node), world.usual_ms
         )
-        if gate.offer(ticket, world.time.now):
+        if gate.admit(ticket, world.time.now):
             self._turned(node)
 
-    def _begun(self, node: int, ticket: Ticket) -> None:
+    def _begun(self, node: int, ticket: AdmissionRequest) -> None:
         world = self._world
         world.time.after(world.work_us(node), self._done, node, ticket)
 
-    def _done(self, node: int, ticket: Ticket) -> None:
+    def _done(self, node: int, ticket: AdmissionRequest) -> None:
         world = self._world
-        world.gates[node].ended(ticket, world.time.now, True)
+        world.gates[node].finish(ticket, world.time.now, True)
         world.time.after(HOP_US, self._told, world.gates[node].load(world.time.now), True)
 
     def _turned(self, node: int) -> None:
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -15,7 +15,7 @@
 
 from lilacsill.address import Address
 from lilacsill.mesh.proxy import discovery
-from lilacsill.mesh.proxy.life import Life
+from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.registry import process as registries
 from lilacsill.mesh.runtime.freshness import dated
@@ -106,7 +106,7 @@
             routes=Routes(), tables={}, table=lambda service: table, proxies=1, links=links
         )
         settings = settings_of(ip, self.fleet.seeds)
-        self.proxies[ip] = discovery.DiscoveryClient(settings, reactor, forwarder, Life(0))
+        self.proxies[ip] = discovery.DiscoveryClient(settings, reactor, forwarder, BackendLifecycle(0))
         self.proxies[ip].start()
 
     @property
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -9,9 +9,10 @@
 
 from lilacsill.address import Address
 from lilacsill.mesh.proxy.budget import Budget
-from lilacsill.mesh.proxy.far import BackendRequest
+from lilacsill.mesh.proxy.backend_request import BackendRequest
 from lilacsill.mesh.proxy.forwarding import Forwarding
-from lilacsill.mesh.proxy.gate import Gate, Ticket
+from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
+from lilacsill.mesh.proxy.reasons import FailureReason, RejectionReason
 from lilacsill.mesh.proxy.transports import ExchangeLinks, LinkExchange
 from lilacsill.mesh.registry.directory import Directory
 from lilacsill.mesh.runtime import messages
@@ -110,11 +111,11 @@
 
 
 def every_503_is_taken_for_a_promise(patch: Patch) -> None:
-    patch.setattr(BackendRequest, "_spoilt", lambda self, answer: "")
+    patch.setattr(BackendRequest, "_failure_reason", lambda self, response: None)
 
 
 def a_backend_that_was_not_meant_has_made_no_promise(patch: Patch) -> None:
-    patch.setattr(BackendRequest, "_is_not_run", staticmethod(lambda answer: b"not-run" in answer.fields))
+    patch.setattr(BackendRequest, "_is_not_run", staticmethod(lambda response: b"not-run" in response.fields))
 
 
 def writes_are_tried_again(patch: Patch) -> None:
@@ -130,11 +131,11 @@
 
 
 def a_try_on_a_forgotten_connection_is_free(patch: Patch) -> None:
-    def lost(self: BackendRequest, why: str) -> None:
-        if self._connection is not None and self._connection.rested_us:
+    def lost(self: BackendRequest, reason: FailureReason) -> None:
+        if self._connection is not None and self._connection.idle_us:
             self._connection = None
-            return self._gateway.pool.take(self.repeatable, self._connected, self._not_connected)
-        real(self, why)
+            return self._gateway.pool.acquire(self.idempotent, self._on_connected, self._on_not_connected)
+        real(self, reason)
 
     real = BackendRequest.on_lost
     patch.setattr(BackendRequest, "on_lost", lost)
@@ -153,11 +154,12 @@
 
 
 def routes_without_a_usual_time_have_no_room(patch: Patch) -> None:
-    def offer(self: Gate, ticket: Ticket, now: int) -> str:
-        return real(self, ticket, now) if ticket.route in self._paces or not self._paces else "full"
+    def admit(self: AdmissionController, request: AdmissionRequest, now: int) -> RejectionReason | None:
+        by_route_ms = self.durations.by_route_ms
+        return real(self, request, now) if request.route in by_route_ms or not by_route_ms else RejectionReason.FULL
 
-    real = Gate.offer
-    patch.setattr(Gate, "offer", offer)
+    real = AdmissionController.admit
+    patch.setattr(AdmissionController, "admit", admit)
 
 
 def a_question_takes_every_answer(patch: Patch) -> None:
--- a/tests/control/test_point_5_answers.py
+++ b/tests/control/test_point_5_answers.py
@@ -99,24 +99,24 @@
         one, two, three = (s.add(name) for name in ("one", "two", "three"))
         s.prefer("one")
         assert statuses(s, ask(s, "GET", "/reads/a")) == [200]
-        for connection in s.gateways["one"].pool.open:
-            connection.rests_since = s.reactor.now() - 300_000
+        for connection in s.gateways["one"].pool.connections:
+            connection.idle_since = s.reactor.now() - 300_000
         one.script, two.script, three.script = ["closes"], ["closes"], ["closes"]
         assert statuses(s, ask(s, "GET", "/reads/b")) == [502]
         assert len(one.ran) == 2 and len(two.ran) + len(three.ran) == 1
-        assert s.gateways["one"].pool.resting.found == 1
+        assert s.gateways["one"].pool.idle_limit.resets == 1
 
 
 def test_an_offer_that_waits_never_runs_once_its_sender_is_killed() -> None:
     with stage() as s:
-        backend, door, gate = s.add("one"), s.doors["one"], s.gateways["one"].gate
+        backend, door, gate = s.add("one"), s.doors["one"], s.gateways["one"].admission
         gate.running = gate.slots = 4
         with socket.create_connection((LOOPBACK, door.listener.port)) as sock:
             sock.sendall(frame(1, encode(replace(offer(), server="i-one"))))
             s.until(lambda: gate.waiting == 1, "it waits")
-        s.until(lambda: not door.sinks, "the end of the link")
+        s.until(lambda: not door.links, "the end of the link")
         gate.running = 0
-        gate.next(s.reactor.now())
+        gate.start_next(s.reactor.now())
         s.settle()
         assert not backend.ran and not gate.running
 
@@ -171,8 +171,8 @@
         with socket.create_connection((LOOPBACK, door.listener.port)) as sock:
             unasked = frame(1, encode(Reply(200, b"")))  # closes the link
             sock.sendall(unasked + frame(2, encode(replace(offer(), server="i-one"))))
-            s.until(lambda: bool(door.sinks), "the link")
-            s.until(lambda: not door.sinks, "its end")
+            s.until(lambda: bool(door.links), "the link")
+            s.until(lambda: not door.links, "its end")
             s.settle()
             assert not backend.ran and not s.gateways["one"].requests
 
--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -14,14 +14,15 @@
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Message, Reader
-from lilacsill.mesh.proxy.control_api import OfferServer
-from lilacsill.mesh.proxy.far import BackendGateway
+from lilacsill.mesh.proxy.offer_server import OfferServer
+from lilacsill.mesh.proxy.backend_gateway import BackendGateway
 from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.inbound import Clients
-from lilacsill.mesh.proxy.life import Beat, Life
+from lilacsill.mesh.proxy.backend_lifecycle import BackendHeartbeat, BackendLifecycle
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.runtime.link import Listener
-from lilacsill.mesh.runtime.messages import Endpoint, Item
+from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Item
+from lilacsill.mesh.runtime.messages import Message as MeshMessage
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.net import reactor as watchers
 
@@ -166,13 +167,23 @@
         self.cut = self._reader.current is not None
 
 
+class NoQueries:
+    """Stands for the process, which nobody asks for its status or for pings."""
+
+    def status(self) -> bytes:
+        raise AssertionError("nobody asks for the status")
+
+    def indirect_ping(self, request: IndirectPing, reply: Callable[[MeshMessage], None]) -> None:
+        raise AssertionError("nobody asks for a ping")
+
+
 class Stage:
     """One route at h.example: /reads/ and /writes/, to the service `stock`; proxies beside the backends by name."""
 
     def __init__(self, reactor: Reactor) -> None:
         self.reactor = reactor
         self.backends: dict[str, Backend] = {}
-        self.lives: dict[str, Life] = {}
+        self.lives: dict[str, BackendLifecycle] = {}
         self.gateways: dict[str, BackendGateway] = {}
         self.doors: dict[str, OfferServer] = {}
         routes = Routes()
@@ -180,7 +191,7 @@
         self.forwarder = Forwarder(
             reactor,
             routes,
-            BackendGateway(reactor, Life(2_000_000), Address(LOOPBACK, 1)),
+            BackendGateway(reactor, BackendLifecycle(2_000_000), Address(LOOPBACK, 1)),
             "near",
             "desk",
             (0.2, 10_000_000, 1000.0),
@@ -204,10 +215,10 @@
 
     def add(self, name: str, slots: int = 4) -> Backend:
         backend = self.backends[name] = Backend(self.reactor, name)
-        life = self.lives[name] = Life(2_000_000)
-        life.beat(Beat(f"i-{name}", "stock", slots, False, 1, 0), self.reactor.now())
+        life = self.lives[name] = BackendLifecycle(2_000_000)
+        life.on_heartbeat(BackendHeartbeat(f"i-{name}", "stock", slots, False, 1, 0), self.reactor.now())
         gateway = self.gateways[name] = BackendGateway(self.reactor, life, Address(LOOPBACK, backend.listener.port))
-        self.doors[name] = OfferServer(self.reactor, Address(LOOPBACK, 0), gateway)
+        self.doors[name] = OfferServer(self.reactor, Address(LOOPBACK, 0), gateway, NoQueries())
         self.tell(name, slots)
         return backend
 
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -7,7 +7,7 @@
 import pytest
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from lilacsill.mesh.proxy.life import Beat, Life
+from lilacsill.mesh.proxy.backend_lifecycle import BackendHeartbeat, BackendLifecycle
 
 from .stage import Client, Stage, request, stage, words
 
@@ -53,7 +53,7 @@
 
 @given(parsers.parse("{name:w} drains unheard"))
 def _drains(play: Play, name: str) -> None:
-    play.stage.lives[name].beat(Beat(f"i-{name}", "stock", 4, True, 2, 0), play.stage.reactor.now())
+    play.stage.lives[name].on_heartbeat(BackendHeartbeat(f"i-{name}", "stock", 4, True, 2, 0), play.stage.reactor.now())
 
 
 @given(parsers.parse("the news of {name} are of an older life"))
@@ -63,14 +63,14 @@
 
 @given(parsers.parse("{name:w} has not heard its backend"))
 def _unheard(play: Play, name: str) -> None:
-    play.stage.gateways[name].life = Life(2_000_000)
+    play.stage.gateways[name].lifecycle = BackendLifecycle(2_000_000)
 
 
 @given(parsers.parse("{name:w} is full"))
 def _full(play: Play, name: str) -> None:
-    gate = play.stage.gateways[name].gate
+    gate = play.stage.gateways[name].admission
     gate.running = gate.slots = 4
-    gate.pace_ms = 10_000.0
+    gate.durations.mean_ms = 10_000.0
 
 
 @given(parsers.parse("the proxy beside {name} is gone"))
@@ -80,24 +80,24 @@
 
 @given(parsers.parse("{name:w} accepts {count:d} connections"))
 def _accepts(play: Play, name: str, count: int) -> None:
-    play.stage.gateways[name].pool.most = count
+    play.stage.gateways[name].pool.max_connections = count
 
 
 @given(parsers.parse("{name:w} usually answers within {ms:d} ms"))
 def _usually(play: Play, name: str, ms: int) -> None:
-    play.stage.gateways[name].gate._paces["reads"] = ms
+    play.stage.gateways[name].admission.durations.by_route_ms["reads"] = ms
 
 
 @then(parsers.parse("{name:w} is dark"))
 def _dark(play: Play, name: str) -> None:
-    assert not play.stage.gateways[name].dark.lit
+    assert not play.stage.gateways[name].circuit_breaker.is_closed
 
 
 @when(parsers.parse("the connections to {name:w} have rested {ms:d} ms"))
 def _rested(play: Play, name: str, ms: int) -> None:
     play.stage.settle()
-    for connection in play.stage.gateways[name].pool.open:
-        connection.rests_since = play.stage.reactor.now() - ms * 1000
+    for connection in play.stage.gateways[name].pool.connections:
+        connection.idle_since = play.stage.reactor.now() - ms * 1000
 
 
 @given("the configuration is not known to be fresh")
@@ -175,7 +175,7 @@
 @when(parsers.parse("{name:w} has it and its link breaks"))
 def _breaks(play: Play, name: str) -> None:
     play.stage.until(lambda: len(play.stage.backends[name].ran) == 1, "the request has come")
-    for sink in list(play.stage.doors[name].sinks):
+    for sink in list(play.stage.doors[name].links):
         sink.link.close()
 
 
@@ -228,11 +228,11 @@
     for _ in range(20):
         play.stage.settle()
     held = sum(c.unsent + sum(len(t.out) for t in c._turns) for c in play.stage.clients.connections)
-    held += sum(s.link.stream.unsent for d in play.stage.doors.values() for s in d.sinks)
+    held += sum(s.link.stream.unsent for d in play.stage.doors.values() for s in d.links)
     held += sum(
         c._reader.current.received
         for n in play.stage.gateways.values()
-        for c in n.pool.open
+        for c in n.pool.connections
         if c._reader.current is not None and c._reader.current.body
     )
     assert held < count << 20, held
@@ -249,7 +249,7 @@
     play.stage.until(
         lambda: not play.stage.forwarder.in_hand and not any(c.requests for c in gateways), "all is let go"
     )
-    assert all(c.gate.running == 0 for c in gateways)
+    assert all(c.admission.running == 0 for c in gateways)
 
 
 @then("the connection is closed in order")
--- a/tests/mesh/test_openapi.py
+++ b/tests/mesh/test_openapi.py
@@ -9,7 +9,7 @@
 import yaml
 from openapi_spec_validator import validate
 
-from lilacsill.mesh.proxy.life import beat_of
+from lilacsill.mesh.proxy.backend_lifecycle import parse_heartbeat
 from lilacsill.mesh.store.validation import SCHEMA
 
 ROOT = Path(__file__).parent.parent.parent
@@ -58,9 +58,9 @@
 
 @pytest.mark.parametrize("place", ["Details", "Condition"])
 def test_a_beat_needs_what_the_document_says(place: str) -> None:
-    assert beat_of("i", beat()) is not None
+    assert parse_heartbeat("i", beat()) is not None
     for key in resolved(DOCUMENT["components"]["schemas"]["Beat"])["properties"][place]["required"]:
         lacking = beat()
         del lacking[place][key]
-        assert beat_of("i", lacking) is None, key
-    assert beat_of("i", []) is None and beat_of("i", {"Details": 1, "Condition": {}}) is None
+        assert parse_heartbeat("i", lacking) is None, key
+    assert parse_heartbeat("i", []) is None and parse_heartbeat("i", {"Details": 1, "Condition": {}}) is None
--- a/tests/mesh/test_watch_list.py
+++ b/tests/mesh/test_watch_list.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lilacsill.mesh.proxy.discovery import place_of
+from lilacsill.mesh.proxy.discovery import address_and_departure
 from lilacsill.mesh.proxy.watch_list import WatchList
 from lilacsill.mesh.runtime.hashing import chosen, weight
 from lilacsill.mesh.runtime.messages import Endpoint
@@ -29,7 +29,7 @@
             changed = rng.sample(pool, k=rng.choice((1, 1, 2, 10)))
             nodes = set(rng.sample(pool, k=size)) if rng.random() < 0.2 else nodes ^ set(changed)
             watch_list.sync(nodes)
-            assert watch_list.watched == named(me, nodes)
+            assert watch_list.monitored == named(me, nodes)
 
 
 def test_each_is_watched_by_three() -> None:
@@ -37,7 +37,7 @@
     lists = [WatchList(n, WATCHERS) for n in sorted(nodes)]
     for watch_list in lists:
         watch_list.sync(nodes)
-    watched = [n for watch_list in lists for n in watch_list.watched]
+    watched = [n for watch_list in lists for n in watch_list.monitored]
     assert {n: watched.count(n) for n in nodes} == dict.fromkeys(nodes, WATCHERS)
 
 
@@ -65,5 +65,5 @@
     later = Endpoint("n1", 1, 2, "10.0.0.1", 7660, "z", "s", "i-2", "draining", 9, 5)
     leaving = Endpoint("n1", 1, 3, "10.0.0.1", 7660, "z", "s", "i-2", "leaving", 9, 5)
     moved = Endpoint("n1", 1, 4, "10.0.0.2", 7660, "z", "s", "i-2", "draining", 9, 5)
-    assert place_of(endpoint) == place_of(later) != place_of(leaving)
-    assert place_of(moved) != place_of(later)
+    assert address_and_departure(endpoint) == address_and_departure(later) != address_and_departure(leaving)
+    assert address_and_departure(moved) != address_and_departure(later)
