--- a/lilacsill/mesh/proxy/forwarding.py
+++ b/lilacsill/mesh/proxy/forwarding.py
@@ -20,6 +20,7 @@
 from .backend import passed_on
 from .budget import Budget
 from .far import PILE, BackendGateway
+from .graceful_shutdown import GracefulShutdown
 from .routes import Route, Routes
 from .table import Stand, Table
 from .transports import LocalExchange, Exchange, ExchangeLinks
@@ -72,6 +73,7 @@
         self.proxies = 1
         self.sure: Callable[[], bool] = lambda: False
         self.in_hand: set[Forwarding] = set()
+        self.shutdown: GracefulShutdown | None = None  # from SIGTERM on
         self._attempts = 0
         self.patience: dict[str, list[int]] = {}  # of each route's clients, for `usual`
         self._took: dict[str, tuple[float, int]] = {}  # by route: mean ms at a backend, answers that it is made of
@@ -114,11 +116,30 @@
             else:
                 client.answer(503, [(b"Retry-After", b"0.2")], b"the configuration is not known\n")
             return None
+        if self.shutdown is not None and not self._can_finish(self.shutdown, request, route):
+            client.answer(503, [self.retry_after(route)], b"this proxy shuts down\n")
+            return None
         forwarding = Forwarding(self, request, route, client, whole)
         self.in_hand.add(forwarding)
         forwarding.begin()
         return forwarding
 
+    def _can_finish(self, shutdown: GracefulShutdown, request: HttpMessage, route: Route) -> bool:
+        time_left_us = min(client_patience_us(request), route.timeout_us)
+        usual_us = self.usual_ms(route.name) * 1000 or None
+        return shutdown.can_finish(self.reactor.now(), time_left_us, route.aim_us, usual_us)
+
+    def retry_after(self, route: Route) -> tuple[bytes, bytes]:
+        """The header that tells a refused client when to come back: a part of the route's target, with jitter."""
+        back_s = BACK_PART * route.aim_us / 1e6 * (0.75 + 0.5 * self.rng.random())
+        return b"Retry-After", b"%.3f" % back_s
+
+
+def client_patience_us(request: HttpMessage) -> int:
+    """How long the client waits for its answer, by the request's `Time-Left-Ms`."""
+    time_left = request.fields.get(b"time-left-ms", b"")
+    return int(time_left) * 1000 if time_left.isdigit() and len(time_left) < 10 else PATIENCE_US
+
 
 class Forwarding:
     """One request."""
@@ -128,8 +149,7 @@
         self._service = route.service(forwarder.rng)
         self._table = forwarder.table(self._service)
         now = forwarder.reactor.now()
-        told = request.fields.get(b"time-left-ms", b"")
-        patience_us = int(told) * 1000 if told.isdigit() and len(told) < 10 else PATIENCE_US
+        patience_us = client_patience_us(request)
         self._began = now
         self._until = now + min(patience_us, route.timeout_us)
         # One that comes back has lost part of its time to the aim already: it has less left than is usual on its route.
@@ -323,9 +343,7 @@
         self._refuse()  # true of a write, too: all that it arrived at have promised that it did not run
 
     def _refuse(self) -> None:
-        aim_us = self._route.aim_us
-        back_s = BACK_PART * aim_us / 1e6 * (0.75 + 0.5 * self._forwarder.rng.random())
-        self._finish(503, [(b"Retry-After", b"%.3f" % back_s)], b"refused\n")
+        self._finish(503, [self._forwarder.retry_after(self._route)], b"refused\n")
 
     def _late(self) -> None:
         """Its time is up: the final answer goes out at once."""
--- a/lilacsill/mesh/proxy/inbound.py
+++ b/lilacsill/mesh/proxy/inbound.py
@@ -129,7 +129,7 @@
         request.target = origin_form(request.target)
         turn = Turn(self, request)
         self._turns.append(turn)
-        self._ending = not request.keep_alive
+        self._ending = not request.keep_alive or self._clients.leaving
         turn.forwarding = self._clients.forwarder.arrived(request, turn, whole=False)
         self._upload = turn
 
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -21,6 +21,7 @@
 from .forwarding import Forwarder
 from .control_api import OfferServer
 from .far import BackendGateway
+from .graceful_shutdown import GracefulShutdown
 from .inbound import Clients
 from .life import Life, beat_of
 from .neighbours import Neighbours
@@ -209,7 +210,10 @@
         if self._leaving_since:
             return
         log.info("leaves")
-        self._leaving_since = self._reactor.now()
+        now = self._leaving_since = self._reactor.now()
+        grace_us = self._settings.bound_us("GracePeriodS", 6000)
+        take_all_us = min(NOTICE_US, grace_us // 2)
+        self._carrier.shutdown = GracefulShutdown(now + take_all_us, now + grace_us - END_US)
         self._news.leaving = True
         self._clients.leave()
         self._news.changed()
--- /dev/null
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -0,0 +1,138 @@
+"""A proxy between SIGTERM and its end: what it still takes, and what it refuses before any backend has it."""
+
+from __future__ import annotations
+
+import pytest
+from msgspec.structs import replace
+
+from lilacsill.address import Address
+from lilacsill.mesh.proxy.graceful_shutdown import MAX_WORK_FACTOR, GracefulShutdown
+from lilacsill.mesh.proxy.process import Process
+from lilacsill.mesh.runtime.messages import Endpoint
+from tests.control.point_5_world import caller, settings, statuses
+from tests.mesh.stage import LOOPBACK, Client, Stage, request, stage
+
+S = 1_000_000
+MS = 1_000
+SHUTDOWN = GracefulShutdown(take_all_until=13 * S, break_off_at=15 * S)
+
+
+@pytest.mark.parametrize(
+    ("now", "time_left_us", "usual_us", "can_finish"),
+    [
+        pytest.param(13 * S - 1, 60 * S, None, True, id="clients cannot have noticed yet"),
+        pytest.param(13 * S, 60 * S, None, False, id="nothing is known of its route"),
+        pytest.param(13 * S, 2 * S, None, True, id="its deadline comes first"),
+        pytest.param(13 * S, 2 * S + 1, None, False, id="its deadline comes too late"),
+        pytest.param(13 * S, 60 * S, 100 * MS, True, id="far deadline, short work"),
+        pytest.param(13 * S, 60 * S, 200 * MS, False, id="far deadline, long work"),
+        pytest.param(14_300 * MS, 800 * MS, 60 * MS, False, id="late in the grace period"),
+        pytest.param(15 * S, 1, 1, False, id="everything is broken off"),
+    ],
+)
+def test_a_request_is_taken_while_it_ends_before_the_break_off(
+    now: int, time_left_us: int, usual_us: int | None, can_finish: bool
+) -> None:
+    assert SHUTDOWN.can_finish(now, time_left_us, 200 * MS, usual_us) is can_finish
+
+
+def test_the_usual_time_is_weighed_with_the_wait_for_a_backend() -> None:
+    usual_us, target_us = 50 * MS, 250 * MS
+    latest = SHUTDOWN.break_off_at - target_us - MAX_WORK_FACTOR * usual_us
+    assert SHUTDOWN.can_finish(latest, 60 * S, target_us, usual_us)
+    assert not SHUTDOWN.can_finish(latest + 1, 60 * S, target_us, usual_us)
+
+
+class Leaving:
+    """A proxy process on the stage's reactor, beside no backend; it offers to the proxies beside the stage's."""
+
+    def __init__(self, stage: Stage, monkeypatch: pytest.MonkeyPatch, grace_s: float) -> None:
+        self.stage = stage
+        listen = {name: Address(LOOPBACK, 0) for name in ("Outgoing", "ControlPort", "ReadyCheck")}
+        own = replace(settings(), ports=(0, 0), listen=listen, bounds={"GracePeriodS": grace_s})
+        monkeypatch.setattr(stage.reactor, "on_signal", lambda number, call: None)
+        self.process = Process(own, stage.reactor)
+        routes = [Stage.route("reads", "read_only", 1), Stage.route("writes", "writes", 2)]
+        self.process._carrier.routes.apply(routes, 2)
+        self.process._carrier.sure = lambda: True
+
+    def knows(self, name: str) -> None:
+        port = self.stage.doors[name].listener.port
+        endpoint = Endpoint(name, 1, 1, LOOPBACK, port, "z", "stock", f"i-{name}", "ready", 4, 0)
+        self.process._carrier.table("stock").told(endpoint, self.stage.reactor.now())
+
+    def sigterm(self) -> None:
+        self.process._terminated()
+
+    def client(self, data: bytes) -> Client:
+        return caller(self.stage, self.process._clients.listener.port, data)
+
+    def after(self, delay_us: int) -> None:
+        passed: list[bool] = []
+        self.stage.reactor.after(delay_us, passed.append, True)
+        self.stage.until(lambda: bool(passed), "the time has passed")
+
+
+def test_a_late_request_is_refused_at_once_and_reaches_no_backend(monkeypatch: pytest.MonkeyPatch) -> None:
+    with stage() as s:
+        backend = s.add("one")
+        backend.script += ["is silent"] * 3
+        leaving = Leaving(s, monkeypatch, grace_s=2.0)
+        leaving.knows("one")
+        leaving.sigterm()
+        leaving.after(1_100 * MS)  # 0.4 s before everything is broken off
+        began = s.reactor.now()
+        client = leaving.client(request("POST", "/writes/a", 1, b"body", left_ms=1000))
+        assert statuses(s, client) == [503] and s.reactor.now() - began < 200 * MS
+        assert not backend.ran
+        assert 0 < float(client.answers[0].header(b"retry-after") or 0) < 0.5
+        assert client.answers[0].header(b"connection") == "close"
+        s.until(lambda: client.over, "the connection ends")
+        assert not client.cut
+
+
+def test_a_late_request_with_a_long_body_is_refused_before_the_body_is_in(monkeypatch: pytest.MonkeyPatch) -> None:
+    with stage() as s:
+        backend = s.add("one")
+        leaving = Leaving(s, monkeypatch, grace_s=2.0)
+        leaving.knows("one")
+        leaving.sigterm()
+        leaving.after(1_100 * MS)
+        data = request("POST", "/writes/a", 1, b"b" * 900_000, left_ms=1000)
+        client = leaving.client(data[:300_000])
+        assert statuses(s, client) == [503] and not backend.ran
+        assert client.answers[0].header(b"connection") == "close"
+
+
+def test_a_late_request_whose_deadline_is_near_is_served(monkeypatch: pytest.MonkeyPatch) -> None:
+    with stage() as s:
+        backend = s.add("one")
+        backend.script += ["answers late"]
+        leaving = Leaving(s, monkeypatch, grace_s=2.0)
+        leaving.knows("one")
+        leaving.sigterm()
+        leaving.after(1_050 * MS)
+        client = leaving.client(request("GET", "/reads/a", 1, left_ms=300))
+        assert statuses(s, client) == [200] and len(backend.ran) == 1
+
+
+def test_what_comes_soon_after_sigterm_is_taken_whatever_its_deadline(monkeypatch: pytest.MonkeyPatch) -> None:
+    with stage() as s:
+        backend = s.add("one")
+        leaving = Leaving(s, monkeypatch, grace_s=2.0)
+        leaving.knows("one")
+        leaving.sigterm()
+        client = leaving.client(request("GET", "/reads/a", 1, left_ms=60_000))
+        assert statuses(s, client) == [200] and len(backend.ran) == 1
+
+
+def test_what_was_taken_in_time_ends_as_it_would(monkeypatch: pytest.MonkeyPatch) -> None:
+    with stage() as s:
+        s.add("one").script += ["answers much later"]
+        leaving = Leaving(s, monkeypatch, grace_s=2.0)
+        leaving.knows("one")
+        client = leaving.client(request("POST", "/writes/a", 1, b"body"))
+        s.until(lambda: len(s.backends["one"].ran) == 1, "the request has come")
+        leaving.sigterm()
+        assert statuses(s, client) == [200]
+        assert client.answers[0].header(b"connection") == "close"
