--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -10,19 +10,19 @@
 from functools import partial
 from typing import Any
 
+from lilacsill.address import Address
 from lilacsill.balancing import interface as q
 from lilacsill.balancing.logic import Balancer
-
-from lilacsill.address import Address
 from lilacsill.clock import Clock
+from lilacsill.http1.message import Headers, Message
+from lilacsill.timers import Timer
+
 from .discovery.listing import Listing
 from .discovery.watch import Discovery
-from lilacsill.http1.message import Headers, Message
 from .inbound.validation import DownstreamRequest
 from .observers import Both, Observer
 from .outbound.attempts import Backends, Exchange
 from .outbound.terms import Result, UpstreamRequest
-from lilacsill.timers import Timer
 from .watermarks import Sink
 
 log = logging.getLogger(__name__)
@@ -56,7 +56,7 @@
         self.listed = asyncio.Event()  # discovery has told of the backends
         self._carriers: dict[type, Callable[[Any], None]] = {
             q.Send: self._send,
-            q.Refuse: self._refuse,
+            q.Reject: self._refuse,
             q.Fail: self._fail,
             q.Cancel: self._cancel,
             q.SetTimer: self._set_timer,
@@ -76,7 +76,7 @@
         """A tenant came, has another quota or is gone; what is in hand for it goes on."""
         self._post(q.TenantChanged(number, about))
 
-    def fleet_changed(self, event: q.FleetChanged | q.HearsayChanged) -> None:
+    def fleet_changed(self, event: q.FleetChanged | q.PeerHealthChanged) -> None:
         """What other agents have told has come to this."""
         self._post(event)
 
@@ -102,18 +102,18 @@
         """One more that hears what this agent sees."""
         self.observer = observer if self.observer is None else Both(self.observer, observer)
 
-    def remember(self, pace: q.PaceKnown) -> None:
+    def remember(self, pace: q.LatencyModelRestored) -> None:
         """What answers took in an earlier life; 0 answers: nothing is known of that."""
         if pace.answers:
             self._post(pace)
 
-    def pace(self) -> q.PaceKnown:
+    def pace(self) -> q.LatencyModelRestored:
         """What answers take, for a later life."""
-        return self._balancer.pace()
+        return self._balancer.latency_model()
 
-    def beliefs(self) -> list[q.ServerBelief]:
+    def beliefs(self) -> list[q.BackendEstimate]:
         """What the module holds true of the backends now."""
-        return self._balancer.beliefs(self._clock.now())
+        return self._balancer.estimates(self._clock.now())
 
     # The application's side
 
@@ -134,7 +134,7 @@
 
     def client_gone(self, call: DownstreamRequest) -> None:
         if self._over(call.number) is not None:
-            self._post(q.ClientGone(call.number))
+            self._post(q.ClientDisconnected(call.number))
 
     def fail_all(self) -> None:
         for number in list(self._in_flight):
@@ -153,7 +153,7 @@
         """The final answer where the module gave none. A failure is always true."""
         if number in self._in_flight:
             self._answer(number, 500, [], b"failed\n")
-            self._post(q.ClientGone(number))
+            self._post(q.ClientDisconnected(number))
 
     def _answer(self, number: int, status: int, headers: Headers, body: bytes) -> None:
         in_flight = self._over(number)
@@ -228,7 +228,7 @@
             self._out[number, attempt] = exchange
 
     def _sending(self, number: int, attempt: int, written: bool) -> None:
-        self._post(q.Uploading(number, attempt, written))
+        self._post(q.UploadChanged(number, attempt, written))
 
     def _begin(self, number: int, attempt: int, answer: Message) -> Sink | None:
         """The answer of this attempt is the client's from now on; no other one, and no deadline, can take its place."""
@@ -262,7 +262,7 @@
             )
         )
 
-    def _refuse(self, a: q.Refuse) -> None:
+    def _refuse(self, a: q.Reject) -> None:
         advice = [("Retry-After", f"{a.retry_after_us / 1e6:.6f}")] if a.retry_after_us else []
         self._answer(a.request, 503, advice, b"refused\n")
 
--- a/lilacsill/agent/config.py
+++ b/lilacsill/agent/config.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import Any
 
-from lilacsill.balancing.interface import Settings
-from lilacsill.balancing.settings import SettingsError, settings_from
-
 from lilacsill.address import Address, parse_address
+from lilacsill.balancing.interface import Settings
+from lilacsill.balancing.settings_parser import SettingsError, parse_settings
 from lilacsill.clock import Clock
+
 from .discovery.listing import Listing, ListingParser
 
 
@@ -79,7 +79,7 @@
         known=parser.parse(doc["known"]),
         parser=parser,
         # The module's own words between balancers are not carried: `lilacsill.agent.peers` talks for the agent.
-        settings=replace(settings_from(facts), can_tell=False),
+        settings=replace(parse_settings(facts), can_message_peers=False),
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
         conn_idle_us=int(allowed["connIdleUs"]),
         admin=parse_address(admin) if admin else None,
--- a/lilacsill/agent/discovery/listing.py
+++ b/lilacsill/agent/discovery/listing.py
@@ -5,12 +5,11 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lilacsill.balancing.interface import Backend, State
-
 from lilacsill.address import Address, parse_address
+from lilacsill.balancing.interface import Backend, BackendState
 from lilacsill.clock import Clock
 
-STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
+STATES = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
 PHASES = {state: phase for phase, state in STATES.items()}
 
 
--- a/lilacsill/agent/inbound/validation.py
+++ b/lilacsill/agent/inbound/validation.py
@@ -8,9 +8,9 @@
 from urllib.parse import parse_qs
 from zlib import crc32
 
-from lilacsill.balancing.interface import Effect, RequestClass, Tenant
-
+from lilacsill.balancing.interface import Idempotency, RequestClass, Tenant
 from lilacsill.http1.message import Headers, Message, Unreadable
+
 from ..watermarks import Sink
 from .upload import Upload
 
@@ -65,7 +65,7 @@
     """Turns a request into a DownstreamRequest, or says what is wrong with it."""
 
     def __init__(self, classes: tuple[RequestClass, ...], tenants: tuple[Tenant, ...]) -> None:
-        self._classes = {c.name.encode(): (i, c.effect) for i, c in enumerate(classes)}
+        self._classes = {c.name.encode(): (i, c.idempotency) for i, c in enumerate(classes)}
         self._tenants = {t.name.encode(): i for i, t in enumerate(tenants)}
 
     def validate(self, request: Message, respond: Respond) -> DownstreamRequest:
@@ -75,14 +75,14 @@
         if not DECISIVE.isdisjoint(request.repeated):
             raise Unreadable(400, "a header is there twice")
         index, effect = self._class(fields)
-        if request.method != (b"GET" if effect is Effect.SAFE else b"POST"):
+        if request.method != (b"GET" if effect is Idempotency.IDEMPOTENT else b"POST"):
             raise Unreadable(400, "method does not fit the class")
         number = fields.get(b"request-id", b"")
         if not _NAME.fullmatch(number):
             raise Unreadable(400, "Request-Id is missing or malformed")
         # Without its key no backend could tell a repeat from a new request.
         key = fields.get(b"idempotency-key")
-        if not _NAME.fullmatch(key or b"") if effect is Effect.KEYED else key is not None:
+        if not _NAME.fullmatch(key or b"") if effect is Idempotency.DEDUPLICATED else key is not None:
             raise Unreadable(400, "Idempotency-Key does not fit the class")
         return DownstreamRequest(
             number,
@@ -99,7 +99,7 @@
             respond,
         )
 
-    def _class(self, fields: dict[bytes, bytes]) -> tuple[int, Effect]:
+    def _class(self, fields: dict[bytes, bytes]) -> tuple[int, Idempotency]:
         found = self._classes.get(fields.get(b"request-class", b""))
         if found is None:
             raise Unreadable(400, "unknown Request-Class")
--- a/lilacsill/agent/outbound/attempts.py
+++ b/lilacsill/agent/outbound/attempts.py
@@ -6,14 +6,14 @@
 import logging
 from collections.abc import Callable
 
-from lilacsill.balancing.interface import Backend, BackendId, Outcome, State
-
+from lilacsill.balancing.interface import Backend, BackendId, BackendState, Outcome
 from lilacsill.clock import Clock
-from ..descriptors import EXHAUSTED
-from ..discovery.listing import Listing, Member
 from lilacsill.http1.message import Message, chunk, request, request_head
 from lilacsill.net.connecting import Connecting
 from lilacsill.timers import Timer
+
+from ..descriptors import EXHAUSTED
+from ..discovery.listing import Listing, Member
 from ..watermarks import Sink
 from .pool import Pool, UpstreamConnection
 from .terms import Begin, Result, Upload, UpstreamRequest, parse_report
@@ -293,9 +293,9 @@
         for member in listing.members:
             backend = member.backend
             old = self._members.pop(backend.id, None)
-            if backend.state is not State.GONE:
+            if backend.state is not BackendState.GONE:
                 self._members[backend.id] = member
-            if old is not None and not (old.same_process(member) and backend.state is State.READY):
+            if old is not None and not (old.same_process(member) and backend.state is BackendState.READY):
                 self.pool.forget(backend.id)
         if listing.complete:
             named = {m.backend.id for m in listing.members}
@@ -318,7 +318,7 @@
 
     def ready(self, backend: BackendId) -> Member | None:
         member = self._members.get(backend)
-        fit = member is not None and member.backend.state is State.READY and backend not in self._out
+        fit = member is not None and member.backend.state is BackendState.READY and backend not in self._out
         return member if fit else None
 
     def exchange(
--- a/lilacsill/agent/peers/channel.py
+++ b/lilacsill/agent/peers/channel.py
@@ -10,8 +10,9 @@
 from typing import Any
 
 from lilacsill.address import Address
-from ..agent import Agent
 from lilacsill.clock import Clock
+
+from ..agent import Agent
 from ..config import Config, ConfigError
 from ..operator.sections import PeersSection
 from .datagram import fleet_id
@@ -33,9 +34,9 @@
         self._section, self._clock = section, clock
         listen = check(config)
         settings = Settings(
-            me=config.settings.me,
+            me=config.settings.balancer_index,
             agents=len(config.peers),
-            told=config.settings.siblings,
+            told=config.settings.balancer_count,
             fleet=fleet_id(section.fleet),
             secrets=secrets(section.secrets_file),
             period_us=section.period_ms * 1000,
@@ -99,9 +100,9 @@
         raise ConfigError("RELAY_CONFIG: peer_listen: missing, and [peers] is enabled")
     if not 1 <= len(config.peers) <= MOST_AGENTS:
         raise ConfigError(f"RELAY_CONFIG: peers: {len(config.peers)} addresses, 1 to {MOST_AGENTS} are allowed")
-    if config.settings.me >= len(config.peers):
+    if config.settings.balancer_index >= len(config.peers):
         raise ConfigError(
-            f"RELAY_CONFIG: settings.me: {config.settings.me} is not among the {len(config.peers)} "
+            f"RELAY_CONFIG: settings.me: {config.settings.balancer_index} is not among the {len(config.peers)} "
             "addresses of peers, which count from 0"
         )
     if len(set(config.peers)) < len(config.peers):
--- a/lilacsill/agent/peers/feed.py
+++ b/lilacsill/agent/peers/feed.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from lilacsill.balancing import interface as q
-
 from lilacsill.clock import Clock
+
 from ..discovery.listing import Listing
 from ..inbound.validation import DownstreamRequest
 from .counts import ATTEMPTS, CROSSINGS, REFUSALS, REQUESTS
@@ -39,8 +39,8 @@
         fleet: Fleet,
         zone: int,
         warm_up_us: int,
-        post: Callable[[q.FleetChanged | q.HearsayChanged], None],
-        beliefs: Callable[[], list[q.ServerBelief]],
+        post: Callable[[q.FleetChanged | q.PeerHealthChanged], None],
+        beliefs: Callable[[], list[q.BackendEstimate]],
     ) -> None:
         self._clock, self._fleet, self._zone, self._warm_up = clock, fleet, zone, warm_up_us
         self._post, self._beliefs = post, beliefs
@@ -51,7 +51,7 @@
         self._bad = False  # something went wrong since the last look
         self._looked_at = 0
         self._told: tuple[int, float, int, float] | None = None
-        self._hearsay: dict[str, q.HearsayChanged] = {}
+        self._hearsay: dict[str, q.PeerHealthChanged] = {}
         self._lines, self._minute, self._unsaid = 0, 0, 0
         self.takes_part = False  # the channel is open
         self.wake: Callable[[], None] = lambda: None  # of the channel: what is then to be sent goes out
@@ -92,7 +92,7 @@
             self._started.clear()
         for m in listing.members:
             name = str(m.backend.id)
-            if m.backend.state is q.State.GONE:
+            if m.backend.state is q.BackendState.GONE:
                 self._zones.pop(name, None)
                 self._started.pop(name, None)
             else:
@@ -117,7 +117,7 @@
 
     def _look(self, now: int) -> None:
         self._bad = False
-        self._ill = {str(b.backend) for b in self._beliefs() if not b.admitted}
+        self._ill = {str(b.backend) for b in self._beliefs() if not b.healthy}
         if self._ill or self._fleet.judgements.claims:
             self._fleet.ill(self._ill, now, ILL_LASTS_US)
         cold = any(s and now - s < self._warm_up for s in self._started.values())
@@ -137,16 +137,16 @@
             self._post(q.FleetChanged(*told))
         if not self._hearsay and not self._fleet.judgements.standing:
             return  # nearly always
-        heard: dict[str, q.HearsayChanged] = {}
+        heard: dict[str, q.PeerHealthChanged] = {}
         for h in self._fleet.hearsay(now):
-            event = heard[h.backend] = q.HearsayChanged(h.backend, h.excluded, h.seen_at, h.until)
+            event = heard[h.backend] = q.PeerHealthChanged(h.backend, h.excluded, h.seen_at, h.until)
             before = self._hearsay.get(h.backend)
             if before != event:
                 self._post(event)
-            if before is None or before.excluded != event.excluded:
+            if before is None or before.ejected != event.ejected:
                 self._fleet.acted(now, h)
         for name in self._hearsay.keys() - heard.keys():
-            self._post(q.HearsayChanged(name, False, 0, 0))
+            self._post(q.PeerHealthChanged(name, False, 0, 0))
         self._hearsay = heard
 
     # The log
--- a/lilacsill/agent/recorder/ring.py
+++ b/lilacsill/agent/recorder/ring.py
@@ -10,9 +10,9 @@
 from pathlib import Path
 from typing import BinaryIO
 
-from lilacsill.balancing.interface import BackendId, Outcome, ServerBelief, Settings
-
+from lilacsill.balancing.interface import BackendEstimate, BackendId, Outcome, Settings
 from lilacsill.clock import Clock
+
 from ..discovery.listing import Listing
 from ..inbound.validation import DownstreamRequest
 from . import format as form
@@ -34,7 +34,7 @@
         name: str,
         settings: Settings,
         clock: Clock,
-        beliefs: Callable[[], list[ServerBelief]] | None = None,
+        beliefs: Callable[[], list[BackendEstimate]] | None = None,
         beliefs_every_us: int = 0,
     ) -> None:
         """`beliefs` is asked at refusals, at most every `beliefs_every_us`; 0: never."""
@@ -91,12 +91,12 @@
                     [
                         [
                             str(b.backend),
-                            b.open,
-                            round(b.ghosts, 2),
-                            round(b.others, 2),
-                            b.age_us // 1000 if b.age_us >= 0 else -1,
-                            round(b.pace_us / 1000, 2),
-                            int(b.admitted),
+                            b.in_flight,
+                            round(b.abandoned, 2),
+                            round(b.other_load, 2),
+                            -1 if b.report_age_us is None else b.report_age_us // 1000,
+                            round(b.service_time_us / 1000, 2),
+                            int(b.healthy),
                         ]
                         for b in self._beliefs()
                     ],
--- a/lilacsill/agent/recovery/room.py
+++ b/lilacsill/agent/recovery/room.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from lilacsill.balancing import interface as q
-
 from lilacsill.clock import Clock
+
 from ..config import Config
 from ..discovery.listing import Listing
 from ..inbound.validation import DownstreamRequest
@@ -40,7 +40,7 @@
         self.life = max(time.time_ns() // 1_000_000, self.start.life + 1)
         self.phases = Phases(clock.now())
         self._learned = Learned(config.parser.word)
-        self._pace: Callable[[], q.PaceKnown] = lambda: q.PaceKnown(0, 0, 0)
+        self._pace: Callable[[], q.LatencyModelRestored] = lambda: q.LatencyModelRestored(0, 0, 0)
         self._out: Callable[[], frozenset[str]] = frozenset
         self._saved: State | None = None  # as it was written last, but for times and pace
         self._due = False  # a save is planned
@@ -63,12 +63,14 @@
         now = Now(time.time_ns() // 1_000_000, self._boot, self._clock.now())
         return begin(config.known, state, parsed, now)
 
-    def known_pace(self) -> q.PaceKnown:
+    def known_pace(self) -> q.LatencyModelRestored:
         """For the module: it bounds what backends that may be cold can teach for as long as they may be so."""
         p = self.start.pace
-        return q.PaceKnown(p.pace_us, p.typical_us, p.answers, self._clock.now() + self.config.settings.warm_up_us)
+        return q.LatencyModelRestored(
+            p.pace_us, p.typical_us, p.answers, self._clock.now() + self.config.settings.warm_up_us
+        )
 
-    def follow(self, pace: Callable[[], q.PaceKnown], out: Callable[[], frozenset[str]]) -> None:
+    def follow(self, pace: Callable[[], q.LatencyModelRestored], out: Callable[[], frozenset[str]]) -> None:
         """Where to ask for what only others know: the module's pace, and who is out by operators."""
         self._pace, self._out = pace, out
         s = self.start
@@ -135,7 +137,7 @@
             self.life,
             self._learned.revision,
             list(self._learned.members.values())[:MOST_MEMBERS],
-            Pace(pace.pace_us, pace.typical_us, pace.answers),
+            Pace(pace.service_time_us, pace.typical_latency_us, pace.answers),
             sorted(self._out()),
         )
 
--- a/lilacsill/agent/recovery/trust.py
+++ b/lilacsill/agent/recovery/trust.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from lilacsill.balancing.interface import State as Serving
+from lilacsill.balancing.interface import BackendState as Serving
 
 from ..discovery.listing import Listing, Member
 from .state import Pace, SavedMember, State
--- a/lilacsill/agent/run.py
+++ b/lilacsill/agent/run.py
@@ -11,15 +11,15 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING, Any
 
-from lilacsill.balancing.interface import Discovery as DiscoveryMode
+from lilacsill.balancing.interface import DiscoveryMode
 from lilacsill.balancing.logic import Balancer
+from lilacsill.clock import Clock
 
 from . import descriptors
 from .admission.gate import Gate
 from .admission.ledger import Ledger
 from .admission.settings import AdmissionSettings, Budget, Timeouts
 from .agent import Agent
-from lilacsill.clock import Clock
 from .config import Config, ConfigError, load_again
 from .descriptors import EXHAUSTED, SharedLimit, Spare
 from .discovery.watch import Discovery
@@ -122,7 +122,7 @@
     # Where a listener is handed on another process may come at any time, under the same limit.
     marks = Watermarks(budget_of(config.memory_mb, 1 if config.listen_fd is None else 2))
     validator = RequestValidator(settings.classes, settings.tenants)
-    most_advice_s = settings.max_retry_after_us / 1e6 if settings.retry_after else 0.0
+    most_advice_s = settings.max_retry_after_us / 1e6 if settings.can_advise_retry else 0.0
     server = Server(validator, most_advice_s, agent, gate, clock, spare, pool, limit, budget.refusing, marks, sweep_s)
     pool.downstream_makes_way = server.make_way_for_upstream
     pool.short_of_descriptors = server.short_of_descriptors
--- a/lilacsill/balancing/logic/admission.py
+++ b/lilacsill/balancing/logic/admission.py
@@ -1,16 +1,17 @@
-"""Admission: whether a request is worth a try now, is held, or is given up."""
+"""AdmissionControl: whether a request is worth a try now, is held, or is given up."""
 
 from __future__ import annotations
 
 from itertools import islice
 
 from ..interface import RequestArrived
+from ..interface.checks import require
 from ..mechanisms.majority import usual
-from .asking import Asking
-from .attempts import RETRY_BURST, RETRY_SHARE, Attempts
-from .entities import ASK_PAIRS, SECOND, Request
+from .attempts import RETRY_BURST, RETRY_SHARE, AttemptManager
+from .load_probing import LoadProber
+from .records import ASK_PAIRS, SECOND, Request
 from .sampling import Sampler
-from .shares import TenantShares
+from .tenant_quotas import TenantQuotas
 
 HOLD_US = SECOND // 50  # a held request is looked at this often
 WAITING = 2.0  # requests that all balancers together may hold for each server while all are busy
@@ -19,10 +20,10 @@
 IN_TIME = 1.5  # and held while so many typical latencies are left to its aim
 
 
-class Admission:
+class AdmissionControl:
     """Takes requests in, and looks at those again that have no attempt out."""
 
-    def __init__(self, sampler: Sampler, asking: Asking, attempts: Attempts, shares: TenantShares) -> None:
+    def __init__(self, sampler: Sampler, asking: LoadProber, attempts: AttemptManager, shares: TenantQuotas) -> None:
         self.core, self.sampler, self.asking = sampler.core, sampler, asking
         self.attempts, self.shares, self.table = attempts, shares, sampler.table
         self.windowed: dict[int, Request] = {}  # held by the slow start, oldest first
@@ -33,17 +34,24 @@
 
     def arrived(self, e: RequestArrived) -> None:
         now = self.core.now
-        self.core.settings.check(e, e.request in self.attempts.requests, self.shares.knows(e.tenant))
-        size = self.table.size_of(e.cost_us)
+        self._validate(e)
+        size = self.table.size_of(e.cost_hint_us)
         r = Request(e, self.core.settings.classes[e.request_class], now, self.core.rng.random(), size)
         self.attempts.requests[e.request] = r
         self.attempts.budget = min(RETRY_BURST, self.attempts.budget + RETRY_SHARE)
         # A retry has lost part of its time to the aim unseen: served before first tries it came late. So has
         # one that the caller did not read while it stood still, and one with less patience than is usual.
-        spent = e.patience_us < usual(self.patience.setdefault(e.request_class, [0, 0]), e.patience_us)
+        spent = e.timeout_us < usual(self.patience.setdefault(e.request_class, [0, 0]), e.timeout_us)
         r.gives_way = self.shares.over(e.tenant, now) or e.is_retry or spent or self.core.waited_unread()
         self.advance(r)
 
+    def _validate(self, e: RequestArrived) -> None:
+        """Raise a ValueError for a request that contradicts the settings, before anything is done for it."""
+        classes = len(self.core.settings.classes)
+        require(0 <= e.request_class < classes, "request_class", f"no class {e.request_class}")
+        require(self.shares.knows(e.tenant), "tenant", f"no tenant {e.tenant}")
+        require(e.request not in self.attempts.requests, "request", f"{e.request} is already open")
+
     def advance(self, r: Request) -> None:
         """Send the request where it may go; hold, refuse or fail it where it may not."""
         now = self.core.now
@@ -120,7 +128,7 @@
 
     def _left(self, r: Request) -> int:
         """Time in which an answer is still worth something, and can be given."""
-        return (r.deadline if r.cls.late_worth else r.aim_at) - self.core.now - self.core.margin
+        return (r.deadline if r.cls.late_value else r.aim_at) - self.core.now - self.core.margin
 
     def _held(self, r: Request) -> None:
         self.windowed.pop(r.id, None)
--- a/lilacsill/balancing/logic/homes.py
+++ b/lilacsill/balancing/logic/affinity.py
@@ -1,4 +1,4 @@
-"""Homes: the servers that requests about one thing sample first, the same at every balancer.
+"""AffinityMap: the servers that requests about one thing sample first, the same at every balancer.
 
 A server that has just worked for a key does less work for it. Two uniform samples drawn by the key in
 place of the request keep that, and bands still choose between them (Nasir et al., ICDE 2015).
@@ -9,13 +9,13 @@
 from heapq import nlargest
 
 from ..mechanisms.rendezvous import score
-from .entities import Server
+from .records import Server
 
 HOMES = 3  # of a key; the third stands in for one that may not be sampled
 KEYS = 4096  # remembered; one that is not costs a look at the whole list
 
 
-class Homes:
+class AffinityMap:
     """Rendezvous hashing (Thaler and Ravishankar, 1998): who leaves or comes moves only its own keys."""
 
     def __init__(self) -> None:
--- a/lilacsill/balancing/logic/attempts.py
+++ b/lilacsill/balancing/logic/attempts.py
@@ -6,14 +6,14 @@
 from itertools import islice
 
 from .. import interface as q
-from .core import Core
-from .entities import Request, Server
-from .evidence import tells_full
-from .health import FAST
-from .peers import Peers
+from .concurrency_window import ConcurrencyWindow
+from .context import Core
+from .outcomes import tells_full
+from .outlier_detection import FAST
+from .peer_reports import PeerReports
+from .records import Request, Server
 from .sampling import Sampler
-from .shares import TenantShares
-from .slow_start import SlowStart
+from .tenant_quotas import TenantQuotas
 
 OVERDUE = 2.0  # an attempt out for so many typical latencies is asked about,
 LOOKS = 16  # for so many of the oldest requests in hand
@@ -23,10 +23,10 @@
 RETRY_SHARE, RETRY_BURST = 0.15, 10.0  # repeats that may load the servers, as a share of first tries
 
 
-class Attempts:
+class AttemptManager:
     """The requests in hand, by id."""
 
-    def __init__(self, core: Core, sampler: Sampler, peers: Peers, shares: TenantShares) -> None:
+    def __init__(self, core: Core, sampler: Sampler, peers: PeerReports, shares: TenantQuotas) -> None:
         self.core, self.sampler, self.peers, self.shares = core, sampler, peers, shares
         self.table, self.health, self.cold = sampler.table, sampler.health, sampler.cold
         self.requests: dict[int, Request] = {}
@@ -34,7 +34,7 @@
         self.budget, self._beating = RETRY_BURST, False
         self.room: Callable[[], None]  # an attempt has ended; admission sets it
         self.look_again: Callable[[Server], None]  # asking sets it
-        self.start = SlowStart(core.settings.siblings)
+        self.start = ConcurrencyWindow(core.settings.balancer_count)
         self.advance: Callable[[Request], None]  # what becomes of one whose attempt failed; admission sets it
 
     def send(self, r: Request, s: Server, load: float) -> None:
@@ -49,7 +49,11 @@
         if not self._beating:
             self.core.beat(self._beats)
         self.core.actions.append(q.Send(r.id, s.id, max(1, r.deadline - now - self.core.margin)))
-        if r.cls.effect is not q.Effect.UNSAFE and self.table.typical and self.core.settings.second_copies:
+        if (
+            r.cls.idempotency is not q.Idempotency.NOT_IDEMPOTENT
+            and self.table.typical
+            and self.core.settings.can_hedge
+        ):
             at = now + int(3 * self.table.typical)
             if at + self.table.typical < r.aim_at:
                 self.core.later(at, self._overdue, (r, attempt))
@@ -67,7 +71,7 @@
         """Whether an attempt is overdue, and another one could still be made in its place."""
         typical, now = self.table.typical, self.core.now
         overdue = now - sent > OVERDUE * typical > 0 and now + typical < r.aim_at and not r.done
-        return overdue and r.cls.effect is not q.Effect.UNSAFE and self.core.settings.can_cancel
+        return overdue and r.cls.idempotency is not q.Idempotency.NOT_IDEMPOTENT and self.core.settings.can_cancel
 
     def missing(self, s: Server, held: float, asked_at: int) -> None:
         """A server that holds fewer than are out to it has ended one without an answer that could be read.
@@ -112,7 +116,7 @@
         self.shares.learn(len(s.open) + 1, max(0.0, s.others))
         if e.outcome in q.NEVER_RAN:
             r.may_have_run = [m for m in r.may_have_run if m[0] != e.attempt]
-        if e.finished and not r.done:
+        if e.is_answered and not r.done:
             self._drop(r)
         if r.done and not r.out:
             self.requests.pop(r.id, None)
@@ -126,7 +130,7 @@
             self.advance(r)
         self.room()
 
-    def streaming(self, e: q.StreamStarted | q.Uploading) -> None:
+    def streaming(self, e: q.StreamStarted | q.UploadChanged) -> None:
         """While its request is written, and while its answer streams, an attempt is no work for a server."""
         r = self.requests.get(e.request)
         if r is None or e.attempt not in r.out:
@@ -137,12 +141,12 @@
         if isinstance(e, q.StreamStarted):
             r.done, s.answered_at = True, now
             self._cancel(r, but=e.attempt)
-        elif e.written:
+        elif e.complete:
             self.start.sent(now)
             s.open[key], r.out[e.attempt] = now, (s, now, r.out[e.attempt][2])
         self.room()
 
-    def gone(self, e: q.ClientGone) -> None:
+    def gone(self, e: q.ClientDisconnected) -> None:
         r = self.requests.get(e.request)
         if r is not None and not r.done:
             self._drop(r)
@@ -150,8 +154,8 @@
     def finish(self, r: Request) -> None:
         """Give the one final answer."""
         advice = min(int(ADVICE * self.table.typical), self.core.settings.max_retry_after_us)
-        advice *= self.core.settings.retry_after
-        self.core.actions.append(q.Refuse(r.id, advice) if r.may_refuse() else q.Fail(r.id))
+        advice *= self.core.settings.can_advise_retry
+        self.core.actions.append(q.Reject(r.id, advice) if r.may_refuse() else q.Fail(r.id))
         self._drop(r)
 
     def _drop(self, r: Request) -> None:
--- a/lilacsill/balancing/logic/balancer.py
+++ b/lilacsill/balancing/logic/balancer.py
@@ -7,18 +7,18 @@
 from typing import Any
 
 from .. import interface as q
-from .admission import Admission
-from .asking import Asking
-from .attempts import Attempts
-from .cold import ColdBudget
-from .core import Core
-from .entities import Server
-from .health import Health
+from .admission import AdmissionControl
+from .attempts import AttemptManager
+from .context import Core
+from .load_probing import LoadProber
 from .load_table import LoadTable
 from .membership import Membership
-from .peers import Peers
+from .outlier_detection import OutlierDetector
+from .peer_reports import PeerReports
+from .records import Server
 from .sampling import Sampler
-from .shares import TenantShares
+from .tenant_quotas import TenantQuotas
+from .warm_up_budget import WarmUpBudget
 
 
 class Balancer:
@@ -28,29 +28,29 @@
         self.core = core = Core(settings, seed)
         self.table = LoadTable(settings)
         self.members = Membership(core)
-        health = Health(core.rng, core.log, settings.siblings)
-        cold = ColdBudget(settings, Random(~seed))
+        health = OutlierDetector(core.rng, core.log, settings.balancer_count)
+        cold = WarmUpBudget(settings, Random(~seed))
         self.sampler = Sampler(self.members, self.table, health, cold)
-        peers = Peers(core, self.members, self.table, self.sampler.tells)
-        shares = TenantShares(settings)
-        self.attempts = Attempts(core, self.sampler, peers, shares)
-        asking = Asking(core, self.members, self.sampler)
-        admission = Admission(self.sampler, asking, self.attempts, shares)
+        peers = PeerReports(core, self.members, self.table, self.sampler.tells)
+        shares = TenantQuotas(settings)
+        self.attempts = AttemptManager(core, self.sampler, peers, shares)
+        asking = LoadProber(core, self.members, self.sampler)
+        admission = AdmissionControl(self.sampler, asking, self.attempts, shares)
         self._handlers: dict[type, Callable[[Any], None]] = {
             q.BackendsChanged: self._listed,
             q.MaintenanceChanged: self._listed,
             q.TenantChanged: shares.changed,
             q.RequestArrived: admission.arrived,
             q.StreamStarted: self.attempts.streaming,
-            q.Uploading: self.attempts.streaming,
+            q.UploadChanged: self.attempts.streaming,
             q.AttemptEnded: self.attempts.ended,
-            q.ClientGone: self.attempts.gone,
+            q.ClientDisconnected: self.attempts.gone,
             q.TimerFired: core.timer,
             q.ProbeEnded: asking.probed,
-            q.PeerMessage: peers.told,
+            q.PeerMessageReceived: peers.told,
             q.FleetChanged: self._fleet,
-            q.HearsayChanged: self._hearsay,
-            q.PaceKnown: self.table.remember,
+            q.PeerHealthChanged: self._hearsay,
+            q.LatencyModelRestored: self.table.remember,
         }
 
     def handle(self, now: int, event: q.Event) -> list[q.Action]:
@@ -62,26 +62,26 @@
         handler(event)
         return self.core.actions
 
-    def beliefs(self, now: int) -> list[q.ServerBelief]:
+    def estimates(self, now: int) -> list[q.BackendEstimate]:
         """What is held true of each backend that may get new work, for those who explain refusals."""
         return [self._belief(s, now) for s in self.members.ready]
 
-    def _belief(self, s: Server, now: int) -> q.ServerBelief:
+    def _belief(self, s: Server, now: int) -> q.BackendEstimate:
         age, admits = now - s.heard_at, self.sampler.health.admits(s, now, self.table.typical)
         ghosts, others = s.ghosts.at(now), self.table.others(s, now)
-        return q.ServerBelief(s.id, len(s.open), ghosts, others, age if s.heard_at else -1, s.pace, admits)
+        return q.BackendEstimate(s.id, len(s.open), ghosts, others, age if s.heard_at else None, s.pace, admits)
 
-    def pace(self) -> q.PaceKnown:
+    def latency_model(self) -> q.LatencyModelRestored:
         """What a later life may begin with."""
-        return q.PaceKnown(self.table.pace, self.table.typical, self.table.answers)
+        return q.LatencyModelRestored(self.table.pace, self.table.typical, self.table.answers)
 
     def _fleet(self, e: q.FleetChanged) -> None:
-        self.core.siblings = self.attempts.start.siblings = e.siblings
-        self.sampler.among(e.siblings)
-        self.sampler.health.among(e.siblings)
+        self.core.siblings = self.attempts.start.siblings = e.balancer_count
+        self.sampler.among(e.balancer_count)
+        self.sampler.health.among(e.balancer_count)
         self.sampler.cold.granted(e, self.core.now)
 
-    def _hearsay(self, e: q.HearsayChanged) -> None:
+    def _hearsay(self, e: q.PeerHealthChanged) -> None:
         s = self.members.servers.get(e.backend)
         if s is not None:
             s.told = e
--- a/lilacsill/balancing/logic/slow_start.py
+++ b/lilacsill/balancing/logic/concurrency_window.py
@@ -10,7 +10,7 @@
 STALLED = 8.0  # no answer for this many typical latencies with the window's worth out: begin again
 
 
-class SlowStart:
+class ConcurrencyWindow:
     """A window on this balancer's attempts out; open without end once paces are learned."""
 
     def __init__(self, siblings: int) -> None:
--- a/lilacsill/balancing/logic/core.py
+++ b/lilacsill/balancing/logic/context.py
@@ -6,8 +6,8 @@
 from random import Random
 from typing import Any
 
-from ..interface import Action, Log, Settings, SetTimer, TimerFired
-from ..mechanisms.due import DueQueue
+from ..interface import Action, Log, SetTimer, Settings, TimerFired
+from ..mechanisms.deadline_queue import DeadlineQueue
 
 BEAT_US = 10_000  # while attempts are out a timer is due at least this often,
 STALL_US = 10_000  # and one that is handed in later than this tells that the caller stood still,
@@ -20,15 +20,15 @@
     """One event at a time: `begin` it, let the rooms act, take `actions`."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.rng, self.siblings = settings, Random(seed), settings.siblings
+        self.settings, self.rng, self.siblings = settings, Random(seed), settings.balancer_count
         self.now = 0
         self.stood_at = self.stood_us = 0  # when the caller went on after standing still, and for how long
         self.lag_us = 0.0  # how late timers are handed in, smoothed
         self.actions: list[Action] = []
-        self._due = DueQueue()
-        # Attempts and waits end two rounds before the client's time is up, or in the first half of the slack:
+        self._due = DeadlineQueue()
+        # AttemptManager and waits end two rounds before the client's time is up, or in the first half of the slack:
         # the answer is given in the round after.
-        self.margin = max(0, 2 * settings.tick_us - settings.answer_slack_us // 2)
+        self.margin = max(0, 2 * settings.tick_us - settings.answer_grace_us // 2)
 
     def begin(self, now: int) -> None:
         # A timer due long ago and handed in only now, or not yet: the caller stood still, and what it
--- a/lilacsill/balancing/logic/asking.py
+++ b/lilacsill/balancing/logic/load_probing.py
@@ -1,17 +1,17 @@
-"""Asking: both samples of a request tell their load before they are compared, where that is cheap."""
+"""LoadProber: both samples of a request tell their load before they are compared, where that is cheap."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 
 from ..interface import Outcome, Probe, ProbeEnded
-from .core import Core
-from .entities import Request, Server
+from .context import Core
 from .membership import Membership
+from .records import Request, Server
 from .sampling import Sampler
 
 
-class Asking:
+class LoadProber:
     """Probes out, and the requests that wait for their echoes."""
 
     def __init__(self, core: Core, members: Membership, sampler: Sampler) -> None:
--- a/lilacsill/balancing/logic/load_table.py
+++ b/lilacsill/balancing/logic/load_table.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..interface import AttemptEnded, Outcome, PaceKnown, Settings
-from .entities import SECOND, Server
-from .evidence import AT_ONCE, LEAVES_WORK
+from ..interface import AttemptEnded, LatencyModelRestored, Outcome, Settings
+from .outcomes import AT_ONCE, LEAVES_WORK
+from .records import SECOND, Server
 
 FRESH_US = SECOND  # a report this young counts in full; older ones fade to the mean as FRESH_US / age
 GAIN, SERVICE_GAIN = 0.1, 0.3  # weight of a new sample in smoothed figures; in those the server has smoothed
@@ -31,7 +31,7 @@
         self.pace = 0.0  # fleet: time per unit of load
         self.typical = 0.0  # fleet: latency of answers
         self.answers = self.stood_at = 0
-        self.known = PaceKnown(0.0, 0.0, 0)  # from before
+        self.known = LatencyModelRestored(0.0, 0.0, 0)  # from before
 
     def look(self, servers: list[Server], now: int, stood_at: int) -> None:
         """What the entries come to in the mean. `stood_at`: waiting before that was the caller's own."""
@@ -68,10 +68,10 @@
         if asked_at >= s.ghosts.since:
             s.ghosts.clear()
 
-    def remember(self, e: PaceKnown) -> None:
+    def remember(self, e: LatencyModelRestored) -> None:
         """Else cold servers that nobody calls so teach a pace that refuses all."""
-        if not self.answers and e.pace_us:
-            self.pace, self.typical, self.answers, self.known = e.pace_us, e.typical_us, e.answers, e
+        if not self.answers and e.service_time_us:
+            self.pace, self.typical, self.answers, self.known = e.service_time_us, e.typical_latency_us, e.answers, e
 
     def works(self, s: Server, service_ms: float) -> None:
         """Learn from a reported service time, waiting left out, how fast a server works."""
@@ -125,7 +125,7 @@
             self.typical += gain * (latency - self.typical)
             # Of a warm one: a young fleet is not a slow one.
             pace = s.warmth * latency / load_at_send
-            most = SLOWER * self.known.pace_us if now < self.known.until else pace
+            most = SLOWER * self.known.service_time_us if now < self.known.capped_until_us else pace
             self.pace += gain * (min(pace, most) - self.pace)
         half_us = min(FADE_US, int(FADE * self.typical) or FADE_US)
         if e.outcome in LEAVES_WORK:
--- a/lilacsill/balancing/logic/membership.py
+++ b/lilacsill/balancing/logic/membership.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from ..interface import BackendId, BackendsChanged, Discovery, ListKind, MaintenanceChanged, State, Watch
-from .core import Core
-from .entities import SECOND, Server
+from ..interface import BackendId, BackendsChanged, BackendState, DiscoveryMode, ListKind, MaintenanceChanged, Watch
+from .context import Core
+from .records import SECOND, Server
 
 # Discovery takes its callers in turn. Forty that all began at once and came back within two seconds kept it
 # full by failing: for 15 s few heard anything. So they spread, and back off to what it can bear.
@@ -23,7 +23,7 @@
         self.out: set[BackendId] = set()  # by operators
         self.back: dict[BackendId, int] = {}  # when that last changed; who comes back is cold
         self.watching = self.watch_planned = False
-        self.spread_us = min((core.settings.siblings - 1) * CALL_US, WATCH_MAX_US // 2)
+        self.spread_us = min((core.settings.balancer_count - 1) * CALL_US, WATCH_MAX_US // 2)
         self.watch_wait = self.watch_first = max(WATCH_MIN_US, self.spread_us)
 
     def changed(self, e: BackendsChanged) -> bool:
@@ -48,25 +48,25 @@
             named = {b.id for b in e.backends}
             for server in self.servers.values():
                 if server.id not in named:
-                    server.state = State.GONE
-        if self.core.settings.discovery is Discovery.ASK and not self.watching:
+                    server.state = BackendState.GONE
+        if self.core.settings.discovery is DiscoveryMode.POLL and not self.watching:
             first = e.kind is ListKind.CACHED and self.spread_us
             self._watch_in(int(self.spread_us * self.core.rng.random()) if first else 0)
         return self._settle()
 
     def maintained(self, e: MaintenanceChanged) -> bool:
-        if e.out != (e.backend in self.out):
-            (self.out.add if e.out else self.out.remove)(e.backend)
+        if e.in_maintenance != (e.backend in self.out):
+            (self.out.add if e.in_maintenance else self.out.remove)(e.backend)
             self.back[e.backend] = now = self.core.now
             s = self.servers.get(e.backend)
             if s is not None:
-                s.out, s.back_at = e.out, now
+                s.out, s.back_at = e.in_maintenance, now
                 s.reset(now)  # what is known is of the process before, and lists tell of the next one late
         return self._settle()
 
     def _settle(self) -> bool:
         """Drop who is gone: ids are ever new. One with attempts or askers out goes when they have ended."""
-        kept = [s for s in self.servers.values() if s.state is not State.GONE or s.open or s.askers]
+        kept = [s for s in self.servers.values() if s.state is not BackendState.GONE or s.open or s.askers]
         self.servers = {s.id: s for s in kept}
         self.ready = [s for s in self.servers.values() if s.serves]
         self.tags = {s.tag: s for s in self.servers.values()}
--- a/lilacsill/balancing/logic/health.py
+++ b/lilacsill/balancing/logic/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Health: who looks ill, and for how long."""
+"""OutlierDetector: who looks ill, and for how long."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from random import Random
 
 from ..interface import Outcome
-from .entities import SECOND, Server, name_of
 from .load_table import GAIN
+from .records import SECOND, Server, name_of
 
 SILENT = 5  # no answer for this many typical latencies, with attempts out, is silence
 OUT_FIRST_US, OUT_MAX_US = SECOND // 2, 4 * SECOND  # exclusion from sampling, doubled each time
@@ -16,7 +16,7 @@
 TRIALS = 8  # readmission: at most this many attempts out at once before all limits fall
 
 
-class Health:
+class OutlierDetector:
     """Which servers are left out of sampling, on strong evidence only, and how they come back."""
 
     def __init__(self, rng: Random, log: Callable[[str], None], siblings: int) -> None:
@@ -57,7 +57,7 @@
             s.failing += GAIN * (1.0 - s.failing)
             s.streak += 1
             # Where others found it ill this was the look that decides.
-            looked_at = s.allowance > 0 or s.told.until > now
+            looked_at = s.allowance > 0 or s.told.expires_at_us > now
             cut = outcome is Outcome.RESET or outcome is Outcome.CONNECT_FAILED
             at_once = cut or (fast and outcome is Outcome.ERROR and self.rarely > 1.0)
             if looked_at or at_once or s.streak >= 3 or (s.streak >= 2 and s.failing > 0.3):
--- a/lilacsill/balancing/logic/peers.py
+++ b/lilacsill/balancing/logic/peer_reports.py
@@ -1,14 +1,14 @@
-"""Peers: what balancers tell each other of reports, where they may."""
+"""PeerReports: what balancers tell each other of reports, where they may."""
 
 from __future__ import annotations
 
 from struct import Struct
 
-from ..interface import PeerMessage, Settings, Tell
-from .core import Core
-from .entities import Server
+from ..interface import PeerMessageReceived, SendPeerMessage, Settings
+from .context import Core
 from .load_table import LoadTable
 from .membership import Membership
+from .records import Server
 
 PEER_SPEND, PEERS_MOST = 0.005, 32  # the most of the goal that telling may cost, and how many at once
 NOTE = Struct(">IHH")  # what peers are told: a backend's tag, what it holds, its service time in ms
@@ -16,14 +16,14 @@
 
 def peers_told(settings: Settings, column: int) -> int:
     """How many peers are told of each report."""
-    if not settings.can_tell or column < 0:
+    if not settings.can_message_peers or column < 0:
         return 0
     price = settings.prices.peer
     bought = int(PEER_SPEND * 256 / (price * NOTE.size)) if price else PEERS_MOST
-    return min(settings.siblings - 1, PEERS_MOST, bought)
+    return min(settings.balancer_count - 1, PEERS_MOST, bought)
 
 
-class Peers:
+class PeerReports:
     """Messages to and from other balancers."""
 
     def __init__(self, core: Core, members: Membership, table: LoadTable, tells: int) -> None:
@@ -34,10 +34,10 @@
         numbers = (max(0, min(0xFFFF, round(x))) for x in (held, s.service))
         note = NOTE.pack(s.tag, *numbers)
         for _ in range(round(self.tells * min(1.0, self.table.mean / 2))):
-            peer = int(self.core.rng.random() * (self.core.settings.siblings - 1))
-            self.core.actions.append(Tell(peer + (peer >= self.core.settings.me), note))
+            peer = int(self.core.rng.random() * (self.core.settings.balancer_count - 1))
+            self.core.actions.append(SendPeerMessage(peer + (peer >= self.core.settings.balancer_index), note))
 
-    def told(self, e: PeerMessage) -> None:
+    def told(self, e: PeerMessageReceived) -> None:
         """What peers say may be lost, late or wrong: it sets entries of the load table and nothing else."""
         if len(e.payload) == NOTE.size:
             tag, held, service_ms = NOTE.unpack(e.payload)
--- a/lilacsill/balancing/logic/entities.py
+++ b/lilacsill/balancing/logic/records.py
@@ -4,8 +4,17 @@
 
 from zlib import crc32
 
-from ..mechanisms.fading import Fading
-from ..interface import Backend, BackendId, Effect, Group, HearsayChanged, RequestArrived, RequestClass, State
+from ..interface import (
+    Backend,
+    BackendId,
+    BackendState,
+    DedupScope,
+    Idempotency,
+    PeerHealthChanged,
+    RequestArrived,
+    RequestClass,
+)
+from ..mechanisms.decay import DecayingWeight
 
 SECOND = 1_000_000
 ASK_PAIRS = 4  # pairs asked for one request before it is given up as hopeless
@@ -29,7 +38,7 @@
 
     @property
     def serves(self) -> bool:
-        return self.state is State.READY and not self.out
+        return self.state is BackendState.READY and not self.out
 
     def own(self, now: int) -> float:
         """Own attempts out, and what is left of those that may run on though they have ended here."""
@@ -39,24 +48,27 @@
         """Forget what was learned of an earlier process."""
         self.news_at = now  # when it was last heard of in any way
         self.pace = self.warmth = 1.0  # as of the last look at the table
-        self.ghosts, self.bounced = Fading(), Fading()  # the second: ended at once, which makes nobody light
+        self.ghosts, self.bounced = (
+            DecayingWeight(),
+            DecayingWeight(),
+        )  # the second: ended at once, which makes nobody light
         self.others = self.service = self.latency = self.load = self.failing = 0.0
         self.heard_at = self.answered_at = self.ended_at = self.sent_at = self.samples = self.streak = 0
         self.out_until = self.out_us = self.allowance = 0  # allowance 0: no limit
-        self.told = HearsayChanged(self.id, False, 0, 0)  # by others
+        self.told = PeerHealthChanged(self.id, False, 0, 0)  # by others
 
 
 class Request:
     """A request this balancer has taken, until its answer is given and its attempts have ended."""
 
     def __init__(self, e: RequestArrived, cls: RequestClass, now: int, luck: float, size: float) -> None:
-        self.id, self.cls, self.deadline = e.request, cls, now + e.patience_us
-        self.aim_at = min(now + cls.aim_us + int(cls.aim_stretch * e.cost_us), self.deadline)
+        self.id, self.cls, self.deadline = e.request, cls, now + e.timeout_us
+        self.aim_at = min(now + cls.latency_target_us + int(cls.target_per_cost * e.cost_hint_us), self.deadline)
         # One given up after half of its time without an attempt costs its client more than one told sooner.
-        self.hold_until = min(self.aim_at, now + e.patience_us // 2)
+        self.hold_until = min(self.aim_at, now + e.timeout_us // 2)
         self.gives_way = self.done = False
         self.luck = luck  # one for its whole life: a held request must not draw until a cold server takes it
-        self.key = e.key  # what it is about; 0: nothing that others share
+        self.key = e.affinity_key  # what it is about; 0: nothing that others share
         self.size = size  # its work as a multiple of the mean, where a hint tells it
         self.sends = 0
         self.out: dict[int, tuple[Server, int, float]] = {}  # attempt: server, sent at, table load then
@@ -69,8 +81,8 @@
     def may_refuse(self) -> bool:
         """A refusal says that trying again is harmless."""
         c = self.cls
-        anywhere = c.effect is Effect.KEYED and c.group is Group.ALL
-        return not self.may_have_run or c.effect is Effect.SAFE or anywhere
+        anywhere = c.idempotency is Idempotency.DEDUPLICATED and c.dedup_scope is DedupScope.ALL
+        return not self.may_have_run or c.idempotency is Idempotency.IDEMPOTENT or anywhere
 
 
 def name_of(backend: BackendId) -> str:
--- a/lilacsill/balancing/logic/sampling.py
+++ b/lilacsill/balancing/logic/sampling.py
@@ -4,16 +4,16 @@
 
 from itertools import chain
 
-from ..interface import Effect, Group
+from ..interface import DedupScope, Idempotency
 from ..mechanisms.bands import cutoffs, lower_band
-from .cold import ColdBudget
-from .entities import Request, Server
-from .full import FoundFull
-from .health import Health
-from .homes import Homes
+from .affinity import AffinityMap
 from .load_table import FORGET_US, FRESH_US, LoadTable
 from .membership import Membership
-from .peers import peers_told
+from .outlier_detection import OutlierDetector
+from .peer_reports import peers_told
+from .records import Request, Server
+from .saturation import SaturationCache
+from .warm_up_budget import WarmUpBudget
 
 IDLE = 3.0  # attempts that all balancers together may hold at a server whatever is predicted
 HEADROOM = 0.45  # predicted time to an answer, as a share of the time to the aim: the rest is for the spread
@@ -30,25 +30,25 @@
 class Sampler:
     """Two uniform samples among the servers that are fit, compared by band."""
 
-    def __init__(self, members: Membership, table: LoadTable, health: Health, cold: ColdBudget) -> None:
+    def __init__(self, members: Membership, table: LoadTable, health: OutlierDetector, cold: WarmUpBudget) -> None:
         self.core, self.members, self.table = members.core, members, table
         settings, classes = self.core.settings, self.core.settings.classes
         self.health, self.cold, self.tells = health, cold, peers_told(settings, table.column)
-        self.bearable = {c.name: min(d.aim_us for d in classes if d.worth >= c.worth) for c in classes}
-        self.among(settings.siblings)
-        # Asking both samples of each request must be cheap, and there must be something to learn by it.
+        self.bearable = {c.name: min(d.latency_target_us for d in classes if d.value >= c.value) for c in classes}
+        self.among(settings.balancer_count)
+        # LoadProber both samples of each request must be cheap, and there must be something to learn by it.
         self.asks = settings.can_probe and table.column >= 0 and 2 * settings.prices.probe <= PROBE_SPEND
-        self.ask_us = int(ASK_SHARE * min(c.aim_us for c in settings.classes))
+        self.ask_us = int(ASK_SHARE * min(c.latency_target_us for c in settings.classes))
         # So young an entry is known, and no free pass is needed to learn of it.
         self.known_us = self.ask_us if self.asks else FORGET_US if self.tells else -1
-        self.full, self.homes = FoundFull(), Homes()
+        self.full, self.homes = SaturationCache(), AffinityMap()
         self.picks_left = 0  # picks that the cutoffs still serve
 
     def among(self, siblings: int) -> None:
         self.idle = IDLE / siblings
 
     def pool(self, r: Request) -> list[Server]:
-        if not r.may_have_run or r.cls.effect is Effect.SAFE:
+        if not r.may_have_run or r.cls.idempotency is Idempotency.IDEMPOTENT:
             return self.members.ready
         return [s for s in self.members.ready if self.may_go(r, s)]
 
@@ -63,14 +63,14 @@
 
     def may_go(self, r: Request, s: Server) -> bool:
         """Rules 2 and 3: asked again when an echo is in, for lists and windows change while it is awaited."""
-        if not s.serves or not r.may_have_run or r.cls.effect is Effect.SAFE:
+        if not s.serves or not r.may_have_run or r.cls.idempotency is Idempotency.IDEMPOTENT:
             return s.serves
         _, first, sent = r.may_have_run[0]
-        until = sent + r.cls.window_us - 2 * self.core.settings.tick_us
-        if r.cls.effect is Effect.UNSAFE or self.core.now >= until:
+        until = sent + r.cls.dedup_window_us - 2 * self.core.settings.tick_us
+        if r.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.core.now >= until:
             return False
-        same = s.zone == first.zone if r.cls.group is Group.ZONE else s.cell == first.cell
-        return same or r.cls.group is Group.ALL
+        same = s.zone == first.zone if r.cls.dedup_scope is DedupScope.ZONE else s.cell == first.cell
+        return same or r.cls.dedup_scope is DedupScope.ALL
 
     def admits(self, r: Request, s: Server) -> bool:
         # Where peers tell every answer, a server of which nothing is heard hangs: balancers that each found
@@ -79,7 +79,11 @@
         silence = (now - s.news_at) * r.luck * self.cold.warmth(s, now) if self.tells else 0
         if silence > 2 * max(FRESH_US, self.core.now - self.table.news_at):
             return False
-        if s.told.until > now and s.told.seen_at > s.answered_at and (s.told.excluded or r.luck > LOOKED_AT):
+        if (
+            s.told.expires_at_us > now
+            and s.told.observed_at_us > s.answered_at
+            and (s.told.ejected or r.luck > LOOKED_AT)
+        ):
             return False  # others found it ill; what it has answered here since goes first
         return self.cold.admits(s, now, r.luck) and self.health.admits(s, now, self.table.typical)
 
@@ -148,7 +152,7 @@
             # Known, not guessed: no pass here, but one that holds nothing is fit.
             held = s.own(self.core.now) + self.table.others(s, self.core.now)
             # Nor is it refused for what comes after the aim but keeps part of its worth.
-            late = 0.0 if r.gives_way else r.cls.late_worth * (r.deadline - r.aim_at)
+            late = 0.0 if r.gives_way else r.cls.late_value * (r.deadline - r.aim_at)
             return workable if held < 1.0 else (held + r.size) * s.pace <= limit + HEADROOM * late
         own, few = s.own(self.core.now), self.idle >= 1.0
         if not asked and self.asks_now():
--- a/lilacsill/balancing/logic/full.py
+++ b/lilacsill/balancing/logic/saturation.py
@@ -6,12 +6,12 @@
 
 from __future__ import annotations
 
-from .entities import Request
+from .records import Request
 
 FULL_US = 5_000  # without news; what fades by itself in so short a time changes little
 
 
-class FoundFull:
+class SaturationCache:
     """The least demanding request for which no server was found since the last news."""
 
     def __init__(self) -> None:
--- a/lilacsill/balancing/logic/shares.py
+++ b/lilacsill/balancing/logic/tenant_quotas.py
@@ -3,16 +3,16 @@
 from __future__ import annotations
 
 from ..interface import Settings, Tenant, TenantChanged
-from .entities import SECOND
+from .records import SECOND
 
 GUESS = 10  # the even part among siblings counts as so many sights
 
 
-class TenantShares:
+class TenantQuotas:
     """Tells requests beyond a tenant's share; this balancer's part of a quota is its part of the traffic."""
 
     def __init__(self, settings: Settings) -> None:
-        self.part = 1.0 / settings.siblings
+        self.part = 1.0 / settings.balancer_count
         self.seen = 0
         self.quotas: dict[int, float] = {}  # requests a microsecond, by the tenant's number; 0: no quota
         self.buckets: dict[int, tuple[float, int]] = {}  # level, as of when
@@ -27,8 +27,8 @@
         self.buckets[number] = min(level, burst), at
 
     def changed(self, e: TenantChanged) -> None:
-        if e.about is not None:
-            return self._set(e.tenant, e.about)
+        if e.definition is not None:
+            return self._set(e.tenant, e.definition)
         self.quotas.pop(e.tenant, None)
         self.buckets.pop(e.tenant, None)
 
--- a/lilacsill/balancing/logic/cold.py
+++ b/lilacsill/balancing/logic/warm_up_budget.py
@@ -5,13 +5,13 @@
 from random import Random
 
 from ..interface import FleetChanged, Settings
-from .entities import Server
+from .records import Server
 
 LEAST, SAFE = 0.4, 0.6  # of what would push cold servers over; the second where few balancers share it
 GUESS = 0.45  # of the shortest aim: a server's time for a request before any answer has told it
 
 
-class ColdBudget:
+class WarmUpBudget:
     """What cold servers can bear, in requests a second, in equal parts for all balancers.
 
     Each earns its part and spends one credit a send, so the sum stays in bounds whatever traffic, retries and
@@ -20,13 +20,13 @@
     """
 
     def __init__(self, settings: Settings, rng: Random) -> None:
-        self.start, self.warm_up = settings.start_fraction, settings.warm_up_us
+        self.start, self.warm_up = settings.warm_up_start_fraction, settings.warm_up_us
         self.siblings, self.most, self.window = (
-            settings.siblings,
-            settings.fall_multiple,
-            settings.fall_window_us,
+            settings.balancer_count,
+            settings.overload_multiple,
+            settings.overload_window_us,
         )
-        self.guess_us = GUESS * min(c.aim_us for c in settings.classes)
+        self.guess_us = GUESS * min(c.latency_target_us for c in settings.classes)
         self.rng = rng
         self.credit, self.whole, self.at = 0.0, 0.0, 0  # of all balancers, credits a microsecond; as of when
         self.part = self.then = 1.0 / self.siblings  # of the whole: what is earned, and from `until` on
@@ -55,8 +55,8 @@
         return min(1.0, self.credit + self.whole * earned)
 
     def granted(self, e: FleetChanged, now: int) -> None:
-        self.credit, self.at, self.siblings = self._earned(now), now, e.siblings
-        self.part, self.until, self.then = e.cold_part, e.until, e.then
+        self.credit, self.at, self.siblings = self._earned(now), now, e.balancer_count
+        self.part, self.until, self.then = e.warm_up_share, e.until_us, e.warm_up_share_after
 
     def admits(self, s: Server, now: int, luck: float) -> bool:
         """Of those that are cold the warmer may be sampled the more often."""
--- a/lilacsill/balancing/mechanisms/due.py
+++ b/lilacsill/balancing/mechanisms/deadline_queue.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 
-class DueQueue:
+class DeadlineQueue:
     """Calls by their times, in integer microseconds; equal times in the order in which they came."""
 
     def __init__(self) -> None:
--- a/lilacsill/balancing/mechanisms/fading.py
+++ b/lilacsill/balancing/mechanisms/decay.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 
-class Fading:
+class DecayingWeight:
     """A weight that nothing newer has replaced; it halves in `half_us`, then ever slower."""
 
     __slots__ = ("_weight", "since", "half_us")
--- a/lilacsill/balancing/drill.py
+++ b/lilacsill/balancing/simulator_adapter.py
@@ -1,6 +1,8 @@
-"""The wire: frames on standard input and output, many instances in one process, no decision.
+"""Adapter between balancers and the simulator's wire: frames on standard input and output.
 
-Run as ``python -m lilacsill.balancing.drill``. Bad input gives one plain line on standard error and exit status 2.
+One process hosts many balancers. The adapter decides nothing. Run it as
+``python -m lilacsill.balancing.simulator_adapter``. Bad input gives one plain line on standard error and exit
+status 2.
 """
 
 from __future__ import annotations
@@ -13,7 +15,7 @@
 
 from . import interface as q
 from .logic import Balancer
-from .settings import SettingsError, settings_from
+from .settings_parser import SettingsError, parse_settings
 
 HEADER = struct.Struct(">QII")  # clock, frame length, records
 REPLY_HEADER = struct.Struct(">II")
@@ -53,7 +55,7 @@
     250: q.Outcome.CANCELLED,
     249: q.Outcome.NOT_SENT,
 }
-STATES = {0: q.State.GONE, 1: q.State.READY, 2: q.State.DRAINING}
+STATES = {0: q.BackendState.GONE, 1: q.BackendState.READY, 2: q.BackendState.DRAINING}
 LIST_KINDS = {0: q.ListKind.CACHED, 1: q.ListKind.DELTA, 2: q.ListKind.FULL, 4: q.ListKind.FAILED}
 U32 = 0xFFFFFFFF
 
@@ -132,7 +134,7 @@
         if not isinstance(facts, dict):
             raise WireError("settings: not an object")
         try:
-            self.balancers[instance] = Balancer(settings_from(facts), seed)
+            self.balancers[instance] = Balancer(parse_settings(facts), seed)
         except SettingsError as e:
             raise WireError(str(e)) from None
 
@@ -146,10 +148,10 @@
             )
         ]
 
-    def peer(self, frame: bytes, at: int, tail: int) -> q.PeerMessage:
+    def peer(self, frame: bytes, at: int, tail: int) -> q.PeerMessageReceived:
         _, sender, offset, size = PEER.unpack_from(frame, at + 1)
         start = self.span(frame, tail, offset, size)
-        return q.PeerMessage(sender, frame[start : start + size])
+        return q.PeerMessageReceived(sender, frame[start : start + size])
 
     def discovery(self, frame: bytes, at: int) -> q.BackendsChanged:
         _, _, number, kind_code = DISCOVERY.unpack_from(frame, at + 1)
@@ -178,7 +180,7 @@
 
 
 def _client_gone(frame: bytes, at: int) -> q.Event:
-    return q.ClientGone(CLIENT_GONE.unpack_from(frame, at)[1])
+    return q.ClientDisconnected(CLIENT_GONE.unpack_from(frame, at)[1])
 
 
 def _timer(frame: bytes, at: int) -> q.Event:
@@ -206,19 +208,19 @@
     return TEXT.pack(code, instance, len(texts) - len(raw), len(raw))
 
 
-def _tell(instance: int, action: q.Tell, texts: bytearray) -> bytes:
+def _tell(instance: int, action: q.SendPeerMessage, texts: bytearray) -> bytes:
     texts += action.payload
     return TELL.pack(80, instance, action.peer, len(texts) - len(action.payload), len(action.payload))
 
 
 ENCODERS: dict[type, Callable[[int, Any, bytearray], bytes]] = {
     q.Send: lambda i, a, t: SEND.pack(10, i, a.request, min(a.timeout_us, U32), a.backend),
-    q.Refuse: lambda i, a, t: REFUSE.pack(20, i, a.request, min(a.retry_after_us, U32)),
+    q.Reject: lambda i, a, t: REFUSE.pack(20, i, a.request, min(a.retry_after_us, U32)),
     q.Fail: lambda i, a, t: FAIL.pack(30, i, a.request),
     q.Cancel: lambda i, a, t: CANCEL.pack(40, i, a.request, a.attempt),
     q.SetTimer: lambda i, a, t: TIMER.pack(50, i, min(a.delay_us, U32), a.token),
     q.Probe: lambda i, a, t: PROBE.pack(60, i, a.backend),
-    q.Tell: _tell,
+    q.SendPeerMessage: _tell,
     q.Log: lambda i, a, t: _text(90, i, a.text, t),
     q.Watch: lambda i, a, t: WATCH.pack(110, i, 1),
     q.Fetch: lambda i, a, t: FETCH.pack(120, i),
--- a/lilacsill/emulator/lab/agent.py
+++ b/lilacsill/emulator/lab/agent.py
@@ -88,24 +88,32 @@
         self.rng = Random(f"clients {world.seed} {number}")
         self.settings = q.Settings(
             classes=(
-                q.RequestClass("keyed", spec.aim_us, spec.deadline_us, q.Effect.KEYED, q.Group.ALL, 15 * SECOND, 10.0),
-                q.RequestClass("unsafe", spec.aim_us, spec.deadline_us, q.Effect.UNSAFE, worth=3.0),
+                q.RequestClass(
+                    "keyed",
+                    spec.aim_us,
+                    spec.deadline_us,
+                    q.Idempotency.DEDUPLICATED,
+                    q.DedupScope.ALL,
+                    15 * SECOND,
+                    10.0,
+                ),
+                q.RequestClass("unsafe", spec.aim_us, spec.deadline_us, q.Idempotency.NOT_IDEMPOTENT, value=3.0),
             ),
             tenants=tuple(q.Tenant(f"t{i}", quota) for i, quota in enumerate(spec.quotas)),
-            siblings=spec.agents,
-            me=number,
+            balancer_count=spec.agents,
+            balancer_index=number,
             report_fields=("inflight", "queue", "util"),
-            discovery=q.Discovery.ASK,
+            discovery=q.DiscoveryMode.POLL,
             can_probe=True,
-            second_copies=False,
+            can_hedge=False,
             max_attempts=5,
-            retry_after=True,
-            answer_slack_us=50 * MS,
+            can_advise_retry=True,
+            answer_grace_us=50 * MS,
             max_retry_after_us=2 * SECOND,
-            start_fraction=0.13,
+            warm_up_start_fraction=0.13,
             warm_up_us=24 * SECOND,
-            fall_multiple=2.5,
-            fall_window_us=3 * SECOND,
+            overload_multiple=2.5,
+            overload_window_us=3 * SECOND,
             prices=q.Prices(waste=0.1, late_fail=0.05, probe=spec.probe_price),
         )
         self.balancer = world.module.balancer(self.settings, world.seed * 1000 + number)
@@ -187,7 +195,7 @@
     def _leave(self, t: Try) -> None:
         if not t.over:
             self._final(t, "no answer", 0)
-            self.post(self.q.ClientGone(t.number))
+            self.post(self.q.ClientDisconnected(t.number))
 
     def post(self, event: Any) -> None:
         if self.asleep(lambda: self.post(event)):
@@ -207,10 +215,10 @@
         q, world = self.q, self.world
         if isinstance(a, q.Send):
             self._send(a)
-        elif isinstance(a, (q.Refuse, q.Fail)):
+        elif isinstance(a, (q.Reject, q.Fail)):
             t = self.tries[a.request]
-            advice = a.retry_after_us if isinstance(a, q.Refuse) else 0
-            self._final(t, "refused" if isinstance(a, q.Refuse) else "failed", advice)
+            advice = a.retry_after_us if isinstance(a, q.Reject) else 0
+            self._final(t, "refused" if isinstance(a, q.Reject) else "failed", advice)
         elif isinstance(a, q.SetTimer):
             life = self._life
             world.after(a.delay_us, lambda: self.post(q.TimerFired(a.token)) if life == self._life else None)
--- a/lilacsill/emulator/lab/module.py
+++ b/lilacsill/emulator/lab/module.py
@@ -6,6 +6,7 @@
 import subprocess
 import sys
 from dataclasses import dataclass
+from functools import partial
 from pathlib import Path
 from typing import Any
 
@@ -14,6 +15,55 @@
     "brasshead",
 )  # the library's folder in the repository, and its folder in earlier commits
 
+# The names that the lab uses of the interface, and what they were called in earlier commits.
+EARLIER_TYPES = {
+    "Idempotency": "Effect",
+    "DedupScope": "Group",
+    "DiscoveryMode": "Discovery",
+    "Reject": "Refuse",
+    "ClientDisconnected": "ClientGone",
+}
+EARLIER_MEMBERS = {"DEDUPLICATED": "KEYED", "NOT_IDEMPOTENT": "UNSAFE", "POLL": "ASK"}
+EARLIER_FIELDS = {
+    "latency_target_us": "aim_us",
+    "value": "worth",
+    "balancer_count": "siblings",
+    "balancer_index": "me",
+    "can_hedge": "second_copies",
+    "can_advise_retry": "retry_after",
+    "answer_grace_us": "answer_slack_us",
+    "warm_up_start_fraction": "start_fraction",
+    "overload_multiple": "fall_multiple",
+    "overload_window_us": "fall_window_us",
+}
+
+
+class EarlierInterface:
+    """The interface of an earlier commit under the names that it has now."""
+
+    def __init__(self, interface: Any) -> None:
+        self._interface = interface
+
+    def __getattr__(self, name: str) -> Any:
+        found = getattr(self._interface, EARLIER_TYPES.get(name, name))
+        if name in ("DedupScope", "DiscoveryMode", "Idempotency"):
+            return EarlierEnum(found)
+        return partial(_construct, found) if name in ("RequestClass", "Settings") else found
+
+
+class EarlierEnum:
+    """An enumeration of an earlier commit under the member names that it has now."""
+
+    def __init__(self, enumeration: Any) -> None:
+        self._enumeration = enumeration
+
+    def __getattr__(self, name: str) -> Any:
+        return self._enumeration[EARLIER_MEMBERS.get(name, name)]
+
+
+def _construct(earlier_type: Any, *values: Any, **fields: Any) -> Any:
+    return earlier_type(*values, **{EARLIER_FIELDS.get(name, name): value for name, value in fields.items()})
+
 
 class ModuleError(Exception):
     """The module cannot be had; the text says why."""
@@ -59,6 +109,9 @@
         raise ModuleError(f"commit {commit} cannot be read from {repository.name}: {e}") from None
     sys.path.insert(0, str(folder))
     try:
-        return Module(importlib.import_module(f"{name}.interface"), importlib.import_module(f"{name}.logic").Balancer)
+        interface: Any = importlib.import_module(f"{name}.interface")
+        if not hasattr(interface, "Idempotency"):
+            interface = EarlierInterface(interface)
+        return Module(interface, importlib.import_module(f"{name}.logic").Balancer)
     finally:
         sys.path.remove(str(folder))
--- a/lilacsill/hosted/resources.py
+++ b/lilacsill/hosted/resources.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from lilacsill.balancing.settings import SettingsError, settings_from
+from lilacsill.balancing.settings_parser import SettingsError, parse_settings
 
 from ..address import parse_address
 
@@ -67,7 +67,7 @@
         if self.settings.get("tenants"):
             raise ValueError("settings: tenants: belong to the service, not to the pool; leave them out")
         try:
-            settings_from(self.settings)
+            parse_settings(self.settings)
             allowed = self.settings["allowed"]
             for key in ("connectTimeoutUs", "connIdleUs"):
                 if not isinstance(allowed[key], int) or allowed[key] <= 0:
--- a/lilacsill/hosted/worker/front.py
+++ b/lilacsill/hosted/worker/front.py
@@ -10,14 +10,15 @@
 
 from lilacsill.agent.admission.connections import Record
 from lilacsill.agent.admission.gate import Gate
-from ...clock import Clock
 from lilacsill.agent.descriptors import Spare
-from ...http1.message import Headers, Message, Unreadable
 from lilacsill.agent.inbound.downstream import DownstreamConnection
 from lilacsill.agent.inbound.server import IdleUpstreams, Server
 from lilacsill.agent.inbound.validation import DownstreamRequest, Respond
-from ...net.stream import Stream
 from lilacsill.agent.watermarks import Sink, Watermarks
+
+from ...clock import Clock
+from ...http1.message import Headers, Message, Unreadable
+from ...net.stream import Stream
 from ..decisions.directory import Refusal
 from ..decisions.limits import Over
 from .tenancy import ANONYMOUS, Held, Tenancy, refused_turn
@@ -312,7 +313,7 @@
         tenancy = self._front._tenancy
         took_us = tenancy.now() - self._began
         self.held.holdings.answered(len(self._call.body), took_us / 1e6)
-        aim_us = self.pool.settings.classes[self._call.request_class].aim_us
+        aim_us = self.pool.settings.classes[self._call.request_class].latency_target_us
         tenancy.answered(self.held, status, nbytes, took_us <= aim_us)
         if self._beyond:
             self.pool.excess.ended()
--- a/lilacsill/hosted/worker/pools.py
+++ b/lilacsill/hosted/worker/pools.py
@@ -7,19 +7,19 @@
 
 import msgspec
 
-from lilacsill.balancing import interface as q
-from lilacsill.balancing.logic import Balancer
-from lilacsill.balancing.settings import settings_from
-
-from ...address import parse_address
 from lilacsill.agent.admission.ledger import Ledger
 from lilacsill.agent.agent import Agent
-from ...clock import Clock
 from lilacsill.agent.discovery.listing import Listing, ListingParser
 from lilacsill.agent.discovery.watch import Discovery
 from lilacsill.agent.inbound.validation import RequestValidator
 from lilacsill.agent.outbound.attempts import Backends
 from lilacsill.agent.outbound.pool import Pool as Connections
+from lilacsill.balancing import interface as q
+from lilacsill.balancing.logic import Balancer
+from lilacsill.balancing.settings_parser import parse_settings
+
+from ...address import parse_address
+from ...clock import Clock
 from ..decisions.directory import Pool, Tenant
 from ..decisions.excess import Excess, beyond_weight
 from ..decisions.limits import Holdings
@@ -42,9 +42,13 @@
     ) -> None:
         self.pool = pool
         facts = pool.spec.settings
-        settings = replace(settings_from(facts), can_tell=False, tenants=())
+        settings = replace(parse_settings(facts), can_message_peers=False, tenants=())
         # Every worker is a balancer of its own to the fleet, beside those that the settings name.
-        self.settings = replace(settings, siblings=settings.siblings * workers, me=settings.me * workers + me)
+        self.settings = replace(
+            settings,
+            balancer_count=settings.balancer_count * workers,
+            balancer_index=settings.balancer_index * workers + me,
+        )
         allowed = facts["allowed"]
         self.connections = Connections(clock, allowed["connectTimeoutUs"], allowed["connIdleUs"], ledger)
         self.connections.downstream_makes_way = downstream_makes_way
@@ -57,7 +61,7 @@
             parser,
             0,
             allowed["connectTimeoutUs"] / 1e6,
-            settings.discovery is q.Discovery.PUSH,
+            settings.discovery is q.DiscoveryMode.PUSH,
             seed,
         )
         self._discovery.short_of_descriptors = short
@@ -127,7 +131,7 @@
         beliefs, excess = self.agent.beliefs(), self.excess
         return PoolFigures(
             len(beliefs),
-            sum(b.admitted for b in beliefs),
+            sum(b.healthy for b in beliefs),
             self.in_hand,
             excess.out,
             round(excess.window, 1),
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -4,15 +4,14 @@
 
 from typing import Any, TypeVar
 
-from lilacsill.balancing.logic import Balancer
 from lilacsill.balancing.interface import (
     Action,
     AttemptEnded,
     Backend,
     BackendsChanged,
-    Effect,
+    DedupScope,
     Event,
-    Group,
+    Idempotency,
     ListKind,
     Outcome,
     RequestArrived,
@@ -21,15 +20,16 @@
     Settings,
     TimerFired,
 )
+from lilacsill.balancing.logic import Balancer
 
 A = TypeVar("A")
 MS, SECOND = 1_000, 1_000_000
 SAFE = RequestClass("safe", 500 * MS, 2 * SECOND)
-UNSAFE = RequestClass("unsafe", 500 * MS, 2 * SECOND, Effect.UNSAFE)
+UNSAFE = RequestClass("unsafe", 500 * MS, 2 * SECOND, Idempotency.NOT_IDEMPOTENT)
 
 
-def keyed(group: Group, window_us: int = SECOND) -> RequestClass:
-    return RequestClass("keyed", 500 * MS, 2 * SECOND, Effect.KEYED, group, window_us)
+def keyed(group: DedupScope, window_us: int = SECOND) -> RequestClass:
+    return RequestClass("keyed", 500 * MS, 2 * SECOND, Idempotency.DEDUPLICATED, group, window_us)
 
 
 class Drive:
@@ -65,9 +65,9 @@
         self.log += actions
         return actions
 
-    def request(self, patience_us: int = SECOND, tenant: int = 0) -> tuple[int, list[Action]]:
+    def request(self, timeout_us: int = SECOND, tenant: int = 0) -> tuple[int, list[Action]]:
         self.requests += 1
-        return self.requests, self.event(RequestArrived(self.requests, 0, patience_us, tenant))
+        return self.requests, self.event(RequestArrived(self.requests, 0, timeout_us, tenant))
 
     def end(
         self,
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -32,8 +32,8 @@
             name,
             aim,
             aim * rng.choice((1, 3)),
-            rng.choice(list(q.Effect)),
-            rng.choice(list(q.Group)),
+            rng.choice(list(q.Idempotency)),
+            rng.choice(list(q.DedupScope)),
             rng.choice((0, SECOND, 15 * SECOND)),
             rng.choice((1.0, 10.0)),
             rng.choice((0.0, 0.0, 0.5)),
@@ -44,21 +44,21 @@
     return q.Settings(
         classes=(cls("a"), cls("b")),
         tenants=(q.Tenant("t", rng.choice((0.0, 50.0))), q.Tenant("u", 20.0)),
-        siblings=siblings,
-        me=rng.randrange(siblings),
-        can_tell=rng.random() < 0.3,
+        balancer_count=siblings,
+        balancer_index=rng.randrange(siblings),
+        can_message_peers=rng.random() < 0.3,
         can_probe=rng.random() < 0.7,
         report_fields=rng.choice(((), ("inflight", "queue", "util"), ("queue", "latency_ms"))),
-        discovery=rng.choice(list(q.Discovery)),
+        discovery=rng.choice(list(q.DiscoveryMode)),
         can_cancel=rng.random() < 0.7,
-        second_copies=rng.random() < 0.4,
+        can_hedge=rng.random() < 0.4,
         max_attempts=rng.choice((1, 5)),
-        retry_after=rng.random() < 0.5,
-        answer_slack_us=rng.choice((0, 50 * MS)),
+        can_advise_retry=rng.random() < 0.5,
+        answer_grace_us=rng.choice((0, 50 * MS)),
         capacity_hints=rng.random() < 0.3,
-        start_fraction=0.13,
+        warm_up_start_fraction=0.13,
         warm_up_us=24 * SECOND,
-        fall_multiple=2.5,
+        overload_multiple=2.5,
         prices=q.Prices(probe=rng.choice((0.0, 0.002, 0.5)), peer=rng.choice((0.0, 0.01))),
     )
 
@@ -123,21 +123,21 @@
                 cls,
                 self.settings.classes[cls].deadline_us,
                 rng.randrange(2),
-                cost_us=rng.choice((0, 0, 10 * MS, 90 * MS)),
+                cost_hint_us=rng.choice((0, 0, 10 * MS, 90 * MS)),
                 is_retry=rng.random() < 0.1,
             )
         if kind < 0.93 and self.requests:
             self.over.add(gone := rng.randint(1, self.requests))
-            return q.ClientGone(gone)
+            return q.ClientDisconnected(gone)
         if kind < 0.95:
-            return q.PeerMessage(0, rng.randbytes(rng.choice((0, 8))))
+            return q.PeerMessageReceived(0, rng.randbytes(rng.choice((0, 8))))
         if kind < 0.96:
             return q.BackendsChanged(q.ListKind.FAILED, [])
         i = rng.randrange(len(self.servers))
         self.servers[i] = (
             self._server(i)
             if rng.random() < 0.5
-            else q.Backend(self.servers[i].id, rng.choice(list(q.State)), self.servers[i].zone)
+            else q.Backend(self.servers[i].id, rng.choice(list(q.BackendState)), self.servers[i].zone)
         )
         whole = rng.random() < 0.5
         return q.BackendsChanged(
--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_judgements.py
@@ -7,7 +7,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lilacsill.balancing.interface import FleetChanged, HearsayChanged, Outcome, Send
 from lilacsill.agent.peers.judgements import (
     AGE_MOST_MS,
     ALL,
@@ -20,6 +19,7 @@
 )
 from lilacsill.agent.peers.records import Judgement, Verdict
 from lilacsill.agent.peers.siblings import CALM_US, Siblings
+from lilacsill.balancing.interface import FleetChanged, Outcome, PeerHealthChanged, Send
 from tests.helpers import MS, SECOND, Drive, only
 
 NAMES = [f"s{i}" for i in range(20)]
@@ -225,7 +225,7 @@
     victim = next(iter(d.balancer.members.servers))
     seen = d.now + 1
     d.wait(MS)
-    d.event(HearsayChanged(victim, True, seen, d.now + 2 * SECOND))
+    d.event(PeerHealthChanged(victim, True, seen, d.now + 2 * SECOND))
 
     def sent(requests: int) -> set[object]:
         found: set[object] = set()
@@ -250,7 +250,7 @@
         got = 0
         for _ in range(400):
             if said:
-                d.event(HearsayChanged(victim, False, d.now + 1, d.now + SECOND))
+                d.event(PeerHealthChanged(victim, False, d.now + 1, d.now + SECOND))
             for s in only(d.request()[1], Send):
                 got += s.backend == victim
                 d.end(s, Outcome.OK)
@@ -279,6 +279,6 @@
         d.serve(60)
         send = only(d.request()[1], Send)[0]
         if said:
-            d.event(HearsayChanged(send.backend, False, d.now + 1, d.now + SECOND))
+            d.event(PeerHealthChanged(send.backend, False, d.now + 1, d.now + SECOND))
         d.end(send, Outcome.ERROR)
         assert (d.balancer.members.servers[send.backend].out_until > d.now) is said
--- a/tests/recovery/test_decisions.py
+++ b/tests/recovery/test_decisions.py
@@ -11,10 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lilacsill.balancing.interface import Backend, Outcome, PaceKnown, Send
-from lilacsill.balancing.interface import State as Serving
 from lilacsill.address import Address
-from lilacsill.clock import Clock
 from lilacsill.agent.config import ConfigError
 from lilacsill.agent.discovery.listing import Listing, ListingParser, Member
 from lilacsill.agent.recovery.phases import FEWEST, WINDOW_US, Phase, Phases
@@ -33,6 +30,9 @@
     listing_doc,
     trust,
 )
+from lilacsill.balancing.interface import Backend, LatencyModelRestored, Outcome, Send
+from lilacsill.balancing.interface import BackendState as Serving
+from lilacsill.clock import Clock
 from tests.helpers import SECOND, Drive, only
 
 DAY_S = 86_400
@@ -303,15 +303,15 @@
 
 def test_a_pace_from_before_counts_until_the_first_answer_and_then_as_so_many() -> None:
     d = Drive(servers=4)
-    d.event(PaceKnown(10_000, 12_000, 80))
-    assert d.balancer.pace() == PaceKnown(10_000, 12_000, 80)
+    d.event(LatencyModelRestored(10_000, 12_000, 80))
+    assert d.balancer.latency_model() == LatencyModelRestored(10_000, 12_000, 80)
     d.serve(1)
-    told = d.balancer.pace()
-    assert told.answers == 81 and 9_000 < told.pace_us < 11_000
-    d.event(PaceKnown(99_000, 99_000, 80))  # too late: something was learned here
-    assert d.balancer.pace() == told
+    told = d.balancer.latency_model()
+    assert told.answers == 81 and 9_000 < told.service_time_us < 11_000
+    d.event(LatencyModelRestored(99_000, 99_000, 80))  # too late: something was learned here
+    assert d.balancer.latency_model() == told
     with pytest.raises(ValueError):
-        PaceKnown(-1, 0, 0)
+        LatencyModelRestored(-1, 0, 0)
 
 
 def test_backends_that_may_be_cold_unseen_do_not_teach_that_the_fleet_is_slow() -> None:
@@ -319,9 +319,9 @@
     paces = {}
     for until in (0, 60 * SECOND):
         d = Drive(servers=4)
-        d.event(PaceKnown(10_000, 12_000, 80, d.now + until))
+        d.event(LatencyModelRestored(10_000, 12_000, 80, d.now + until))
         for _ in range(60):
             for s in only(d.request()[1], Send):
                 d.end(s, Outcome.OK, took_us=60_000)
-        paces[until] = d.balancer.pace().pace_us
+        paces[until] = d.balancer.latency_model().service_time_us
     assert paces[0] > 20_000 and paces[60 * SECOND] <= 12_500
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -62,7 +62,9 @@
 
 def run(data: bytes, seed: str = "0") -> subprocess.CompletedProcess[bytes]:
     env = {**os.environ, "PYTHONHASHSEED": seed, "PYTHONPATH": str(ROOT)}
-    return subprocess.run([sys.executable, "-m", "lilacsill.balancing.drill"], input=data, capture_output=True, env=env)
+    return subprocess.run(
+        [sys.executable, "-m", "lilacsill.balancing.simulator_adapter"], input=data, capture_output=True, env=env
+    )
 
 
 def replies(data: bytes) -> list[bytes]:
@@ -104,9 +106,9 @@
     "not running": (frame(1, [request(5, 1)]), b"instance 5"),
     "beyond the tail": (frame(1, [spawn(0, FACTS_BYTES)]), b"beyond the tail"),
     "not JSON": (frame(1, [spawn(0, b"{")], b"{"), b"not JSON"),
-    "not finite": (frame(1, [spawn(0, NAN)], NAN), b"fall_multiple"),
+    "not finite": (frame(1, [spawn(0, NAN)], NAN), b"overload_multiple"),
     "no whole number": (frame(1, [spawn(0, INF)], INF), b"settings"),
-    "out of range": (frame(1, [spawn(0, RANGE)], RANGE), b"start_fraction"),
+    "out of range": (frame(1, [spawn(0, RANGE)], RANGE), b"warm_up_start_fraction"),
     "unknown outcome": (frame(1, [spawn(0, FACTS_BYTES), ended(0, 77)], FACTS_BYTES), b"bad value 77"),
     "note beyond the tail": (
         frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BHHII", 90, 0, 1, 9999, 4)], FACTS_BYTES),
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -12,22 +12,22 @@
     AttemptEnded,
     Backend,
     Cancel,
+    DedupScope,
     Event,
-    Group,
     ListKind,
     Outcome,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
     RequestArrived,
     RequestClass,
     Send,
 )
-from lilacsill.balancing.logic.entities import Request
-from lilacsill.balancing.logic.evidence import AT_ONCE, LEAVES_WORK, tells_full
-from lilacsill.balancing.mechanisms.fading import Fading
+from lilacsill.balancing.logic.concurrency_window import ConcurrencyWindow
+from lilacsill.balancing.logic.outcomes import AT_ONCE, LEAVES_WORK, tells_full
+from lilacsill.balancing.logic.records import Request
+from lilacsill.balancing.mechanisms.decay import DecayingWeight
 from lilacsill.balancing.mechanisms.majority import VOTES, usual
-from lilacsill.balancing.logic.slow_start import SlowStart
 from lilacsill.emulator.lab.module import here
 from lilacsill.emulator.lab.scripts import SCRIPTS
 from lilacsill.emulator.lab.world import World
@@ -135,7 +135,7 @@
 
 @given(st.lists(st.integers(0, 10 * SECOND), max_size=20), st.integers(1, SECOND))
 def test_a_fading_weight_only_falls_until_something_is_added(waits: list[int], half: int) -> None:
-    f, now = Fading(), 0
+    f, now = DecayingWeight(), 0
     for wait in waits:
         now += wait
         before = f.at(now)
@@ -162,7 +162,7 @@
         d.balancer.table.holds(d.now, s, 50.0)
     d.wait(100 * MS)
     _, actions = d.request()
-    assert {p.backend for p in only(actions, Probe)} and not only(actions, Refuse)
+    assert {p.backend for p in only(actions, Probe)} and not only(actions, Reject)
 
 
 def test_where_nothing_can_be_asked_an_idle_server_is_tried_again_within_a_bound() -> None:
@@ -197,13 +197,13 @@
 
 
 def test_before_the_first_answer_only_a_window_goes_out() -> None:
-    d = Drive(servers=4, siblings=2)
+    d = Drive(servers=4, balancer_count=2)
     sent = sum(len(only(d.request()[1], Send)) for _ in range(40))
     assert sent == 6  # three at each of four servers, over two balancers
 
 
 def test_answers_open_the_window_and_then_it_is_gone() -> None:
-    s = SlowStart(siblings=2)
+    s = ConcurrencyWindow(siblings=2)
     s.begin(0, 4)
     now = 0
     while s.wanted:
@@ -217,7 +217,7 @@
 
 
 def test_a_fleet_that_answers_nothing_closes_the_window_and_a_caller_that_stood_still_does_not() -> None:
-    s = SlowStart(siblings=1)
+    s = ConcurrencyWindow(siblings=1)
     s.begin(0, 2)
     for _ in range(40):
         s.sent(0)
@@ -313,13 +313,13 @@
 
 
 def test_an_answer_that_will_not_come_is_given_up_once_the_server_holds_nothing() -> None:
-    assert only(overdue(keyed(Group.ALL, 15 * SECOND), 0.0), Cancel)
-    assert not only(overdue(keyed(Group.ALL, 15 * SECOND), 1.0), Cancel)  # it still works on it
+    assert only(overdue(keyed(DedupScope.ALL, 15 * SECOND), 0.0), Cancel)
+    assert not only(overdue(keyed(DedupScope.ALL, 15 * SECOND), 1.0), Cancel)  # it still works on it
     assert not only(overdue(UNSAFE, 0.0), Cancel)  # it may have run, and must not run again
 
 
 def test_one_held_by_the_slow_start_is_sent_when_an_answer_opens_it_and_looks_for_nothing_meanwhile() -> None:
-    d = Drive(servers=2, siblings=1)
+    d = Drive(servers=2, balancer_count=1)
     sent = [s for _ in range(12) for s in only(d.request()[1], Send)]
     assert len(sent) == 6  # three a server; the others are held
     timers = len(d.timers)
@@ -328,12 +328,12 @@
 
 
 def test_one_that_was_never_sent_is_told_so_in_the_first_half_of_its_clients_time() -> None:
-    d = Drive(servers=2, siblings=1)
+    d = Drive(servers=2, balancer_count=1)
     for _ in range(6):
         d.request()
-    number, actions = d.request(patience_us=200 * MS)
-    assert not actions or not only(actions, Refuse)
-    told = [a for a in d.wait(100 * MS) if isinstance(a, Refuse) and a.request == number]
+    number, actions = d.request(timeout_us=200 * MS)
+    assert not actions or not only(actions, Reject)
+    told = [a for a in d.wait(100 * MS) if isinstance(a, Reject) and a.request == number]
     assert len(told) == 1
 
 
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -2,15 +2,13 @@
 
 from __future__ import annotations
 
-
-from tests.helpers import MS, SECOND, Drive, only
-
-from lilacsill.balancing.logic.cold import SAFE
 from lilacsill.balancing.interface import (
     Backend,
     Outcome,
     Send,
 )
+from lilacsill.balancing.logic.warm_up_budget import SAFE
+from tests.helpers import MS, SECOND, Drive, only
 
 
 class Cold:
@@ -28,10 +26,10 @@
             d = Drive(
                 servers=24,
                 seed=seed,
-                siblings=siblings,
-                start_fraction=0.13,
+                balancer_count=siblings,
+                warm_up_start_fraction=0.13,
                 warm_up_us=24 * SECOND,
-                fall_multiple=2.5,
+                overload_multiple=2.5,
                 report_fields=("inflight",),
             )
             d.serve(30, self.PACE)
@@ -91,7 +89,7 @@
 def test_a_held_request_does_not_draw_until_a_cold_server_takes_it() -> None:
     sent = 0
     for seed in range(100):
-        d = Drive(servers=0, seed=seed, start_fraction=0.1, warm_up_us=1000 * SECOND, fall_multiple=4.0)
+        d = Drive(servers=0, seed=seed, warm_up_start_fraction=0.1, warm_up_us=1000 * SECOND, overload_multiple=4.0)
         d.list(Backend("new", started_at=d.now))
         sent += len(only(d.request()[1] + d.wait(SECOND), Send))
     assert 3 <= sent <= 40  # a new draw every 20 ms would come to nearly all of them
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,16 +9,16 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lilacsill.balancing.interface import ServerBelief, Settings
+from lilacsill.agent.recorder.format import RecordingError, header, line, parse
+from lilacsill.agent.recorder.ring import Recorder
+from lilacsill.balancing.interface import BackendEstimate, Settings
+from lilacsill.clock import Clock
 from lilacsill.emulator.__main__ import main
 from lilacsill.emulator.lab.module import ModuleError, at_commit
-from lilacsill.emulator.models.judge import AskBook, Books, Limits, unasked
 from lilacsill.emulator.models.explained import Book, explain, table
+from lilacsill.emulator.models.judge import AskBook, Books, Limits, unasked
 from lilacsill.emulator.models.plan import make_plan
 from lilacsill.emulator.models.scenario import Scenario, Trouble
-from lilacsill.clock import Clock
-from lilacsill.agent.recorder.format import RecordingError, header, line, parse
-from lilacsill.agent.recorder.ring import Recorder
 
 from .helpers import SAFE
 
@@ -51,10 +51,10 @@
     assert table([], 3) == "no wave of refusals"
 
 
-def belief() -> list[ServerBelief]:
+def belief() -> list[BackendEstimate]:
     return [
-        ServerBelief("s", 2, 0.5, 1.25, 7_900, 8_123.0, True),
-        ServerBelief("t", 0, 0.0, 0.0, -1, 1.0, False),
+        BackendEstimate("s", 2, 0.5, 1.25, 7_900, 8_123.0, True),
+        BackendEstimate("t", 0, 0.0, 0.0, -1, 1.0, False),
     ]
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -4,26 +4,25 @@
 
 from typing import Any
 
-from tests.helpers import MS, SECOND, Drive, only
-
-from lilacsill.balancing.logic.attempts import RETRY_BURST, RETRY_SHARE
-from lilacsill.balancing.logic.entities import Request, Server
-from lilacsill.balancing.logic.peers import NOTE
 from lilacsill.balancing.interface import (
     Backend,
-    ClientGone,
+    BackendState,
+    ClientDisconnected,
     Outcome,
-    PeerMessage,
+    PeerMessageReceived,
     Prices,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
     RequestArrived,
     RequestClass,
     Send,
-    State,
-    Tell,
+    SendPeerMessage,
 )
+from lilacsill.balancing.logic.attempts import RETRY_BURST, RETRY_SHARE
+from lilacsill.balancing.logic.peer_reports import NOTE
+from lilacsill.balancing.logic.records import Request, Server
+from tests.helpers import MS, SECOND, Drive, only
 
 
 def test_full_servers_meet_no_storm_of_repeats() -> None:
@@ -80,7 +79,7 @@
 def test_crowded_server_is_shed_well_before_the_aim_is_lost() -> None:
     # ibcb29b, i934097: servers were filled until the mean answer came just within the aim; the spread made a
     # third of the answers late, and the crowd itself slowed the servers.
-    d = Drive(servers=1, siblings=14)
+    d = Drive(servers=1, balancer_count=14)
     d.serve(30, 90 * MS)  # one held: 90 ms; the aim is 500 ms
     sent = [bool(only(d.request()[1], Send)) for _ in range(4)]
     assert sent == [True, True, False, False]
@@ -89,9 +88,9 @@
 def test_a_patient_class_does_not_crowd_out_an_urgent_one_of_the_same_worth() -> None:
     # i934097: payments with an aim of 800 ms filled the servers beyond what receipts with 300 ms could bear.
     urgent, patient = RequestClass("urgent", 300 * MS, SECOND), RequestClass("patient", 800 * MS, SECOND)
-    cheap = RequestClass("cheap", 100 * MS, SECOND, worth=0.5)
+    cheap = RequestClass("cheap", 100 * MS, SECOND, value=0.5)
     for others, sent in (((urgent, cheap), [True, False]), ((cheap,), [True, True])):
-        d = Drive(patient, servers=1, siblings=14, others=others)
+        d = Drive(patient, servers=1, balancer_count=14, others=others)
         d.serve(30, 100 * MS)  # two held: 200 ms, too much for the urgent class
         assert [bool(only(d.request()[1], Send)) for _ in range(2)] == sent
 
@@ -100,13 +99,13 @@
     # i00db6e: fourteen balancers, each free to keep two attempts at every server, held up a 25 s jam.
     sent = {}
     for siblings in (3, 14):
-        d = Drive(servers=1, siblings=siblings)
+        d = Drive(servers=1, balancer_count=siblings)
         d.serve(30, 150 * MS)  # a second attempt is predicted at 300 ms, too near the aim of 500
         sent[siblings] = sum(bool(only(d.request()[1], Send)) for _ in range(6))
     # klang-valley: three balancers with eight between them made answers come twice as late as predicted.
     assert sent == {3: 1, 14: 1}
     # Nor is it for a second attempt that would come after the aim in the mean.
-    d = Drive(servers=1, siblings=3)
+    d = Drive(servers=1, balancer_count=3)
     d.serve(30, 300 * MS)
     assert [bool(only(d.request()[1], Send)) for _ in range(2)] == [True, False]
 
@@ -131,14 +130,14 @@
     sends = [s for _ in range(160) for s in only(d.request()[1], Send)]
     assert len(sends) == 160 and len(looks) <= 2 and len(draws) <= 3 * 160
     for send in sends[:20]:
-        d.list(Backend(send.backend, State.DRAINING))
+        d.list(Backend(send.backend, BackendState.DRAINING))
     drained = {send.backend for send in sends[:20]}
     assert not drained & {s.backend for _ in range(200) for s in only(d.request()[1], Send)}
 
 
 def test_a_clients_retry_gives_way_to_first_tries() -> None:
     # i3ca9e6: retries, their time to the aim half spent, were served before first tries and came late.
-    d = Drive(servers=1, siblings=14)
+    d = Drive(servers=1, balancer_count=14)
     d.serve(30, 90 * MS)
     assert only(d.request()[1], Send)  # one held: the next is predicted at 180 of 500 ms
     assert not only(d.event(RequestArrived(900, 0, SECOND, is_retry=True)), Send)
@@ -196,36 +195,36 @@
 
 def test_peers_are_told_what_a_busy_server_holds() -> None:
     # bajio big days: a balancer heard from each server twice a minute and filled the slow ones.
-    d = Drive(servers=4, report_fields=("inflight",), can_tell=True, siblings=5, me=2)
+    d = Drive(servers=4, report_fields=("inflight",), can_message_peers=True, balancer_count=5, balancer_index=2)
     for _ in range(2):
         assert only(d.request()[1], Send)
         d.wait(MS)
-    told = only(d.end(only(d.log, Send)[0], Outcome.OK, 10 * MS, report=(9.0,), attempt=0), Tell)
+    told = only(d.end(only(d.log, Send)[0], Outcome.OK, 10 * MS, report=(9.0,), attempt=0), SendPeerMessage)
     assert not told  # all were idle as far as it knew
     d.request()
-    told = only(d.end(only(d.log, Send)[1], Outcome.OK, 10 * MS, report=(9.0,), attempt=0), Tell)
+    told = only(d.end(only(d.log, Send)[1], Outcome.OK, 10 * MS, report=(9.0,), attempt=0), SendPeerMessage)
     assert told and {t.peer for t in told} <= {0, 1, 3, 4}
-    other = Drive(servers=4, seed=3, report_fields=("inflight",), can_tell=True, siblings=5)
+    other = Drive(servers=4, seed=3, report_fields=("inflight",), can_message_peers=True, balancer_count=5)
     for junk in (b"", b"\xff" * len(told[0].payload), told[0].payload + b"\0"):
-        other.event(PeerMessage(2, junk))
+        other.event(PeerMessageReceived(2, junk))
     assert not any(s.heard_at for s in other.balancer.members.servers.values())
-    other.event(PeerMessage(2, told[0].payload))
+    other.event(PeerMessageReceived(2, told[0].payload))
     assert [s.others for s in other.balancer.members.servers.values() if s.heard_at] == [8.0]
 
 
 def test_a_peer_is_believed_about_listed_servers_only() -> None:
-    d = Drive(servers=4, report_fields=("inflight",), can_tell=True, siblings=5)
+    d = Drive(servers=4, report_fields=("inflight",), can_message_peers=True, balancer_count=5)
     for _ in range(6):
         d.end(only(d.request()[1], Send)[0], Outcome.OK, report=(9.0,))
-    note = only(d.log, Tell)[0].payload
-    empty = Drive(servers=0, report_fields=("inflight",), can_tell=True, siblings=5)
+    note = only(d.log, SendPeerMessage)[0].payload
+    empty = Drive(servers=0, report_fields=("inflight",), can_message_peers=True, balancer_count=5)
     empty.request()
-    assert not only(empty.event(PeerMessage(0, note)) + empty.wait(100 * MS), Send)
+    assert not only(empty.event(PeerMessageReceived(0, note)) + empty.wait(100 * MS), Send)
 
 
 def test_a_jam_that_grew_unseen_does_not_make_servers_look_slow() -> None:
     # bajio, crash: answers were set against loads told long before; all servers looked slow, all was refused.
-    d = Drive(servers=1, siblings=400, report_fields=("inflight",))
+    d = Drive(servers=1, balancer_count=400, report_fields=("inflight",))
     for _ in range(300):
         d.end(only(d.request()[1], Send)[0], Outcome.OK, 400 * MS, report=(10.0,))
         d.balancer.members.servers["s0"].others = 0.0  # what it is taken to hold at the next send
@@ -247,11 +246,11 @@
 
 def test_a_server_that_peers_fall_silent_about_is_drawn_rarely() -> None:
     # bajio big-2: each of 351 balancers found ten hung servers by losing a request to each.
-    d = Drive(servers=12, report_fields=("inflight",), can_tell=True, siblings=300)
+    d = Drive(servers=12, report_fields=("inflight",), can_message_peers=True, balancer_count=300)
     tags = {s.id: tag for tag, s in d.balancer.members.tags.items()}
     for _ in range(20):
         for b in d.backends[1:]:
-            d.event(PeerMessage(1, NOTE.pack(tags[b.id], 1, 0)))
+            d.event(PeerMessageReceived(1, NOTE.pack(tags[b.id], 1, 0)))
         d.wait(SECOND)
     sent = []
     for _ in range(600):
@@ -259,20 +258,20 @@
             sent.append(s.backend)
             d.end(s, Outcome.OK, MS)  # answers open the slow start; they bring no report
     assert 1 <= sent.count("s0") <= 25 and len(sent) == 600  # an even share is 50
-    d.event(PeerMessage(1, NOTE.pack(tags["s0"], 1, 0)))
+    d.event(PeerMessageReceived(1, NOTE.pack(tags["s0"], 1, 0)))
     sent = [s.backend for _ in range(600) for s in only(d.request()[1], Send)]
     assert sent.count("s0") >= 30
 
 
 def test_late_worth_does_not_let_a_retry_crowd_out_first_tries() -> None:
     # bajio overload: the limit stretched for late worth held for requests that give way, too.
-    late = RequestClass("late", 500 * MS, 4 * SECOND, late_worth=0.5)
+    late = RequestClass("late", 500 * MS, 4 * SECOND, late_value=0.5)
     for retry in (False, True):
-        d = Drive(late, servers=1, siblings=400, report_fields=("inflight",), can_tell=True)
+        d = Drive(late, servers=1, balancer_count=400, report_fields=("inflight",), can_message_peers=True)
         for _ in range(30):
             d.end(only(d.request()[1], Send)[0], Outcome.OK, 100 * MS, report=(1.0,))
             d.wait(100 * MS)
-        d.event(PeerMessage(1, NOTE.pack(next(iter(d.balancer.members.tags)), 6, 0)))
+        d.event(PeerMessageReceived(1, NOTE.pack(next(iter(d.balancer.members.tags)), 6, 0)))
         actions = d.event(RequestArrived(900, 0, 4 * SECOND, is_retry=retry))
         assert bool(only(actions, Send)) is not retry
 
@@ -283,8 +282,8 @@
     d.request()
     send = only(d.wait(25 * MS), Send)[0]
     for i in range(50):
-        d.list(Backend(f"new{i}"), Backend(f"new{i - 1}", State.GONE))
-    d.list(Backend("s0", State.GONE))
+        d.list(Backend(f"new{i}"), Backend(f"new{i - 1}", BackendState.GONE))
+    d.list(Backend("s0", BackendState.GONE))
     # The last one, and the one whose attempt is out.
     assert set(d.balancer.members.servers) == {"s0", "new49"} and len(d.balancer.members.tags) == 2
     d.end(send, Outcome.OK)
@@ -296,14 +295,14 @@
 def test_attempts_that_clients_leave_do_not_pile_up_as_load() -> None:
     # rate: clients left 200 times a second, each left a weight that faded over a second, and idle servers
     # were taken for full.
-    d = Drive(servers=2, siblings=2)
+    d = Drive(servers=2, balancer_count=2)
     d.serve(40, 2 * MS)
     sent = 0
     for _ in range(300):
         number, actions = d.request()
         for send in only(actions, Send):
             sent += 1
-            d.event(ClientGone(number))
+            d.event(ClientDisconnected(number))
             d.end(send, Outcome.CANCELLED, 2 * MS)
         d.wait(5 * MS)
     assert sent == 300 and all(s.own(d.now) < 5.0 for s in d.balancer.members.servers.values())
@@ -311,25 +310,25 @@
 
 def test_a_request_that_finds_all_busy_waits_a_little_for_a_place() -> None:
     # wide: all servers held two, the request was turned away, and its client came back after the aim.
-    d = Drive(servers=2, siblings=14)
+    d = Drive(servers=2, balancer_count=14)
     d.serve(40, 90 * MS)  # one held: 90 ms; the aim is 500 ms
     taken = [s for _ in range(4) for s in only(d.request()[1], Send)]
     assert len(taken) == 4
     number, actions = d.request()
-    assert not only(actions, Send) and not only(actions, Refuse)
-    assert only(d.request()[1], Refuse)  # one is held already: more of them would all come late
+    assert not only(actions, Send) and not only(actions, Reject)
+    assert only(d.request()[1], Reject)  # one is held already: more of them would all come late
     d.end(taken[0], Outcome.OK, 90 * MS)
     assert [s.request for s in only(d.wait(60 * MS), Send)] == [number]
     assert not d.balancer.attempts.waiting
 
 
 def test_one_that_waits_is_turned_away_while_its_client_can_still_use_that() -> None:
-    d = Drive(servers=1, siblings=14)
+    d = Drive(servers=1, balancer_count=14)
     d.serve(40, 90 * MS)
     for _ in range(3):
         _, actions = d.request()
     began = d.now
-    while not only(actions, Refuse):
+    while not only(actions, Reject):
         actions = d.wait(MS)
     assert d.now - began < 400 * MS and not d.balancer.attempts.waiting
 
@@ -339,9 +338,9 @@
     for held, refused in ((3.0, True), (0.0, False)):
         d = Drive(servers=4, report_fields=("inflight",))
         for _ in range(12):
-            number, actions = d.requests + 1, d.event(RequestArrived(d.requests + 1, 0, SECOND, cost_us=MS))
+            number, actions = d.requests + 1, d.event(RequestArrived(d.requests + 1, 0, SECOND, cost_hint_us=MS))
             d.requests = number
             d.end(only(actions, Send)[0], Outcome.OK, 100 * MS, report=(held + 1.0,))
             d.wait(10 * MS)
-        actions = d.event(RequestArrived(900, 0, SECOND, cost_us=40 * MS))
-        assert bool(only(actions, Refuse)) is refused and bool(only(actions, Send)) is not refused
+        actions = d.event(RequestArrived(900, 0, SECOND, cost_hint_us=40 * MS))
+        assert bool(only(actions, Reject)) is refused and bool(only(actions, Send)) is not refused
--- a/tests/test_fleet_bounds.py
+++ b/tests/test_fleet_bounds.py
@@ -11,15 +11,15 @@
 from lilacsill.balancing.interface import (
     Backend,
     BackendsChanged,
-    Discovery,
+    DiscoveryMode,
     ListKind,
     Outcome,
     Send,
     Settings,
     Watch,
 )
-from lilacsill.balancing.logic.cold import ColdBudget
-from lilacsill.balancing.logic.entities import Server
+from lilacsill.balancing.logic.records import Server
+from lilacsill.balancing.logic.warm_up_budget import WarmUpBudget
 
 from .helpers import MS, SAFE, SECOND, Drive, only
 
@@ -28,7 +28,7 @@
     """When a fleet that has just started asks for its list, in microseconds from then; 30 s."""
     asked: list[int] = []
     for seed in range(agents):
-        d = Drive(seed=seed, siblings=agents, discovery=Discovery.ASK)
+        d = Drive(seed=seed, balancer_count=agents, discovery=DiscoveryMode.POLL)
         start, seen = d.now, 0
         for _ in range(600):
             if any(isinstance(a, Watch) for a in d.log[seen:]):
@@ -63,7 +63,7 @@
     # any other and tells less.
     # Among few agents one is no proof: a client whose request no server can use draws a 400 as fast.
     for took_us, siblings, out in ((MS, 40, True), (20 * MS, 40, False), (MS, 3, False)):
-        d = Drive(servers=8, siblings=siblings)
+        d = Drive(servers=8, balancer_count=siblings)
         d.serve(40)
         send = only(d.request()[1], Send)[0]
         d.end(send, Outcome.ERROR, took_us)
@@ -74,7 +74,7 @@
     # zone+vast: each of forty agents held nothing at a server that all together had filled, so each sent one
     # more; a tenth of the answers came when their clients had left.
     for siblings, served in ((40, False), (1, True)):
-        d = Drive(servers=8, siblings=siblings, report_fields=("inflight",))
+        d = Drive(servers=8, balancer_count=siblings, report_fields=("inflight",))
         for _ in range(60):
             for s in only(d.request(2 * SECOND)[1], Send):
                 d.end(s, Outcome.OK, 400 * MS, report=(20.0,))
@@ -87,7 +87,7 @@
 def test_the_pace_of_the_fleet_is_that_of_warm_servers() -> None:
     # churn+huge: with most servers young, their slow answers were taken for the fleet's pace, and what cold
     # servers are given by it was halved once more.
-    d = Drive(servers=0, start_fraction=0.1, warm_up_us=1000 * SECOND, siblings=40)
+    d = Drive(servers=0, warm_up_start_fraction=0.1, warm_up_us=1000 * SECOND, balancer_count=40)
     d.list(*(Backend(f"new{i}", started_at=d.now) for i in range(8)))
     for _ in range(200):
         for s in only(d.request()[1] + d.wait(SECOND), Send):
@@ -103,17 +103,17 @@
     window, pace = 3 * SECOND, 5 * MS
     settings = Settings(
         (SAFE,),
-        siblings=siblings,
-        fall_multiple=multiple,
-        fall_window_us=window,
-        start_fraction=0.1,
+        balancer_count=siblings,
+        overload_multiple=multiple,
+        overload_window_us=window,
+        warm_up_start_fraction=0.1,
         warm_up_us=20 * SECOND,
     )
     now = 100 * SECOND
     servers = [
         Server(Backend(f"s{i}", started_at=int(now - (w - 0.1) / 0.9 * 20 * SECOND)), now) for i, w in enumerate(warm)
     ]
-    budgets = [ColdBudget(settings, Random(i)) for i in range(siblings)]
+    budgets = [WarmUpBudget(settings, Random(i)) for i in range(siblings)]
     for b in budgets:
         b.credit = 1.0  # at worst each has one held back
         b.whole = 1e-12
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -1,4 +1,4 @@
-"""Homes: two uniform samples by key, the same everywhere, that only those who leave or come move."""
+"""AffinityMap: two uniform samples by key, the same everywhere, that only those who leave or come move."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from hypothesis import strategies as st
 
 from lilacsill.balancing.interface import Backend, Outcome, RequestArrived, Send
-from lilacsill.balancing.logic.entities import Server
-from lilacsill.balancing.logic.homes import HOMES, KEYS, Homes
+from lilacsill.balancing.logic.affinity import HOMES, KEYS, AffinityMap
+from lilacsill.balancing.logic.records import Server
 from tests.helpers import MS, SECOND, Drive, only
 
 ids = st.lists(st.text("0123456789abcdef", min_size=4, max_size=12), min_size=1, max_size=40, unique=True)
 keys = st.integers(1, 2**64 - 1)
 
 
-def homes(names: list[str]) -> Homes:
-    found = Homes()
+def homes(names: list[str]) -> AffinityMap:
+    found = AffinityMap()
     found.listed([Server(Backend(n), 0) for n in names])
     return found
 
 
-def names(found: Homes, key: int) -> list[str]:
+def names(found: AffinityMap, key: int) -> list[str]:
     return [str(s.id) for s in found.of(key)]
 
 
@@ -67,7 +67,7 @@
 
 
 def test_requests_for_one_key_go_to_its_homes_and_others_spread() -> None:
-    d = Drive(servers=12, siblings=3)
+    d = Drive(servers=12, balancer_count=3)
     d.serve(60)
     for key, bound in ((77, 2), (0, 12)):
         used = Counter()  # type: Counter[object]
@@ -80,7 +80,7 @@
 
 
 def test_a_home_that_is_excluded_is_stood_in_for() -> None:
-    d = Drive(servers=12, siblings=3)
+    d = Drive(servers=12, balancer_count=3)
     d.serve(60)
     send = keyed_send(d, 77)
     d.end(send, Outcome.CONNECT_FAILED)  # excluded at once
@@ -92,7 +92,7 @@
 
 
 def test_a_fleet_that_slows_down_is_believed_slow_before_its_answers_come() -> None:
-    d = Drive(servers=2, siblings=1)
+    d = Drive(servers=2, balancer_count=1)
     d.serve(80)
     sends = [s for _ in range(4) for s in only(d.request()[1], Send)]
     table, s = d.balancer.table, d.balancer.members.servers[sends[0].backend]
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -14,16 +14,16 @@
     Outcome,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
     RequestArrived,
     RequestClass,
     Send,
     TimerFired,
 )
-from lilacsill.balancing.logic.core import Core
-from lilacsill.balancing.logic.entities import Request
-from lilacsill.balancing.logic.full import FULL_US, FoundFull
+from lilacsill.balancing.logic.context import Core
+from lilacsill.balancing.logic.records import Request
 from lilacsill.balancing.logic.sampling import Sampler
+from lilacsill.balancing.logic.saturation import FULL_US, SaturationCache
 
 from .helpers import MS, SAFE, SECOND, Drive, only
 
@@ -128,7 +128,7 @@
 
 def test_a_full_fleet_is_looked_at_once_until_there_is_news(caller: Caller, monkeypatch: pytest.MonkeyPatch) -> None:
     out, looks = full_and_late(caller, monkeypatch)
-    refused = sum(len(only(caller.request()[1], Refuse)) for _ in range(200))
+    refused = sum(len(only(caller.request()[1], Reject)) for _ in range(200))
     assert refused > 150 and len(looks) == 1
     caller.end(out, Outcome.OK)
     caller.request()
@@ -175,7 +175,7 @@
 def test_nothing_that_could_be_met_is_taken_for_hopeless(
     demands: list[Demand], time: float, room: int, capacity: float, warmth: float
 ) -> None:
-    full = FoundFull()
+    full = SaturationCache()
     for d in demands:
         met = d.met(time, room, capacity, warmth)
         if full.holds(d.request, 0, d.limit):
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -8,14 +8,14 @@
 from lilacsill.balancing.interface import (
     Backend,
     BackendsChanged,
+    BackendState,
     ListKind,
     MaintenanceChanged,
     Outcome,
     Probe,
-    Refuse,
+    Reject,
     RequestArrived,
     Send,
-    State,
 )
 from tests.helpers import SECOND, Drive
 
@@ -34,7 +34,7 @@
 STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("call"), st.sampled_from(NAMES), st.booleans()),
-        st.tuples(st.just("list"), st.sampled_from(NAMES), st.sampled_from(list(State))),
+        st.tuples(st.just("list"), st.sampled_from(NAMES), st.sampled_from(list(BackendState))),
         st.tuples(st.just("all"), st.sampled_from(list(ListKind)), st.frozensets(st.sampled_from(NAMES))),
     ),
     max_size=20,
@@ -48,23 +48,23 @@
     """Against a plain model: a set that calls change, and a dictionary that lists change."""
     d = Drive(servers=3)
     out: set[object] = set()
-    listed: dict[object, State] = dict.fromkeys(NAMES, State.READY)
+    listed: dict[object, BackendState] = dict.fromkeys(NAMES, BackendState.READY)
     for kind, what, how in steps:
         d.now += 1000
         if kind == "call":
             (out.add if how else out.discard)(what)
             d.event(MaintenanceChanged(str(what), bool(how)))
         elif kind == "list":
-            assert isinstance(how, State)
+            assert isinstance(how, BackendState)
             listed[what] = how
             d.event(BackendsChanged(ListKind.DELTA, [Backend(str(what), how)]))
         elif what in (ListKind.FULL, ListKind.DELTA):
             assert isinstance(how, frozenset) and isinstance(what, ListKind)
-            listed |= dict.fromkeys(how, State.READY)
+            listed |= dict.fromkeys(how, BackendState.READY)
             if what is ListKind.FULL:
-                listed = dict.fromkeys(how, State.READY)
+                listed = dict.fromkeys(how, BackendState.READY)
             d.event(BackendsChanged(what, [Backend(n) for n in how]))
-        fit = {n for n, state in listed.items() if state is State.READY and n not in out}
+        fit = {n for n, state in listed.items() if state is BackendState.READY and n not in out}
         assert {s.id for s in d.balancer.members.ready} == fit
         before = len(d.log)
         d.requests += 1
@@ -78,11 +78,11 @@
     for name in ("s0", "s1"):
         d.event(MaintenanceChanged(name, True))
     d.requests += 1
-    assert any(isinstance(a, Refuse) for a in d.event(RequestArrived(d.requests, 0, SECOND)))
+    assert any(isinstance(a, Reject) for a in d.event(RequestArrived(d.requests, 0, SECOND)))
 
 
 def test_one_that_comes_back_is_cold_until_it_must_be_warm_whatever_lists_say() -> None:
-    d = Drive(servers=2, start_fraction=0.2, warm_up_us=20 * SECOND)
+    d = Drive(servers=2, warm_up_start_fraction=0.2, warm_up_us=20 * SECOND)
     cold, s = d.balancer.sampler.cold, d.balancer.members.servers["s0"]
     assert cold.warmth(s, d.now) == 1.0
     d.event(MaintenanceChanged("s0", True))
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -20,36 +20,36 @@
     run_state_machine_as_test,
 )
 
-from lilacsill.balancing.logic import Balancer
 from lilacsill.balancing.interface import (
     Action,
     AttemptEnded,
     Backend,
     BackendsChanged,
+    BackendState,
     Cancel,
-    ClientGone,
-    Discovery,
-    Effect,
+    ClientDisconnected,
+    DedupScope,
+    DiscoveryMode,
     Event,
     Fail,
     Fetch,
-    Group,
+    Idempotency,
     ListKind,
     Log,
     Outcome,
     Probe,
     ProbeEnded,
-    Refuse,
+    Reject,
     RequestArrived,
     RequestClass,
     Send,
-    Settings,
     SetTimer,
-    State,
+    Settings,
     StreamStarted,
     TimerFired,
     Watch,
 )
+from lilacsill.balancing.logic import Balancer
 
 MS, SECOND = 1_000, 1_000_000
 PROVEN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
@@ -87,24 +87,24 @@
         r, told = self.requests[a.request], self.told
         assert not r.answered, "rule 1: sent after the final answer"
         assert now < r.deadline, "rule 1: sent after the client's time"
-        assert now + a.timeout_us <= r.deadline + told.answer_slack_us, "rule 1: may outlast the client"
+        assert now + a.timeout_us <= r.deadline + told.answer_grace_us, "rule 1: may outlast the client"
         assert len(r.attempts) < told.max_attempts, "more attempts than allowed"
         b = self.listed.get(a.backend)
         assert b is not None, "sent to a server that no list has named"
-        assert b.state is State.READY, "rule 3: sent to a server that drains or is gone"
+        assert b.state is BackendState.READY, "rule 3: sent to a server that drains or is gone"
         maybe = [x for x in r.attempts if x.ended not in PROVEN]
-        if r.cls.effect is Effect.UNSAFE:
+        if r.cls.idempotency is Idempotency.NOT_IDEMPOTENT:
             assert not maybe, "rule 2: unsafe sent again though it may have run"
-        if r.cls.effect is Effect.KEYED and maybe:
-            assert now <= maybe[0].sent_at + r.cls.window_us, "rule 2: keyed sent again after its window"
+        if r.cls.idempotency is Idempotency.DEDUPLICATED and maybe:
+            assert now <= maybe[0].sent_at + r.cls.dedup_window_us, "rule 2: keyed sent again after its window"
             for x in maybe:
                 same = {
-                    Group.ALL: True,
-                    Group.ZONE: x.backend.zone == b.zone,
-                    Group.CELL: x.backend.cell == b.cell,
+                    DedupScope.ALL: True,
+                    DedupScope.ZONE: x.backend.zone == b.zone,
+                    DedupScope.CELL: x.backend.cell == b.cell,
                 }
-                assert same[r.cls.group], "rule 2: keyed sent outside its group"
-        if not told.second_copies:
+                assert same[r.cls.dedup_scope], "rule 2: keyed sent outside its group"
+        if not told.can_hedge:
             assert all(x.ended for x in r.attempts), "rule 2: two attempts out at once"
         r.attempts.append(Attempt(replace(b), now, now + a.timeout_us))
         if b.started_at and now < b.started_at + told.warm_up_us:
@@ -114,25 +114,27 @@
         sends = self.cold_sends.setdefault((b.id, b.started_at), [])
         sends.append(now)
         told, ramp = self.told, (now - b.started_at) / self.told.warm_up_us
-        warm = told.start_fraction + (1 - told.start_fraction) * ramp
-        window = [t for t in sends if t > now - told.fall_window_us]
-        seen = sum(t > now - told.fall_window_us for t in self.arrivals)
+        warm = told.warm_up_start_fraction + (1 - told.warm_up_start_fraction) * ramp
+        window = [t for t in sends if t > now - told.overload_window_us]
+        seen = sum(t > now - told.overload_window_us for t in self.arrivals)
         part = seen / self.fewest_ready  # what a warm server would have been sent of this balancer's requests
-        assert len(window) <= told.fall_multiple * part * warm + 3, "rule 4: pushes over a cold server"
+        assert len(window) <= told.overload_multiple * part * warm + 3, "rule 4: pushes over a cold server"
 
-    def final(self, a: Refuse | Fail) -> None:
+    def final(self, a: Reject | Fail) -> None:
         r = self.requests[a.request]
         assert not r.answered, "rule 1: a second final answer"
-        if isinstance(a, Refuse):
+        if isinstance(a, Reject):
             assert 0 <= a.retry_after_us <= self.told.max_retry_after_us
             if any(x.ended not in PROVEN for x in r.attempts):
-                safe = r.cls.effect is Effect.SAFE
-                assert safe or (r.cls.effect is Effect.KEYED and r.cls.group is Group.ALL), "rule 2: refused"
+                safe = r.cls.idempotency is Idempotency.IDEMPOTENT
+                assert safe or (
+                    r.cls.idempotency is Idempotency.DEDUPLICATED and r.cls.dedup_scope is DedupScope.ALL
+                ), "rule 2: refused"
         r.answered = True
 
     def passed(self, now: int) -> None:
         for r in self.requests.values():
-            assert r.answered or now <= r.deadline + self.told.answer_slack_us, "rule 1: no answer in time"
+            assert r.answered or now <= r.deadline + self.told.answer_grace_us, "rule 1: no answer in time"
 
 
 class Orders(RuleBasedStateMachine):
@@ -148,32 +150,32 @@
         cls = st.builds(
             RequestClass,
             name=st.uuids().map(str),
-            aim_us=st.sampled_from([1, 20 * MS, 300 * MS]),
+            latency_target_us=st.sampled_from([1, 20 * MS, 300 * MS]),
             deadline_us=st.just(SECOND),
-            effect=st.sampled_from(Effect),
-            group=st.sampled_from(Group),
-            window_us=st.sampled_from([0, 1, 50 * MS, SECOND]),
-            worth=st.sampled_from([0.0, 1.0, 8.0]),
-            late_worth=st.sampled_from([0.0, 0.5]),
-            aim_stretch=st.sampled_from([0.0, 2.0]),
+            idempotency=st.sampled_from(Idempotency),
+            dedup_scope=st.sampled_from(DedupScope),
+            dedup_window_us=st.sampled_from([0, 1, 50 * MS, SECOND]),
+            value=st.sampled_from([0.0, 1.0, 8.0]),
+            late_value=st.sampled_from([0.0, 0.5]),
+            target_per_cost=st.sampled_from([0.0, 2.0]),
         )
         tick = draw(st.sampled_from([0, MS, 5 * MS]))
         self.told = Settings(
             classes=tuple(draw(st.lists(cls, min_size=1, max_size=3))),
             tick_us=tick,
-            answer_slack_us=draw(st.sampled_from([0, 4 * tick])),
-            discovery=draw(st.sampled_from(Discovery)),
-            siblings=draw(st.sampled_from([1, 3, 500])),
-            second_copies=draw(st.booleans()),
+            answer_grace_us=draw(st.sampled_from([0, 4 * tick])),
+            discovery=draw(st.sampled_from(DiscoveryMode)),
+            balancer_count=draw(st.sampled_from([1, 3, 500])),
+            can_hedge=draw(st.booleans()),
             can_cancel=draw(st.booleans()),
             can_probe=draw(st.booleans()),
             max_attempts=draw(st.integers(1, 4)),
-            retry_after=draw(st.booleans()),
+            can_advise_retry=draw(st.booleans()),
             capacity_hints=False,
             report_fields=("inflight",),
-            start_fraction=draw(st.sampled_from([0.05, 0.5, 1.0])),
+            warm_up_start_fraction=draw(st.sampled_from([0.05, 0.5, 1.0])),
             warm_up_us=draw(st.sampled_from([0, SECOND, 10 * SECOND])),
-            fall_multiple=draw(st.sampled_from([0.5, 3.0])),
+            overload_multiple=draw(st.sampled_from([0.5, 3.0])),
         )
         self.tick, self.now, self.count = tick or 1, 100 * SECOND, 0
         self.timers: list[tuple[int, int]] = []
@@ -191,7 +193,7 @@
     def act(self, a: Action) -> None:
         if isinstance(a, Send):
             self.checker.send(self.now, a)
-        elif isinstance(a, Refuse | Fail):
+        elif isinstance(a, Reject | Fail):
             self.checker.final(a)
         elif isinstance(a, Cancel):
             assert self.told.can_cancel
@@ -210,10 +212,10 @@
         known = self.checker.listed
         if kind in (ListKind.FULL, ListKind.CACHED):
             for b in known.values():
-                b.state = State.GONE
+                b.state = BackendState.GONE
         for b in backends:
             known[b.id] = replace(b)
-        ready = sum(b.state is State.READY for b in known.values())
+        ready = sum(b.state is BackendState.READY for b in known.values())
         self.checker.fewest_ready = min(self.checker.fewest_ready or ready, ready) or 1
         self.event(BackendsChanged(kind, backends))
 
@@ -238,7 +240,7 @@
             cls %= len(self.told.classes)
             self.checker.requests[self.count] = Taken(self.told.classes[cls], self.now + patience)
             self.checker.arrivals.append(self.now)
-            self.event(RequestArrived(self.count, cls, patience, cost_us=10 * MS))
+            self.event(RequestArrived(self.count, cls, patience, cost_hint_us=10 * MS))
 
     @precondition(lambda self: self.out())
     @rule(data=st.data(), many=st.integers(1, 8), outcome=st.sampled_from(Outcome))
@@ -264,10 +266,10 @@
     def client_leaves(self, data: st.DataObject) -> None:
         request = data.draw(st.sampled_from(sorted(self.checker.requests)))
         self.checker.requests[request].answered = True
-        self.event(ClientGone(request))
+        self.event(ClientDisconnected(request))
 
-    @rule(data=st.data(), state=st.sampled_from(State), fresh=st.booleans(), whole=st.booleans())
-    def list_changes(self, data: st.DataObject, state: State, fresh: bool, whole: bool) -> None:
+    @rule(data=st.data(), state=st.sampled_from(BackendState), fresh=st.booleans(), whole=st.booleans())
+    def list_changes(self, data: st.DataObject, state: BackendState, fresh: bool, whole: bool) -> None:
         server = data.draw(st.sampled_from([0, 1, 2, 6, 31]))
         b = Backend(server, state, server % 2, server % 3, started_at=self.now - 5 * MS if fresh else 0)
         kept = [replace(x) for x in self.checker.listed.values() if x.id not in (server, 3)]
@@ -331,7 +333,7 @@
     """Breaks rule 1: forgets to answer what it would refuse."""
 
     def handle(self, now: int, event: Event) -> list[Action]:
-        return [a for a in super().handle(now, event) if not isinstance(a, Refuse)]
+        return [a for a in super().handle(now, event) if not isinstance(a, Reject)]
 
 
 class Trusting(Balancer):
@@ -348,7 +350,7 @@
 
     def handle(self, now: int, event: Event) -> list[Action]:
         if isinstance(event, BackendsChanged):
-            event = replace(event, backends=[b for b in event.backends if b.state is State.READY])
+            event = replace(event, backends=[b for b in event.backends if b.state is BackendState.READY])
         return super().handle(now, event)
 
 
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -6,16 +6,16 @@
 
 from lilacsill.balancing.interface import (
     Backend,
+    BackendState,
     Cancel,
-    ClientGone,
+    ClientDisconnected,
+    DedupScope,
     Fail,
-    Group,
     ListKind,
     Outcome,
-    Refuse,
+    Reject,
     RequestClass,
     Send,
-    State,
 )
 from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, keyed, only
 
@@ -24,10 +24,10 @@
 
 
 def finals(d: Drive, request: int) -> list[object]:
-    return [a for a in d.log if isinstance(a, Refuse | Fail) and a.request == request]
+    return [a for a in d.log if isinstance(a, Reject | Fail) and a.request == request]
 
 
-@pytest.mark.parametrize("cls", [SAFE, UNSAFE, keyed(Group.CELL)])
+@pytest.mark.parametrize("cls", [SAFE, UNSAFE, keyed(DedupScope.CELL)])
 @pytest.mark.parametrize("outcome", [*RAN, *UNSEEN])
 def test_one_final_answer_when_every_attempt_fails(cls: RequestClass, outcome: Outcome) -> None:
     d = Drive(cls, max_attempts=3)
@@ -45,7 +45,7 @@
 
 def test_time_out_at_the_clients_time_is_answered_at_once() -> None:
     d = Drive()
-    request, actions = d.request(patience_us=300 * MS)
+    request, actions = d.request(timeout_us=300 * MS)
     send = only(actions, Send)[0]
     assert send.timeout_us <= 300 * MS
     d.now += 300 * MS
@@ -55,7 +55,7 @@
 
 def test_no_time_left_is_answered_at_once() -> None:
     d = Drive()
-    request, actions = d.request(patience_us=0)
+    request, actions = d.request(timeout_us=0)
     assert len(finals(d, request)) == 1 and not only(actions, Send)
 
 
@@ -63,11 +63,11 @@
     d = Drive()
     request, actions = d.request()
     send = only(actions, Send)[0]
-    d.event(ClientGone(request))
+    d.event(ClientDisconnected(request))
     d.end(send, Outcome.ERROR)
     d.wait(2 * SECOND)
     assert not finals(d, request) and len(only(d.log, Send)) == 1
-    d.event(ClientGone(request))  # known no more: ignored
+    d.event(ClientDisconnected(request))  # known no more: ignored
     d.end(send, Outcome.ERROR)
 
 
@@ -89,7 +89,7 @@
 
 def test_keyed_stays_in_its_group() -> None:
     for seed in range(20):
-        d = Drive(keyed(Group.CELL), servers=12, seed=seed)
+        d = Drive(keyed(DedupScope.CELL), servers=12, seed=seed)
         cells = {b.id: b.cell for b in d.backends}
         _, actions = d.request()
         first = only(actions, Send)[0]
@@ -97,8 +97,8 @@
         assert again and cells[again[0].backend] == cells[first.backend]
 
 
-@pytest.mark.parametrize("group, final", [(Group.ZONE, Fail), (Group.ALL, Refuse)])
-def test_keyed_is_not_sent_after_its_window(group: Group, final: type) -> None:
+@pytest.mark.parametrize("group, final", [(DedupScope.ZONE, Fail), (DedupScope.ALL, Reject)])
+def test_keyed_is_not_sent_after_its_window(group: DedupScope, final: type) -> None:
     d = Drive(keyed(group, window_us=100 * MS))
     request, actions = d.request()
     d.now += 100 * MS
@@ -106,11 +106,11 @@
     assert isinstance(finals(d, request)[0], final)
 
 
-@pytest.mark.parametrize("cls", [SAFE, keyed(Group.ALL)])
+@pytest.mark.parametrize("cls", [SAFE, keyed(DedupScope.ALL)])
 def test_one_attempt_at_a_time_where_copies_are_forbidden(cls: RequestClass) -> None:
     # Nor is an overdue attempt cancelled to be tried elsewhere: on a quiet ibarra day, where a cancel stops
     # nothing, that made 1.2 attempts of each request and cost more time than it saved.
-    d = Drive(cls, second_copies=False)
+    d = Drive(cls, can_hedge=False)
     d.serve(20)
     _, actions = d.request()
     first = only(actions, Send)[0]
@@ -121,15 +121,15 @@
 
 
 def test_an_overdue_attempt_gets_a_second_copy_where_that_is_allowed() -> None:
-    d = Drive(SAFE, second_copies=True)
+    d = Drive(SAFE, can_hedge=True)
     d.serve(20)
     first = only(d.request()[1], Send)[0]
     second = only(d.wait(300 * MS), Send)
     assert second and second[0].backend != first.backend
 
 
-@pytest.mark.parametrize("state", [State.DRAINING, State.GONE])
-def test_nothing_to_a_draining_or_gone_server(state: State) -> None:
+@pytest.mark.parametrize("state", [BackendState.DRAINING, BackendState.GONE])
+def test_nothing_to_a_draining_or_gone_server(state: BackendState) -> None:
     d = Drive(servers=2)
     d.list(Backend("s0", state))
     for _ in range(50):
@@ -151,10 +151,10 @@
         Drive(
             servers=9,
             seed=i,
-            siblings=4,
-            start_fraction=start,
+            balancer_count=4,
+            warm_up_start_fraction=start,
             warm_up_us=20 * SECOND,
-            fall_window_us=window * SECOND,
+            overload_window_us=window * SECOND,
         )
         for i in range(len(parts))
     ]
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -5,40 +5,40 @@
 from typing import Any
 
 import pytest
-from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
 
 from lilacsill.balancing.interface import (
     Backend,
     BackendsChanged,
-    ClientGone,
-    Discovery,
+    ClientDisconnected,
+    DiscoveryMode,
     Fail,
     ListKind,
     Outcome,
     Prices,
-    Refuse,
+    Reject,
     RequestArrived,
     Send,
     Settings,
     TimerFired,
     Watch,
 )
+from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
 
 
 @pytest.mark.parametrize(
     "name, value",
     [
-        ("siblings", 0),
+        ("balancer_count", 0),
         ("max_attempts", 0),
-        ("start_fraction", 0.0),
-        ("start_fraction", 1.5),
+        ("warm_up_start_fraction", 0.0),
+        ("warm_up_start_fraction", 1.5),
         ("warm_up_us", -1),
-        ("fall_multiple", 0.0),
-        ("fall_multiple", float("inf")),
-        ("me", 1),
-        ("fall_window_us", 0),
+        ("overload_multiple", 0.0),
+        ("overload_multiple", float("inf")),
+        ("balancer_index", 1),
+        ("overload_window_us", 0),
         ("tick_us", -1),
-        ("ask_within_us", 0),
+        ("poll_within_us", 0),
     ],
 )
 def test_out_of_range_names_the_field(name: str, value: float) -> None:
@@ -51,9 +51,9 @@
 def test_no_server_holds_then_refuses_before_the_aim(cls: Any) -> None:
     d = Drive(cls, servers=0)
     request, actions = d.request()
-    assert not only(actions, Send) and not only(actions, Refuse)
+    assert not only(actions, Send) and not only(actions, Reject)
     later = d.wait(500 * MS)
-    assert [a.request for a in only(later, Refuse)] == [request] and not only(later, Fail)
+    assert [a.request for a in only(later, Reject)] == [request] and not only(later, Fail)
 
 
 def test_a_held_request_goes_to_the_first_server_named() -> None:
@@ -74,7 +74,7 @@
 
 
 def test_a_failed_list_call_is_repeated_soon_and_only_then() -> None:
-    d = Drive(discovery=Discovery.ASK)
+    d = Drive(discovery=DiscoveryMode.POLL)
     assert len(only(d.log, Watch)) == 1
     d.wait(10 * SECOND)
     assert len(only(d.log, Watch)) == 1
@@ -113,5 +113,5 @@
     d = Drive()
     send = only(d.request()[1], Send)[0]
     d.end(send, Outcome.OK)
-    assert not d.end(send, Outcome.OK) and not d.event(ClientGone(send.request))
+    assert not d.end(send, Outcome.OK) and not d.event(ClientDisconnected(send.request))
     assert not d.event(TimerFired(5))
--- a/tests/test_streams_module.py
+++ b/tests/test_streams_module.py
@@ -8,7 +8,7 @@
     RequestArrived,
     Send,
     StreamStarted,
-    Uploading,
+    UploadChanged,
 )
 from tests.helpers import MS, SECOND, Drive
 
@@ -42,10 +42,10 @@
     d = Drive(servers=1)
     (send,) = ask(d, 1)
     s = d.balancer.members.servers[send.backend]
-    d.event(Uploading(send.request, 0, False))
+    d.event(UploadChanged(send.request, 0, False))
     assert not s.open and d.balancer.attempts.start.out == 0
     d.now += SECOND
-    d.event(Uploading(send.request, 0, True))
+    d.event(UploadChanged(send.request, 0, True))
     assert list(s.open.values()) == [d.now] and d.balancer.attempts.start.out == 1
     d.event(AttemptEnded(send.request, 0, send.backend, Outcome.OK, 20 * MS, True))
     assert not s.open and d.balancer.attempts.start.out == 0 and s.latency == 20 * MS
--- a/tests/test_tenants_module.py
+++ b/tests/test_tenants_module.py
@@ -5,7 +5,7 @@
 import pytest
 
 from lilacsill.balancing.interface import Outcome, RequestArrived, Send, Tenant, TenantChanged
-from lilacsill.balancing.logic.entities import Request
+from lilacsill.balancing.logic.records import Request
 from tests.helpers import MS, SECOND, Drive, only
 
 
