--- a/benchmarks/capacity/traffic.py
+++ b/benchmarks/capacity/traffic.py
@@ -34,9 +34,9 @@
         SENT[type(message).__name__] += 1
         return super().send(message, number)
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         BYTES["received"] += len(data)
-        super().received(data)
+        super().data_received(data)
 
 
 def count() -> None:
--- a/benchmarks/mesh_cost.py
+++ b/benchmarks/mesh_cost.py
@@ -22,7 +22,7 @@
 from lilacsill.mesh.runtime.link import connect
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Reader, request
+from lilacsill.http1.message import Reader, encode_request
 
 CLIENTS = 8
 TICK_S = 1 / os.sysconf("SC_CLK_TCK")
@@ -58,7 +58,7 @@
             (b"Attempt-Id", b"%x-%d" % (id(self), self._left)),
             (b"Time-Left-Ms", b"2000"),
         ]
-        self.send(request(b"GET", b"/reads/a", headers))
+        self.send(encode_request(b"GET", b"/reads/a", headers))
 
     def on_data(self, data: bytes) -> None:
         for message in self._reader.feed(data):
@@ -85,7 +85,7 @@
     fair.start("proxy", ip)
 
     def ask() -> None:
-        data = request(b"GET", b"/api/ready", [(b"Host", b"proxy")])
+        data = encode_request(b"GET", b"/api/ready", [(b"Host", b"proxy")])
         Exchange(fair.reactor, Address(ip, READY), data, answered)
 
     def answered(status: int, _: bytes) -> None:
--- a/lilacsill/address.py
+++ b/lilacsill/address.py
@@ -1,4 +1,4 @@
-"""Where something listens."""
+"""The address of a listener."""
 
 from __future__ import annotations
 
@@ -6,12 +6,18 @@
 
 
 class Address(NamedTuple):
+    """A host (a name, or a numeric IPv4 or IPv6 address without brackets) and a TCP or UDP port."""
+
     host: str
     port: int
 
 
 def parse_address(text: str) -> Address:
-    """`host:port`, an IPv6 host in brackets. Raises ValueError."""
+    """Parse `host:port`; an IPv6 host stands in brackets.
+
+    Raises:
+        ValueError: The text is not an address.
+    """
     host, _, port = text.rpartition(":")
     if host.startswith("[") and host.endswith("]"):
         host = host[1:-1]
--- a/lilacsill/agent/admin/door.py
+++ b/lilacsill/agent/admin/door.py
@@ -13,7 +13,7 @@
 from lilacsill.address import Address
 from ..descriptors import Spare
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Reader, answer
+from lilacsill.http1.message import Reader, encode_response
 from ..inbound.accept import AcceptLoop, listen
 from .calls import JSON, Call, Refused, read_call
 
@@ -51,8 +51,8 @@
         self.discarding = False
         self._tell(500, {"error": "internal error"})
 
-    def shut(self) -> None:
-        super().shut()
+    def connection_lost(self) -> None:
+        super().connection_lost()
         self._reader.end()
         self._door.left(self)
 
@@ -61,7 +61,7 @@
         headers = [("Connection", "close"), ("Content-Type", JSON)]
         if allow:
             headers.append(("Allow", allow))
-        self.send(answer(status, headers, json.dumps(what).encode() + b"\n"))
+        self.send(encode_response(status, headers, json.dumps(what).encode() + b"\n"))
         if self.stream is not None:
             self.stream.half_close()  # closing on unread bytes would reset the answer away
 
--- a/lilacsill/agent/discovery/watch.py
+++ b/lilacsill/agent/discovery/watch.py
@@ -14,8 +14,8 @@
 from lilacsill.clock import Clock
 from ..descriptors import EXHAUSTED
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Reader, Unreadable, request
-from lilacsill.net.connecting import connected
+from lilacsill.http1.message import Reader, InvalidMessageError, encode_request
+from lilacsill.net.connecting import connect
 from .listing import Listing, ListingParser
 
 log = logging.getLogger(__name__)
@@ -41,11 +41,11 @@
     async def get(self, target: str) -> bytes:
         """The body of a 200; anything else raises."""
         self._answer = asyncio.get_running_loop().create_future()
-        self.send(request(b"GET", target.encode(), [(b"Host", b"discovery")]))
+        self.send(encode_request(b"GET", target.encode(), [(b"Host", b"discovery")]))
         return await self._answer
 
-    def shut(self) -> None:
-        super().shut()
+    def connection_lost(self) -> None:
+        super().connection_lost()
         self._reader.end()
 
     def on_data(self, data: bytes) -> None:
@@ -198,7 +198,7 @@
                 return call
             call.drop()
         try:
-            sock = await connected(self._clock, self._address, self._connect_s)
+            sock = await connect(self._clock, self._address, self._connect_s)
         except OSError as e:
             if e.errno in EXHAUSTED:
                 # The call fails, and the module asks again soon; by then a client has made way.
@@ -220,5 +220,5 @@
 
 def _failed(e: Exception) -> None:
     """What discovery does wrong is one line; a fault of the agent's own shows where it is."""
-    foreseen = isinstance(e, OSError | ValueError | Unreadable)
+    foreseen = isinstance(e, OSError | ValueError | InvalidMessageError)
     log.warning("call to discovery failed: %s", str(e) or type(e).__name__, exc_info=not foreseen)
--- a/lilacsill/agent/inbound/answering.py
+++ b/lilacsill/agent/inbound/answering.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lilacsill.http1.message import Headers, Message, answer_head, chunk
+from lilacsill.http1.message import Headers, Message, encode_response_head, encode_chunk
 from ..watermarks import Watermarks
 
 
@@ -39,12 +39,12 @@
             headers = [*headers, ("Content-Length", str(length))]
         elif self._chunked:
             headers = [*headers, ("Transfer-Encoding", "chunked")]
-        client.send(answer_head(200, headers))
+        client.send(encode_response_head(200, headers))
 
     def write(self, data: bytes) -> bool:
         """Pass a piece on. Returns whether the reading side has to wait until `relieved`."""
         if data:
-            self._client.send(chunk(data) if self._chunked else data)
+            self._client.send(encode_chunk(data) if self._chunked else data)
         return self._share.holds(self._client.unsent)
 
     def flushed(self) -> None:
@@ -56,7 +56,7 @@
         """The answer is whole."""
         if self.end():
             if self._chunked:
-                self._client.send(chunk(b""))
+                self._client.send(encode_chunk(b""))
             self._client.streamed()
 
     def abort(self) -> None:
--- a/lilacsill/agent/inbound/downstream.py
+++ b/lilacsill/agent/inbound/downstream.py
@@ -10,7 +10,7 @@
 from ..admission.connections import Record
 from ..admission.policy import State
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Headers, Message, Reader, Unreadable, answer, origin_form
+from lilacsill.http1.message import Headers, Message, Reader, InvalidMessageError, encode_response, origin_form
 from ..watermarks import Sink, Watermarks
 from .answering import AnswerStream
 from .upload import Upload
@@ -38,7 +38,7 @@
     """Who says what a request must be."""
 
     def validate(self, request: Message, respond: Respond) -> DownstreamRequest:
-        """Raises Unreadable for one that is not taken."""
+        """Raises InvalidMessageError for one that is not taken."""
         ...
 
 
@@ -121,7 +121,7 @@
             pass  # others have not taken what has come, and the client must wait for them
         elif self._reader.current is not None:
             self._leave()
-            self._error(Unreadable(408, "request not complete in time"))
+            self._error(InvalidMessageError(408, "request not complete in time"))
         elif not self.written:  # its answer is not read; closing would wait for that
             self.drop()
         elif self.nothing_to_read():
@@ -129,8 +129,8 @@
 
     # What comes in
 
-    def shut(self) -> None:
-        super().shut()
+    def connection_lost(self) -> None:
+        super().connection_lost()
         self._reader.end()
         self._owner.connection_closed(self)
 
@@ -144,7 +144,7 @@
         whole = self._reader.feed(data)
         current, error = self._reader.current, self._reader.error
         if whole and (len(whole) > 1 or current is not None or error is not None):
-            self._error(Unreadable(400, "one request at a time"))
+            self._error(InvalidMessageError(400, "one request at a time"))
         elif error is not None:
             self._error(error)
         elif whole:
@@ -181,7 +181,7 @@
             self._leave()
             return self._error(self._reader.error)
         self.record.received += len(data)
-        upload.received(request.take())
+        upload.received(request.take_body())
         if whole:
             self._ahead = len(whole) > 1 or self._reader.current is not None or self._reader.error is not None
             self._owner.entered(self, State.IN_FLIGHT)
@@ -202,7 +202,7 @@
     def on_fault(self) -> None:
         self._leave()
         if self.open:
-            self._error(Unreadable(500, "internal error"))
+            self._error(InvalidMessageError(500, "internal error"))
 
     def on_end(self) -> None:
         self._leave()
@@ -250,11 +250,11 @@
             if path == HEALTH:
                 return self._respond(200 if self._owner.healthy else 503, [], b"")
             if path != API:
-                raise Unreadable(404, "no such path")
+                raise InvalidMessageError(404, "no such path")
             call = self._owner.validator.validate(request, self._answer)
             if call.id in self._owner.open_request_ids:
-                raise Unreadable(409, "this Request-Id is open")
-        except Unreadable as e:
+                raise InvalidMessageError(409, "this Request-Id is open")
+        except InvalidMessageError as e:
             return self._respond(e.status, [], f"{e}\n".encode())
         call.known, call.begin = self.record.known, self._begin
         self._call = call
@@ -278,7 +278,7 @@
             self._owner.served(self)
         self._respond(status, headers, body)
         if self._ahead:
-            self._error(Unreadable(400, "one request at a time"))
+            self._error(InvalidMessageError(400, "one request at a time"))
 
     def _begin(self, call: DownstreamRequest, headers: Headers, length: int | None) -> Sink | None:
         """The answer comes by and by."""
@@ -304,7 +304,7 @@
         if self._last or self._owner.draining:
             self.close()
         elif self._ahead:
-            self._error(Unreadable(400, "one request at a time"))
+            self._error(InvalidMessageError(400, "one request at a time"))
 
     def _is_last(self, request: Message) -> bool:
         return self._owner.draining or not request.keep_alive or not self._owner.keeps_alive(self)
@@ -320,12 +320,12 @@
         last = self._is_last(request)
         if last:
             headers = [*headers, ("Connection", "close")]
-        self.send(answer(status, headers, body, request.method == b"HEAD"))
+        self.send(encode_response(status, headers, body, request.method == b"HEAD"))
         self._owner.entered(self, State.IDLE)
         if last:
             self.close()
 
-    def _error(self, e: Unreadable, advice: Headers | None = None) -> None:
+    def _error(self, e: InvalidMessageError, advice: Headers | None = None) -> None:
         """The answer to what is not, or not yet, a request."""
         self._last_answer(e.status, advice or [], f"{e}\n".encode())
 
@@ -333,7 +333,7 @@
         """The rest is read and dropped: closing on unread bytes would reset the answer away."""
         if not self.open:
             return
-        self.send(answer(status, [("Connection", "close"), *headers], body))
+        self.send(encode_response(status, [("Connection", "close"), *headers], body))
         self.discarding = True
         self._owner.entered(self, State.LINGERING)
         assert self.stream is not None
--- a/lilacsill/agent/inbound/validation.py
+++ b/lilacsill/agent/inbound/validation.py
@@ -10,7 +10,7 @@
 
 from lilacsill.balancing.interface import Effect, RequestClass, Tenant
 
-from lilacsill.http1.message import Headers, Message, Unreadable
+from lilacsill.http1.message import Headers, Message, InvalidMessageError
 from ..watermarks import Sink
 from .upload import Upload
 
@@ -71,25 +71,25 @@
     def validate(self, request: Message, respond: Respond) -> DownstreamRequest:
         fields = request.fields
         if b"host" not in fields:
-            raise Unreadable(400, "Host is missing")
+            raise InvalidMessageError(400, "Host is missing")
         if not DECISIVE.isdisjoint(request.repeated):
-            raise Unreadable(400, "a header is there twice")
+            raise InvalidMessageError(400, "a header is there twice")
         index, effect = self._class(fields)
         if request.method != (b"GET" if effect is Effect.SAFE else b"POST"):
-            raise Unreadable(400, "method does not fit the class")
+            raise InvalidMessageError(400, "method does not fit the class")
         number = fields.get(b"request-id", b"")
         if not _NAME.fullmatch(number):
-            raise Unreadable(400, "Request-Id is missing or malformed")
+            raise InvalidMessageError(400, "Request-Id is missing or malformed")
         # Without its key no backend could tell a repeat from a new request.
         key = fields.get(b"idempotency-key")
         if not _NAME.fullmatch(key or b"") if effect is Effect.KEYED else key is not None:
-            raise Unreadable(400, "Idempotency-Key does not fit the class")
+            raise InvalidMessageError(400, "Idempotency-Key does not fit the class")
         return DownstreamRequest(
             number,
             request.method,
             request.target,
             [(k, fields[k]) for k in FORWARDED if k in fields],
-            request.take(),
+            request.take_body(),
             index,
             self._tenant(fields),
             _patience_us(fields),
@@ -102,7 +102,7 @@
     def _class(self, fields: dict[bytes, bytes]) -> tuple[int, Effect]:
         found = self._classes.get(fields.get(b"request-class", b""))
         if found is None:
-            raise Unreadable(400, "unknown Request-Class")
+            raise InvalidMessageError(400, "unknown Request-Class")
         return found
 
     def _tenant(self, fields: dict[bytes, bytes]) -> int:
@@ -110,7 +110,7 @@
             return 0
         index = self._tenants.get(fields.get(b"tenant", b""))
         if index is None:
-            raise Unreadable(400, "unknown Tenant")
+            raise InvalidMessageError(400, "unknown Tenant")
         return index
 
 
@@ -121,7 +121,7 @@
 def _patience_us(fields: dict[bytes, bytes]) -> int:
     ms = _number(fields.get(b"request-timeout-ms", b""))
     if not ms or ms > TIMEOUT_LIMIT_MS:
-        raise Unreadable(400, "bad Request-Timeout-Ms")
+        raise InvalidMessageError(400, "bad Request-Timeout-Ms")
     return ms * 1000
 
 
--- a/lilacsill/agent/outbound/attempts.py
+++ b/lilacsill/agent/outbound/attempts.py
@@ -11,8 +11,8 @@
 from lilacsill.clock import Clock
 from ..descriptors import EXHAUSTED
 from ..discovery.listing import Listing, Member
-from lilacsill.http1.message import Message, chunk, request, request_head
-from lilacsill.net.connecting import Connecting
+from lilacsill.http1.message import Message, encode_chunk, encode_request, encode_request_head
+from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.timers import Timer
 from ..watermarks import Sink
 from .pool import Pool, UpstreamConnection
@@ -46,7 +46,7 @@
         self._began = backends.clock.now()
         self._until = self._began + timeout_us
         self._connection: UpstreamConnection | None = None
-        self._connecting: Connecting | None = None
+        self._connecting: ConnectAttempt | None = None
         self._answer: Message | None = None
         self._begin = begin
         self._hold: Timer | None = None
@@ -106,7 +106,7 @@
             left_us = ask.patience_us or self._until - self._backends.clock.now()
             headers.append((b"Request-Timeout-Ms", b"%d" % max(1, left_us // 1000)))
         if ask.upload is None:
-            connection.send(request(ask.method, ask.target, headers, ask.body))
+            connection.send(encode_request(ask.method, ask.target, headers, ask.body))
             return self._put_all()
         kept = ask.upload.take(self)
         if kept is None:  # an attempt before has passed on what is not kept
@@ -115,7 +115,7 @@
         length = ask.upload.length
         headers.append((b"Transfer-Encoding", b"chunked") if length is None else (b"Content-Length", b"%d" % length))
         self._uploading = ask.upload
-        connection.send(request_head(ask.method, ask.target, headers))
+        connection.send(encode_request_head(ask.method, ask.target, headers))
         if kept:
             self.on_body(kept)
         if ask.upload.whole:
@@ -135,7 +135,7 @@
         if self.ended or self._connection is None or not self._connection.open:
             return 0
         assert self._uploading is not None
-        self._connection.send(chunk(data) if self._uploading.length is None else data)
+        self._connection.send(encode_chunk(data) if self._uploading.length is None else data)
         return self._connection.unsent
 
     def on_body_end(self) -> None:
@@ -143,7 +143,7 @@
             return
         assert self._uploading is not None
         if self._uploading.length is None:
-            self._connection.send(chunk(b""))
+            self._connection.send(encode_chunk(b""))
         self._uploading = None
         self._timer.cancel()
         self._timer = self._backends.clock.after(self._ask.patience_us, self._timed_out)
@@ -166,7 +166,7 @@
     def on_answer(self, answer: Message) -> None:
         self._answer = answer
         if self._sink is not None:
-            self._sink.write(answer.take())
+            self._sink.write(answer.take_body())
             self._sink.finish()
         self._end(self._answered(answer))
 
@@ -202,7 +202,7 @@
         assert self._sink is not None and self._connection is not None
         stream = self._connection.stream
         self._moved_at = self._backends.clock.now()
-        if self._sink.write(answer.take()) and stream is not None:
+        if self._sink.write(answer.take_body()) and stream is not None:
             stream.pause()
 
     def _relieved(self) -> None:
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -16,7 +16,7 @@
 from ..discovery.listing import Member
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Message, Reader
-from lilacsill.net.connecting import Connecting
+from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.timers import Timer
 
 IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection; then it is retired here
@@ -92,8 +92,8 @@
         else:
             self._pool.discard(self)
 
-    def shut(self) -> None:
-        super().shut()
+    def connection_lost(self) -> None:
+        super().connection_lost()
         self._reader.end()
         self._pool.lost(self)
 
@@ -162,7 +162,7 @@
         reservation: Reservation,
         opened: Callable[[UpstreamConnection], None],
         failed: Callable[[OSError], None],
-    ) -> Connecting:
+    ) -> ConnectAttempt:
         """A connection that `begin` opens. One of the two hears what became of it; the reservation is seen to."""
 
         def could_not(e: OSError) -> None:
@@ -181,7 +181,7 @@
             reservation.used = True
             opened(connection)
 
-        return Connecting(self._clock, member.address, self._connect_s, connected, could_not)
+        return ConnectAttempt(self._clock, member.address, self._connect_s, connected, could_not)
 
     def lost(self, connection: UpstreamConnection) -> None:
         """Its descriptor is free."""
--- a/lilacsill/clock.py
+++ b/lilacsill/clock.py
@@ -1,4 +1,4 @@
-"""The one clock: monotonic, in integer microseconds, and the deadlines on it."""
+"""The agent's clock: monotonic time in integer microseconds, and the timers that run on it."""
 
 from __future__ import annotations
 
@@ -8,58 +8,65 @@
 from collections.abc import Callable
 from typing import Any
 
-from .timers import Timer, Wheel
+from .timers import Timer, TimerWheel
 
 log = logging.getLogger(__name__)
 
 
 class Clock:
-    """Monotonic time, wall-clock times put on it with one offset, and one wheel for all deadlines."""
+    """Monotonic time, a fixed mapping of wall-clock times onto it, and one timing wheel for all deadlines."""
 
     def __init__(self) -> None:
-        # Fixed at start: were it taken anew, a step of the wall clock would make one start time look like
-        # two, and the module would take a running backend for a new process.
-        self._offset = time.monotonic_ns() // 1000 - time.time_ns() // 1000
-        self._wheel = Wheel()
+        # Fixed at start: if it were measured again, a step of the wall clock would make one start time look like
+        # two, and the decisions would take a running backend for a new process.
+        self._wall_to_monotonic_us = time.monotonic_ns() // 1000 - time.time_ns() // 1000
+        self._wheel = TimerWheel()
         self._loop: asyncio.AbstractEventLoop | None = None
-        self._armed: asyncio.TimerHandle | None = None
-        self._armed_at = 0
+        self._wakeup: asyncio.TimerHandle | None = None
+        self._wakeup_at_us = 0
 
     def now(self) -> int:
+        """Return the monotonic time in microseconds."""
         return time.monotonic_ns() // 1000
 
     def from_unix_ms(self, ms: int) -> int:
-        """The same value always gives the same time; 0 (long ago) stays 0, and nothing else becomes 0."""
-        return (ms * 1000 + self._offset or 1) if ms else 0
+        """Convert a wall-clock time in milliseconds since 1970 to this clock's microseconds.
 
-    def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> Timer:
-        """`call(*arguments)` from the running event loop, in so many microseconds or up to a millisecond more."""
+        The same value always gives the same time. 0 stands for "long ago": it stays 0, and nothing else becomes 0.
+        """
+        return (ms * 1000 + self._wall_to_monotonic_us or 1) if ms else 0
+
+    def after(self, delay_us: int, callback: Callable[..., None], *arguments: Any) -> Timer:
+        """Schedule `callback(*arguments)` on the running event loop.
+
+        It is called after `delay_us` microseconds, or up to a millisecond later.
+        """
         loop = asyncio.get_running_loop()
-        if loop is not self._loop:  # a loop that is over takes its timers with it
-            self._loop, self._wheel, self._armed = loop, Wheel(), None
-        at = time.monotonic_ns() // 1000 + delay_us
-        timer = self._wheel.add(at, call, arguments)
-        if self._armed is None or at < self._armed_at:
-            self._arm()
+        if loop is not self._loop:  # timers of a loop that has ended are never called
+            self._loop, self._wheel, self._wakeup = loop, TimerWheel(), None
+        at_us = time.monotonic_ns() // 1000 + delay_us
+        timer = self._wheel.add(at_us, callback, arguments)
+        if self._wakeup is None or at_us < self._wakeup_at_us:
+            self._schedule_wakeup()
         return timer
 
-    def _arm(self) -> None:
-        due = self._wheel.due
-        if due is None or (self._armed is not None and self._armed_at <= due):
+    def _schedule_wakeup(self) -> None:
+        due_us = self._wheel.next_due_us
+        if due_us is None or (self._wakeup is not None and self._wakeup_at_us <= due_us):
             return
-        if self._armed is not None:
-            self._armed.cancel()
+        if self._wakeup is not None:
+            self._wakeup.cancel()
         assert self._loop is not None
         # The loop's clock is the same one, in seconds.
-        self._armed, self._armed_at = self._loop.call_at(due / 1e6, self._turn), due
+        self._wakeup, self._wakeup_at_us = self._loop.call_at(due_us / 1e6, self._fire_due), due_us
 
-    def _turn(self) -> None:
-        self._armed = None
+    def _fire_due(self) -> None:
+        self._wakeup = None
         try:
-            for timer in self._wheel.take(self.now()):
+            for timer in self._wheel.pop_due(self.now()):
                 try:
                     timer.fire()
-                except Exception:  # one deadline's fault must not keep the others from theirs
+                except Exception:  # one timer's fault must not keep the others from firing
                     log.exception("a timer failed")
         finally:
-            self._arm()
+            self._schedule_wakeup()
--- a/lilacsill/hosted/worker/front.py
+++ b/lilacsill/hosted/worker/front.py
@@ -12,7 +12,7 @@
 from lilacsill.agent.admission.gate import Gate
 from ...clock import Clock
 from lilacsill.agent.descriptors import Spare
-from ...http1.message import Headers, Message, Unreadable
+from ...http1.message import Headers, Message, InvalidMessageError
 from lilacsill.agent.inbound.downstream import DownstreamConnection
 from lilacsill.agent.inbound.server import IdleUpstreams, Server
 from lilacsill.agent.inbound.validation import DownstreamRequest, Respond
@@ -37,8 +37,8 @@
     __slots__ = ()
 
     def receive(self) -> None:
-        assert isinstance(self._user, HostedConnection)
-        if self._user.may_read():
+        assert isinstance(self._handler, HostedConnection)
+        if self._handler.may_read():
             super().receive()
 
     def receive_now(self) -> None:
@@ -66,9 +66,9 @@
         """If not, it waits for its turn. Behind a request in hand comes nothing but the client's leaving."""
         return self.discarding or self.in_hand or not self._server.holds_back(self)
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         began, turn = perf_counter_ns(), self.turn
-        super().received(data)
+        super().data_received(data)
         self._server.worked(self, turn, (perf_counter_ns() - began) / 1000, len(data))
 
     def go_on(self) -> bool:
@@ -84,7 +84,7 @@
         self.waiting_since = None
         if self.stream is not None and self.open:
             self._server.tenancy.refused(self.tenant, "turn")
-            self._error(Unreadable(503, "others go first"), [("Retry-After", f"{TURN_ADVICE_S}")])
+            self._error(InvalidMessageError(503, "others go first"), [("Retry-After", f"{TURN_ADVICE_S}")])
             self.stream.resume()
 
     def _take(self, request: Message, rest_us: int = 0) -> None:
@@ -218,19 +218,19 @@
         self._in_hand: dict[DownstreamRequest, Callback] = {}
 
     def validate(self, request: Message, respond: Respond) -> DownstreamRequest:
-        """Who asks, and whether the request makes sense to that tenant's pool. Raises Unreadable."""
+        """Who asks, and whether the request makes sense to that tenant's pool. Raises InvalidMessageError."""
         connection = self._server.taking
         if b"authorization" in request.repeated or b"host" in request.repeated:
-            raise Unreadable(400, "a header is there twice")
+            raise InvalidMessageError(400, "a header is there twice")
         found = self._tenancy.route(request)
         if isinstance(found, Refusal):
-            raise Unreadable(found.status, found.why)
+            raise InvalidMessageError(found.status, found.why)
         held, pool = found
         if connection.tenant != held.uid:
             over = self._tenancy.bind(connection.tenant, held)
             if over is not None:
                 self._tenancy.refused(held.uid, over.cause)
-                raise Unreadable(429, f"too many: {over.cause}")
+                raise InvalidMessageError(429, f"too many: {over.cause}")
             connection.tenant = connection.turn = held.uid
             self._server.gate.pays(connection.record, held.uid, held.weight)
         call = pool.validator.validate(request, respond)
--- a/lilacsill/http1/__init__.py
+++ b/lilacsill/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 without decisions: messages, and one TCP connection."""
+"""HTTP/1.1: messages and TCP connections, without any decision."""
--- a/lilacsill/http1/connection.py
+++ b/lilacsill/http1/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection; what is common to all three roles of the agent."""
+"""One TCP connection: what servers and clients of HTTP/1.1 have in common."""
 
 from __future__ import annotations
 
@@ -8,59 +8,70 @@
 
 
 class Connection:
-    """Hands on what comes in; knows whether all that was sent has been written."""
+    """A TCP connection that knows whether all that was sent has been written.
+
+    Subclasses override `on_data`, `on_fault` and `on_end`.
+    """
 
     def __init__(self) -> None:
         self.stream: Stream | None = None
-        self.written = True  # the kernel has taken all bytes
+        self.written = True  # whether the kernel has accepted all bytes sent
         self.closed = False
-        self.discarding = False  # what still comes in is dropped
+        self.discarding = False  # whether incoming bytes are dropped
 
     def attach(self, sock: socket.socket) -> None:
-        """Take over a connected socket that does not block. Raises OSError, and then it is still the caller's."""
+        """Take over a connected non-blocking socket.
+
+        Raises:
+            OSError: The event loop cannot watch the socket; it is still the caller's then.
+        """
         self.stream = Stream(sock, self)
 
-    # What a role adds
+    # Overridden by subclasses
 
     def on_data(self, data: bytes) -> None:
-        """Bytes from the peer."""
+        """Handle bytes from the peer."""
 
     def on_fault(self) -> None:
-        """Handling them raised."""
+        """Handle an exception that `on_data` raised; it is logged already."""
 
     def on_end(self) -> None:
-        """The peer has closed or reset the connection. May come twice."""
+        """Handle the end of the connection, by either side. May be called twice."""
 
-    # The stream's side
+    # Called by the stream (net.stream.StreamHandler)
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
+        """Pass bytes from the peer to `on_data`; an exception there ends the reading."""
         if self.discarding:
             return
         try:
             self.on_data(data)
-        except Exception:  # a fault in one connection must not pass for the peer's leaving, nor vanish
-            import logging  # with the first fault: it takes 1 MB of processes that else log nothing
+        except Exception:  # a fault here must not look like a disconnect by the peer, nor go unseen
+            import logging  # imported late: it costs 1 MB in processes that log nothing else
 
             logging.getLogger(__name__).exception("connection failed")
             self.discarding = True
             self.on_fault()
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
+        """Report the end of the peer's sending, or its reset, to `on_end`."""
         self.on_end()
 
-    def shut(self) -> None:
+    def connection_lost(self) -> None:
+        """Mark the connection as closed and let go of the stream."""
         self.closed = True
         self.on_end()
-        self.stream = None  # each held the other, and only the garbage collector would free the two
+        self.stream = None  # a reference cycle: only the garbage collector would free the two
 
     def flushed(self) -> None:
+        """Note that the kernel has accepted all bytes sent."""
         self.written = True
 
-    # For the roles
+    # For subclasses and their users
 
     @property
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Number of bytes that the kernel has not accepted yet."""
         return self.stream.unsent if self.stream is not None else 0
 
     @property
@@ -69,14 +80,14 @@
         return not self.closed and self.stream is not None and not self.stream.closing
 
     def send(self, data: bytes) -> None:
-        """Write in one piece."""
+        """Send bytes."""
         assert self.stream is not None
         self.stream.send(data)
         # A write that fails empties the buffer too: then the stream is closing.
         self.written = not self.stream.closing and not self.stream.unsent
 
     def nothing_to_read(self) -> bool:
-        """Whether the kernel has nothing to read for it, not even the peer's close."""
+        """Return whether the kernel has nothing to read, not even the peer's close."""
         return self.stream is not None and self.stream.nothing_to_read()
 
     def close(self) -> None:
@@ -85,7 +96,7 @@
             self.stream.close()
 
     def drop(self) -> None:
-        """Close at once, in the eyes of the peer too."""
+        """Close at once; the peer sees it at once, too."""
         self.discarding = self.closed = True
         if self.stream is not None:
             self.stream.abort()
--- a/lilacsill/http1/message.py
+++ b/lilacsill/http1/message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages as they come in, read by llhttp within limits of size, and as they go out."""
+"""HTTP/1.1 messages: reading them with llhttp within limits of size, and encoding them (RFC 9112)."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser, HttpResponseParser
 
-HEAD_LIMIT = 32 * 1024  # bytes of request or status line and headers
-INTERIM_LIMIT = 16  # answers 1xx ahead of the one that counts
+MAX_HEAD_BYTES = 32 * 1024  # of the request or status line and the header fields
+MAX_INTERIM_RESPONSES = 16  # responses 1xx ahead of the final one
 
 Headers = list[tuple[str, str]]
-REASONS = {
+REASON_PHRASES = {
     100: "Continue",
     200: "OK",
     400: "Bad Request",
@@ -27,16 +27,22 @@
 }
 
 
-class Unreadable(Exception):
-    """What came is no message that can be used; the status says so to a client."""
+class InvalidMessageError(Exception):
+    """The bytes received are no message that can be used.
 
-    def __init__(self, status: int, why: str) -> None:
-        super().__init__(why)
+    Attributes:
+        status: The HTTP status that reports the error to a client.
+        reason: The error in words.
+    """
+
+    def __init__(self, status: int, reason: str) -> None:
+        super().__init__(reason)
         self.status = status
+        self.reason = reason
 
 
 class Message:
-    """A request or an answer."""
+    """A request or a response."""
 
     __slots__ = (
         "method",
@@ -50,38 +56,39 @@
         "until_close",
         "keep_alive",
         "version",
-        "lines",
+        "header_lines",
     )
 
     def __init__(self) -> None:
         self.method = self.target = b""
         self.status = 0
-        self.fields: dict[bytes, bytes] = {}  # by name in lower case; the first of each
-        self.repeated: set[bytes] = set()
-        self.body = bytearray()  # what of it has come and was not taken yet
-        self.received = 0  # bytes of it that have come
-        self.length: int | None = None  # as the head states it
-        self.until_close = False  # it ends with its connection
+        self.fields: dict[bytes, bytes] = {}  # header fields by name in lower case; the first of each name
+        self.repeated: set[bytes] = set()  # names of the fields that came more than once
+        self.body = bytearray()  # bytes of the body that have come and were not taken yet
+        self.received = 0  # bytes of the body that have come, taken ones included
+        self.length: int | None = None  # Content-Length in bytes; None where the head has none
+        self.until_close = False  # whether the end of the connection ends the body
         self.keep_alive = False
         self.version = "1.1"
-        self.lines: list[tuple[bytes, bytes]] | None = None  # all header lines as they came, where they are kept
+        self.header_lines: list[tuple[bytes, bytes]] | None = None  # in order, as they came; None: not kept
 
-    def take(self) -> bytes:
-        """What of the body has come since the last time."""
-        piece = bytes(self.body)
+    def take_body(self) -> bytes:
+        """Return the bytes of the body that have come since the last call, and forget them."""
+        data = bytes(self.body)
         self.body.clear()
-        return piece
+        return data
 
     def header(self, name: bytes) -> str | None:
+        """Return the value of a header field by its name in lower case; None where there is none."""
         value = self.fields.get(name)
         return None if value is None else value.decode("latin-1")
 
 
 class Reader:
-    """Bytes in, whole messages out. After an error it reads no more.
+    """An incremental parser: bytes in, complete messages out. After an error it reads no more.
 
-    llhttp judges the form: characters, lengths, Content-Length beside Transfer-Encoding. It sets no bound on
-    sizes and knows messages that end with their connection; both are seen to here.
+    llhttp checks the syntax: characters, lengths, Content-Length beside Transfer-Encoding. It does not limit sizes,
+    and it accepts responses that end with their connection; the reader sees to both.
     """
 
     def __init__(
@@ -89,40 +96,47 @@
         parser: type[HttpRequestParser] | type[HttpResponseParser],
         body_limit: int,
         until_close: bool = False,
-        keep_lines: bool = False,
+        keep_header_lines: bool = False,
     ) -> None:
-        """`until_close`: an answer may end with its connection; `close` then says that it has. `keep_lines`: header
-        lines are to be passed on as they came."""
+        """Start a reader at the begin of a connection.
+
+        Args:
+            parser: llhttp's parser for the direction that is read.
+            body_limit: The longest body that is accepted, in bytes.
+            until_close: Whether a response may end with its connection; `close` then completes it.
+            keep_header_lines: Whether `Message.header_lines` is filled, for heads that are passed on as they came.
+        """
         self._parser = parser(self)
-        self._body_limit, self._until_close, self._keep_lines = body_limit, until_close, keep_lines
-        self._whole: list[Message] = []
+        self._body_limit, self._until_close, self._keep_header_lines = body_limit, until_close, keep_header_lines
+        self._complete: list[Message] = []
         self.in_body = False
-        self._head_bytes = self._unfinished = 0  # of a head: its lines so far, all that came without its end
-        self._interim = 0
+        self._head_bytes = 0  # of the current head: bytes of its parsed lines
+        self._unparsed_head_bytes = 0  # of the current head: all bytes fed while its end has not come
+        self._interim_responses = 0  # in a row
         self.current: Message | None = None  # begun and not complete
-        self.error: Unreadable | None = None
+        self.error: InvalidMessageError | None = None
 
     def feed(self, data: bytes) -> list[Message]:
-        """The messages that these bytes complete; `error` is set where what follows them is unreadable."""
+        """Return the messages that these bytes complete; sets `error` where what follows them is invalid."""
         if self.error is not None:
             return []
         try:
             self._parser.feed_data(data)
         except HttpParserUpgrade:
-            self.error = Unreadable(400, "no other protocol is spoken here")
-            self._whole.clear()
-        except HttpParserError as e:
-            # A limit that a callback found comes wrapped in an error of the parser's.
-            self.error = self.error or Unreadable(400, f"malformed message: {e}")
+            self.error = InvalidMessageError(400, "no other protocol is spoken here")
+            self._complete.clear()
+        except HttpParserError as error:
+            # The parser wraps an error that a callback raised for a limit.
+            self.error = self.error or InvalidMessageError(400, f"malformed message: {error}")
         if self.current is not None and not self.in_body:
-            self._unfinished += len(data)
-            if self._unfinished > HEAD_LIMIT:
-                self.error = self.error or Unreadable(400, "head too large")
-        whole, self._whole = self._whole, []
-        return whole
+            self._unparsed_head_bytes += len(data)
+            if self._unparsed_head_bytes > MAX_HEAD_BYTES:
+                self.error = self.error or InvalidMessageError(400, "head too large")
+        complete, self._complete = self._complete, []
+        return complete
 
     def close(self) -> Message | None:
-        """The connection has ended in order. Returns the message that is complete by that."""
+        """Note that the peer has closed the connection; return the message that this completes, if any."""
         message = self.current
         if message is None or not message.until_close or not self.in_body or self.error is not None:
             return None
@@ -130,33 +144,39 @@
         return message
 
     def end(self) -> None:
-        """Nothing more is fed. Parser and reader held each other, and only the garbage collector would free them."""
-        self.error = self.error or Unreadable(400, "the connection is over")
+        """Release the parser; nothing more may be fed.
+
+        Parser and reader form a reference cycle, which only the garbage collector would free otherwise.
+        """
+        self.error = self.error or InvalidMessageError(400, "the connection is over")
         del self._parser
 
-    # llhttp's side
+    # Callbacks of llhttp's parser
 
     def on_message_begin(self) -> None:
+        """Start the next message."""
         self.current, self.in_body = Message(), False
-        if self._keep_lines:
-            self.current.lines = []
-        self._head_bytes = self._unfinished = 0
+        if self._keep_header_lines:
+            self.current.header_lines = []
+        self._head_bytes = self._unparsed_head_bytes = 0
 
     def on_url(self, url: bytes) -> None:
+        """Add a part of the request target."""
         assert self.current is not None
         self.current.target += url
-        self._bound(len(url))
+        self._count_head_bytes(len(url))
 
     def on_header(self, name: bytes, value: bytes) -> None:
+        """Add a header field; trailer fields are ignored."""
         message = self.current
         if self.in_body or message is None:  # a trailer
             return
-        self._head_bytes += len(name) + len(value) + 4
-        if self._head_bytes > HEAD_LIMIT:
+        self._head_bytes += len(name) + len(value) + 4  # ": " and the line break
+        if self._head_bytes > MAX_HEAD_BYTES:
             self._stop(400, "head too large")
-        value = value.strip(b" \t")  # llhttp leaves the white space behind a value (RFC 9110, 5.5)
-        if message.lines is not None:
-            message.lines.append((name, value))
+        value = value.strip(b" \t")  # llhttp keeps the white space after a value (RFC 9110, 5.5)
+        if message.header_lines is not None:
+            message.header_lines.append((name, value))
         name = name.lower()
         if name in message.fields:
             message.repeated.add(name)
@@ -164,6 +184,7 @@
             message.fields[name] = value
 
     def on_headers_complete(self) -> None:
+        """Check the head and fill in what it says of the body."""
         message, parser = self.current, self._parser
         assert message is not None
         self.in_body = True
@@ -175,7 +196,7 @@
             message.status = parser.get_status_code()
             bodiless = message.status < 200 or message.status in (204, 304)
             if not bodiless and message.fields.keys().isdisjoint((b"content-length", b"transfer-encoding")):
-                # It ends with the connection: one cut short cannot be told from a whole one.
+                # It ends with the connection: a truncated response looks like a complete one.
                 if not self._until_close:
                     self._stop(502, "answer of unknown length")
                 message.until_close = True
@@ -187,6 +208,7 @@
         message.version = parser.get_http_version()
 
     def on_body(self, body: bytes) -> None:
+        """Add a part of the body."""
         assert self.current is not None
         self.current.body += body
         self.current.received += len(body)
@@ -194,28 +216,29 @@
             self._stop(413, "body too large")
 
     def on_message_complete(self) -> None:
+        """Note that the message is complete; interim responses are dropped."""
         message, self.current = self.current, None
         assert message is not None
         if 100 <= message.status < 200:
-            self._interim += 1
-            if self._interim > INTERIM_LIMIT:
+            self._interim_responses += 1
+            if self._interim_responses > MAX_INTERIM_RESPONSES:
                 self._stop(502, "no answer but interim ones")
         else:
-            self._interim = 0
-            self._whole.append(message)
+            self._interim_responses = 0
+            self._complete.append(message)
 
-    def _bound(self, size: int) -> None:
+    def _count_head_bytes(self, size: int) -> None:
         self._head_bytes += size
-        if self._head_bytes > HEAD_LIMIT:
+        if self._head_bytes > MAX_HEAD_BYTES:
             self._stop(400, "head too large")
 
-    def _stop(self, status: int, why: str) -> None:
-        self.error = Unreadable(status, why)
+    def _stop(self, status: int, reason: str) -> None:
+        self.error = InvalidMessageError(status, reason)
         raise self.error
 
 
 def origin_form(target: bytes) -> bytes:
-    """Path and query; of a target in absolute form (RFC 9112, 3.2.2), too."""
+    """Return path and query of a request target, which may be in absolute form (RFC 9112, 3.2.2)."""
     if target[:7].lower() != b"http://":
         return target
     authority, slash, rest = target[7:].partition(b"/")
@@ -223,27 +246,38 @@
     return slash + rest if slash and not mark else b"/" + mark + query + slash + rest
 
 
-def request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
-    """A request in one piece."""
+def encode_request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
+    """Encode a complete request."""
     if body or method != b"GET":
         headers = [*headers, (b"Content-Length", b"%d" % len(body))]
-    return request_head(method, target, headers) + body
+    return encode_request_head(method, target, headers) + body
 
 
-def request_head(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]]) -> bytes:
-    return b"\r\n".join([b"%s %s HTTP/1.1" % (method, target), *(b"%s: %s" % h for h in headers)]) + b"\r\n\r\n"
+def encode_request_head(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]]) -> bytes:
+    """Encode the request line and the header fields, with the blank line."""
+    return (
+        b"\r\n".join([b"%s %s HTTP/1.1" % (method, target), *(b"%s: %s" % header for header in headers)]) + b"\r\n\r\n"
+    )
+
 
+def encode_response(status: int, headers: Headers, body: bytes, bodiless: bool = False) -> bytes:
+    """Encode a complete response.
 
-def answer(status: int, headers: Headers, body: bytes, bodiless: bool = False) -> bytes:
-    """An answer in one piece; to HEAD it goes without its body."""
-    return answer_head(status, [*headers, ("Content-Length", str(len(body)))]) + (b"" if bodiless else body)
+    Args:
+        status: The HTTP status.
+        headers: Header fields without Content-Length, which is added.
+        body: The body.
+        bodiless: Whether the body is left out, as in a response to HEAD.
+    """
+    return encode_response_head(status, [*headers, ("Content-Length", str(len(body)))]) + (b"" if bodiless else body)
 
 
-def answer_head(status: int, headers: Headers) -> bytes:
+def encode_response_head(status: int, headers: Headers) -> bytes:
+    """Encode the status line and the header fields, with the blank line."""
     fields = "".join(f"{name}: {value}\r\n" for name, value in headers)
-    return f"HTTP/1.1 {status} {REASONS.get(status, '')}\r\n{fields}\r\n".encode("latin-1")
+    return f"HTTP/1.1 {status} {REASON_PHRASES.get(status, '')}\r\n{fields}\r\n".encode("latin-1")
 
 
-def chunk(data: bytes) -> bytes:
-    """A piece of a body of unknown length; an empty one ends it."""
+def encode_chunk(data: bytes) -> bytes:
+    """Encode a chunk of a chunked body (RFC 9112, 7.1); an empty one ends the body."""
     return b"%x\r\n%b\r\n" % (len(data), data)
--- a/lilacsill/mesh/proxy/backend.py
+++ b/lilacsill/mesh/proxy/backend.py
@@ -14,7 +14,7 @@
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Message, Reader, chunk, request_head
+from lilacsill.http1.message import Message, Reader, encode_chunk, encode_request_head
 from lilacsill.timers import Timer
 
 from .connection_age import Resting
@@ -52,7 +52,7 @@
         """Whole."""
 
     def on_part(self, answer: Message) -> None:
-        """More of a long one has come; `answer.take()` has it."""
+        """More of a long one has come; `answer.take_body()` has it."""
 
     def on_lost(self, why: str) -> None:
         """No (whole) answer will come; the request may have run."""
@@ -64,7 +64,7 @@
     named = message.fields.get(b"connection")
     if named is not None and named.lower() not in (b"close", b"keep-alive"):
         drop = HOP | {n.strip().lower() for n in named.split(b",")}
-    return [line for line in message.lines or [] if line[0].lower() not in drop]
+    return [line for line in message.header_lines or [] if line[0].lower() not in drop]
 
 
 class BackendConnection(Connection):
@@ -73,7 +73,7 @@
     def __init__(self, pool: Pool) -> None:
         super().__init__()
         self._pool = pool
-        self._reader = Reader(HttpResponseParser, BODY_LIMIT, keep_lines=True)
+        self._reader = Reader(HttpResponseParser, BODY_LIMIT, keep_header_lines=True)
         self.user: User | None = None
         self.idle_us = IDLE_US  # how long the backend lets it rest
         self.rests_since = self.rested_us = self.begun_at = 0
@@ -90,13 +90,13 @@
             headers = [*headers, (b"Content-Length", b"%d" % length)]
         elif length < 0:
             headers = [*headers, (b"Transfer-Encoding", b"chunked")]
-            body = (chunk(body) if body else b"") + (chunk(b"") if whole else b"")
-        self.send(request_head(method, target, headers) + body)
+            body = (encode_chunk(body) if body else b"") + (encode_chunk(b"") if whole else b"")
+        self.send(encode_request_head(method, target, headers) + body)
 
     def send_more(self, data: bytes, last: bool, chunked: bool) -> None:
         """Of the body."""
         if chunked:
-            data = (chunk(data) if data else b"") + (chunk(b"") if last else b"")
+            data = (encode_chunk(data) if data else b"") + (encode_chunk(b"") if last else b"")
         self.uploading = not last
         if data:
             self.send(data)
@@ -129,7 +129,7 @@
             self.drop()  # the begin of something that nobody asked for
         elif self._reader.in_body and current.received > WHOLE:
             if current.fields.get(b"attempt-id", b"") != user.attempt_id:
-                current.take()
+                current.take_body()
             else:
                 user.on_part(current)
 
--- a/lilacsill/mesh/proxy/far.py
+++ b/lilacsill/mesh/proxy/far.py
@@ -274,7 +274,7 @@
         self._gateway.dark.answered(self._gateway.now())
         if self._streaming:
             self._end()
-            self._sink.send(Piece(answer.take(), True))
+            self._sink.send(Piece(answer.take_body(), True))
             return
         not_run = self._is_not_run(answer)
         why = self._spoilt(answer)
@@ -288,7 +288,7 @@
         if why:
             self._sink.send(Unanswered(why, self._gateway.load()))
             return
-        body = answer.take()
+        body = answer.take_body()
         self._sink.send(
             Answer(answer.status, self._lines(answer), body, True, len(body), not_run, took_ms, self._gateway.load())
         )
@@ -305,7 +305,7 @@
             message: Message = Answer(
                 answer.status,
                 self._lines(answer),
-                answer.take(),
+                answer.take_body(),
                 False,
                 -1 if answer.length is None else answer.length,
                 self._is_not_run(answer),
@@ -313,7 +313,7 @@
                 self._gateway.load(),
             )
         else:
-            message = Piece(answer.take(), False)
+            message = Piece(answer.take_body(), False)
         if self._sink.send(message) > PILE:
             self.hold(True)
 
--- a/lilacsill/mesh/proxy/forwarding.py
+++ b/lilacsill/mesh/proxy/forwarding.py
@@ -137,7 +137,7 @@
         self._aim_at = now + route.aim_us - max(0, spent_us)
         self._headers = [line for line in passed_on(request) if line[0].lower() not in OWN]
         self._headers.append((b"Calling-Service", forwarder.caller))
-        self._body = request.take()  # what of it has come and is kept for another offer
+        self._body = request.take_body()  # what of it has come and is kept for another offer
         self._whole = whole
         self._kept = True  # all that has come
         self._arrivals = self._declines = 0
--- a/lilacsill/mesh/proxy/inbound.py
+++ b/lilacsill/mesh/proxy/inbound.py
@@ -12,7 +12,7 @@
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import REASONS, Message, Reader, chunk, origin_form
+from lilacsill.http1.message import REASON_PHRASES, Message, Reader, encode_chunk, origin_form
 
 from .forwarding import Forwarder, Forwarding
 
@@ -23,7 +23,7 @@
 LOOK_US = 500_000
 LINGER_US = 1_000_000
 WORDS = {
-    **REASONS,
+    **REASON_PHRASES,
     202: "Accepted",
     204: "No Content",
     206: "Partial Content",
@@ -60,14 +60,14 @@
         return self._put(self._head(status, [*headers, line]) + self._part(body), False)
 
     def piece(self, data: bytes, last: bool) -> int:
-        return self._put(self._part(data) + (chunk(b"") if last and self.chunked else b""), last)
+        return self._put(self._part(data) + (encode_chunk(b"") if last and self.chunked else b""), last)
 
     def cut(self) -> None:
         self.is_cut = True
         self._put(b"", True)
 
     def _part(self, data: bytes) -> bytes:
-        return chunk(data) if self.chunked and data else data
+        return encode_chunk(data) if self.chunked and data else data
 
     def _head(self, status: int, headers: Headers) -> bytes:
         if self.connection.is_last(self):
@@ -87,7 +87,7 @@
     def __init__(self, clients: Clients) -> None:
         super().__init__()
         self._clients = clients
-        self._reader = Reader(HttpRequestParser, clients.body_limit, keep_lines=True)
+        self._reader = Reader(HttpRequestParser, clients.body_limit, keep_header_lines=True)
         self._turns: deque[Turn] = deque()
         self._ahead: deque[Message] = deque()
         self._upload: Turn | None = None  # whose body still comes
@@ -136,12 +136,12 @@
     def _go_on(self, turn: Turn, whole: list[Message]) -> list[Message]:
         request, ended = turn.request, bool(whole) and whole[0] is turn.request
         if turn.forwarding is not None and not turn.forwarding.over:
-            turn.forwarding.more(request.take(), ended)
+            turn.forwarding.more(request.take_body(), ended)
             if turn.forwarding.unsent > PILE and self.stream is not None:
                 self.stream.pause()
                 self._clients.reactor.after(RESUME_US, self._resume)
         else:
-            request.take()
+            request.take_body()
         if self._reader.error is not None and not ended:
             self._upload = None
             self._ending = True
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -276,7 +276,7 @@
         self._done(server if answer.status == 200 else "", slots)
 
     def on_part(self, answer: Request) -> None:
-        answer.take()
+        answer.take_body()
 
     def on_lost(self, why: str) -> None:
         self._done("", 0)
--- a/lilacsill/mesh/runtime/control.py
+++ b/lilacsill/mesh/runtime/control.py
@@ -9,7 +9,7 @@
 
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Message, Reader, answer
+from lilacsill.http1.message import Message, Reader, encode_response
 
 from .link import Listener
 from .log_ring import log
@@ -87,7 +87,7 @@
                 if not answered:
                     respond(500, b'{"Message":"failed"}')
         elif self._reader.error is not None:
-            self.send(answer(self._reader.error.status, [("Connection", "close")], b""))
+            self.send(encode_response(self._reader.error.status, [("Connection", "close")], b""))
             self.discarding = True
             self.close()
 
@@ -99,7 +99,7 @@
         headers = [("Content-Type", "application/json")]
         if last:
             headers.append(("Connection", "close"))
-        self.send(answer(status, headers, body, request.method == b"HEAD"))
+        self.send(encode_response(status, headers, body, request.method == b"HEAD"))
         self._timer = self._server.reactor.after(IDLE_US, self.close)
         if last:
             self.close()
--- a/lilacsill/mesh/runtime/link.py
+++ b/lilacsill/mesh/runtime/link.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lilacsill.address import Address
-from lilacsill.net.connecting import Connecting
+from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.net.stream import Stream
 
 from .frames import BadFrame, Frames, frame
@@ -48,7 +48,7 @@
 
     # The stream's side
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         try:
             for number, payload in self._frames.feed(data):
                 if not self.open:
@@ -58,14 +58,14 @@
             log.warning("a peer said what is no message: %s", e)
             self.close()
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
         self._end()
 
     def flushed(self) -> None:
         if self.on_flushed is not None:
             self.on_flushed()
 
-    def shut(self) -> None:
+    def connection_lost(self) -> None:
         self._end()
 
     def _end(self) -> None:
@@ -130,7 +130,7 @@
     timeout_us: int,
     opened: Callable[[socket.socket], None],
     failed: Callable[[OSError], None],
-) -> Connecting:
-    connecting = Connecting(reactor, address, timeout_us / 1e6, opened, failed)
+) -> ConnectAttempt:
+    connecting = ConnectAttempt(reactor, address, timeout_us / 1e6, opened, failed)
     connecting.begin()
     return connecting
--- a/lilacsill/mesh/runtime/reactor.py
+++ b/lilacsill/mesh/runtime/reactor.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from lilacsill.net import reactor
-from lilacsill.timers import Timer, Wheel
+from lilacsill.timers import Timer, TimerWheel
 
 from .log_ring import log
 
@@ -32,7 +32,7 @@
         self._readers: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
         self._writers: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
         self._soon: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
-        self._wheel = Wheel()
+        self._wheel = TimerWheel()
         self._signals: dict[int, Callable[[], None]] = {}
         self._stopped = False
         self.late_us = 0  # how long the last turn took after its first event: this process's own delay
@@ -110,7 +110,7 @@
 
     def turn(self) -> None:
         """Wait for the next event or timer, then call everything that is due."""
-        due = self._wheel.due
+        due = self._wheel.next_due_us
         if self._soon:
             wait_s = 0.0
         elif due is None:
@@ -127,7 +127,7 @@
         now = self.now()
         if began:
             self.late_us = now - began
-        for timer in self._wheel.take(now):
+        for timer in self._wheel.pop_due(now):
             self._call(timer.fire, ())
         for _ in range(len(self._soon)):
             self._call(*self._soon.popleft())
--- a/lilacsill/mesh/runtime/rpc.py
+++ b/lilacsill/mesh/runtime/rpc.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lilacsill.address import Address
-from lilacsill.net.connecting import Connecting
+from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.timers import Timer
 
 from .link import Link, Listener, connect
@@ -35,7 +35,7 @@
     def __init__(self, reactor: Reactor, address: Address) -> None:
         self._reactor, self.address = reactor, address
         self._link: Link | None = None
-        self._connecting: Connecting | None = None
+        self._connecting: ConnectAttempt | None = None
         self._waiting: dict[int, Question] = {}
         self._queue: list[tuple[int, Message]] = []
         self._number = 0
@@ -61,7 +61,7 @@
     def _connect(self) -> None:
         if self._connecting is not None or (self._link is not None and self._link.open) or not self._queue:
             return
-        self._connecting = Connecting(self._reactor, self.address, CONNECT_US / 1e6, self._opened, self._failed)
+        self._connecting = ConnectAttempt(self._reactor, self.address, CONNECT_US / 1e6, self._opened, self._failed)
         self._connecting.begin()
 
     def _opened(self, sock: socket.socket) -> None:
--- a/lilacsill/mesh/simulation/loopback.py
+++ b/lilacsill/mesh/simulation/loopback.py
@@ -23,7 +23,7 @@
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Message, Reader, answer, request
+from lilacsill.http1.message import Message, Reader, encode_response, encode_request
 from lilacsill.net import reactor as watchers
 
 from .store_fleet import put, route
@@ -103,7 +103,7 @@
                 "Condition": {"ServerState": self.state, "CallCount": self.count, "ColdLeftMs": 0},
             }
         )
-        data = request(b"PUT", f"/api/servers/{self.server}".encode(), [(b"Host", b"proxy")], body)
+        data = encode_request(b"PUT", f"/api/servers/{self.server}".encode(), [(b"Host", b"proxy")], body)
         Exchange(self.fair.reactor, Address(self.ip, CONTROL), data, lambda status, body: None)
         self.fair.reactor.after(BEAT_US, self._beat)
 
@@ -132,7 +132,7 @@
             ("Answering-Server", self._backend.server),
             ("Server-Load", f"{running},0,8"),
         ]
-        self.send(answer(200, headers, b"x" * 500))
+        self.send(encode_response(200, headers, b"x" * 500))
 
 
 class Fair:
@@ -219,7 +219,7 @@
 
     def operate(self, body: dict[str, object], done: Callable[[int], None], at: int = 0) -> None:
         """Until a clear answer comes, at one core machine after the other."""
-        data = request(b"PATCH", b"/api/config", [(b"Host", b"core")], msgspec.json.encode(body))
+        data = encode_request(b"PATCH", b"/api/config", [(b"Host", b"core")], msgspec.json.encode(body))
 
         def answered(status: int, _: bytes) -> None:
             if status == 0 or status >= 500:
@@ -236,7 +236,7 @@
         self._numbers += 1
         number = f"n{self._numbers}"
         headers = [(b"Host", b"h.example"), (b"Attempt-Id", number.encode()), (b"Time-Left-Ms", b"%d" % PATIENCE_MS)]
-        data = request(method, path, headers, b"body" if method == b"POST" else b"")
+        data = encode_request(method, path, headers, b"body" if method == b"POST" else b"")
 
         def answered(status: int, _: bytes) -> None:
             self.answered[number] = status
--- a/lilacsill/mesh/simulation/network.py
+++ b/lilacsill/mesh/simulation/network.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lilacsill.mesh.runtime.messages import Item, Message, decode, encode
-from lilacsill.timers import Timer, Wheel
+from lilacsill.timers import Timer, TimerWheel
 from lilacsill.mesh.store.digests import range_of
 from lilacsill.mesh.store.environment import Answered, Done, Save
 
@@ -136,7 +136,7 @@
         self.clock_rate = 1.0
         self.frozen_until = 0
         self.handlers: Handlers = {}
-        self._wheel = Wheel()
+        self._wheel = TimerWheel()
 
     @property
     def up(self) -> bool:
--- a/lilacsill/net/__init__.py
+++ b/lilacsill/net/__init__.py
@@ -1,1 +1,1 @@
-"""Streams of bytes over TCP on the event loop; all of the agent's sockets but the listener are here."""
+"""Byte streams over TCP on the event loop: all sockets of the agent but the listener."""
--- a/lilacsill/net/connecting.py
+++ b/lilacsill/net/connecting.py
@@ -1,4 +1,7 @@
-"""Opening a connection: one that the kernel brings up at once, as on loopback, is there in the same turn."""
+"""Opening TCP connections.
+
+A connection that the kernel completes at once, as on loopback, is reported in the same iteration of the loop.
+"""
 
 from __future__ import annotations
 
@@ -10,65 +13,74 @@
 
 from ..address import Address
 from ..timers import Timer
-from .reactor import Deadlines, running
+from .reactor import TimerScheduler, running_loop
 
 if TYPE_CHECKING:
     import asyncio
 
 
 def new_socket(family: int) -> socket.socket:
-    """Raises OSError, where descriptors have run out too."""
+    """Return a non-blocking TCP socket without Nagle's algorithm.
+
+    Raises:
+        OSError: The kernel has no socket to give; so too where the process has no descriptor left.
+    """
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
     return sock
 
 
-class Connecting:
-    """One attempt to connect. After `begin`, either `opened` gets the socket or `failed` the reason, once; both may
-    come before `begin` returns."""
+class ConnectAttempt:
+    """One attempt to connect to an address.
+
+    After `begin`, exactly one of the two callbacks is called, once: `on_connected` with the socket or `on_failed` with
+    the error. Either may be called before `begin` returns.
+    """
 
     def __init__(
         self,
-        clock: Deadlines,
+        clock: TimerScheduler,
         address: Address,
         timeout_s: float,
-        opened: Callable[[socket.socket], None],
-        failed: Callable[[OSError], None],
+        on_connected: Callable[[socket.socket], None],
+        on_failed: Callable[[OSError], None],
     ) -> None:
         self._clock, self._address, self._timeout_s = clock, address, timeout_s
-        self._opened, self._failed = opened, failed
-        self._loop = running()
+        self._on_connected, self._on_failed = on_connected, on_failed
+        self._loop = running_loop()
         self._sock: socket.socket | None = None
-        self._waits = False  # for the socket to become writable
+        self._awaits_writable = False  # whether the loop watches the socket
         self._timer: Timer | None = None
-        self._lookup: asyncio.Task[None] | None = None
-        self._over = False
+        self._resolution: asyncio.Task[None] | None = None
+        self._done = False
 
     def begin(self) -> None:
+        """Start to connect; the time-out runs from now on."""
         host, port = self._address.host, self._address.port
         self._timer = self._clock.after(
             int(self._timeout_s * 1e6), self._fail, TimeoutError(errno.ETIMEDOUT, "timed out")
         )
-        family = family_of(host)
+        family = address_family(host)
         if family is None:
-            import asyncio  # the mesh's processes know addresses only, and do without
+            import asyncio  # imported here: the mesh's processes have numeric addresses only, and do without it
 
-            self._lookup = asyncio.get_running_loop().create_task(self._look_up(host, port))
+            self._resolution = asyncio.get_running_loop().create_task(self._resolve(host, port))
         else:
             self._connect(family, (host, port))
 
     def cancel(self) -> None:
-        """`failed` hears of this, too."""
+        """Give the attempt up: `on_failed` gets ECANCELED. Has no effect on one that is done."""
         self._fail(OSError(errno.ECANCELED, os.strerror(errno.ECANCELED)))
 
-    async def _look_up(self, host: str, port: int) -> None:
+    async def _resolve(self, host: str, port: int) -> None:
         import asyncio
 
         try:
             found = await asyncio.get_running_loop().getaddrinfo(host, port, type=socket.SOCK_STREAM)
-        except OSError as e:
-            return self._fail(e)
-        if not self._over:
+        except OSError as error:
+            self._fail(error)
+            return
+        if not self._done:
             family, _, _, _, sockaddr = found[0]
             self._connect(family, sockaddr)
 
@@ -78,46 +90,48 @@
             code = sock.connect_ex(sockaddr)
             if code and code != errno.EINPROGRESS:
                 raise OSError(code, os.strerror(code))
-            if code and not _is_up(sock):
-                self._loop.add_writer(sock.fileno(), self._writable)
-                self._waits = True
+            if code and not _is_connected(sock):
+                self._loop.add_writer(sock.fileno(), self._on_writable)
+                self._awaits_writable = True
                 return
-        except OSError as e:
-            return self._fail(e)
-        self._open()
+        except OSError as error:
+            self._fail(error)
+            return
+        self._succeed()
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         assert self._sock is not None
         code = self._sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
         if code:
-            return self._fail(OSError(code, os.strerror(code)))
-        self._open()
+            self._fail(OSError(code, os.strerror(code)))
+            return
+        self._succeed()
 
-    def _open(self) -> None:
+    def _succeed(self) -> None:
         sock = self._sock
         assert sock is not None
-        self._end()
-        self._opened(sock)
+        self._finish()
+        self._on_connected(sock)
 
-    def _fail(self, e: OSError) -> None:
-        if self._over:
+    def _fail(self, error: OSError) -> None:
+        if self._done:
             return
-        self._end()
+        self._finish()
         if self._sock is not None:
             self._sock.close()
-        self._failed(e)
+        self._on_failed(error)
 
-    def _end(self) -> None:
-        self._over = True
+    def _finish(self) -> None:
+        self._done = True
         if self._timer is not None:
             self._timer.cancel()
-        if self._waits and self._sock is not None:
+        if self._awaits_writable and self._sock is not None:
             self._loop.remove_writer(self._sock.fileno())
-        if self._lookup is not None:
-            self._lookup.cancel()
+        if self._resolution is not None:
+            self._resolution.cancel()
 
 
-def _is_up(sock: socket.socket) -> bool:
+def _is_connected(sock: socket.socket) -> bool:
     try:
         sock.getpeername()
     except OSError:
@@ -125,8 +139,8 @@
     return True
 
 
-def family_of(host: str) -> int | None:
-    """Of a numeric address; None for a name."""
+def address_family(host: str) -> int | None:
+    """Return the address family of a numeric address; None for a name."""
     for family in (socket.AF_INET, socket.AF_INET6):
         try:
             socket.inet_pton(family, host)
@@ -136,22 +150,26 @@
     return None
 
 
-async def connected(clock: Deadlines, address: Address, timeout_s: float) -> socket.socket:
-    """Raises OSError, a time-out too."""
+async def connect(clock: TimerScheduler, address: Address, timeout_s: float) -> socket.socket:
+    """Connect to an address and return the socket.
+
+    Raises:
+        OSError: The connection could not be opened; TimeoutError where it took longer than `timeout_s`.
+    """
     import asyncio
 
-    answer: asyncio.Future[socket.socket] = asyncio.get_running_loop().create_future()
+    outcome: asyncio.Future[socket.socket] = asyncio.get_running_loop().create_future()
 
-    def failed(e: OSError) -> None:
-        if not answer.done():
-            answer.set_exception(e)
+    def on_failed(error: OSError) -> None:
+        if not outcome.done():
+            outcome.set_exception(error)
 
-    connecting = Connecting(clock, address, timeout_s, answer.set_result, failed)
-    connecting.begin()
+    attempt = ConnectAttempt(clock, address, timeout_s, outcome.set_result, on_failed)
+    attempt.begin()
     try:
-        return await answer
+        return await outcome
     except asyncio.CancelledError:
-        connecting.cancel()
-        if answer.done() and not answer.cancelled() and answer.exception() is None:
-            answer.result().close()
+        attempt.cancel()
+        if outcome.done() and not outcome.cancelled() and outcome.exception() is None:
+            outcome.result().close()
         raise
--- a/lilacsill/net/reactor.py
+++ b/lilacsill/net/reactor.py
@@ -1,6 +1,6 @@
-"""Which loop watches descriptors: the process's own where one is installed, else asyncio's that is running.
+"""The event loop that watches descriptors: the process's own where one is installed, else the running asyncio loop.
 
-asyncio costs 7 MB and 87 ms of a start; the mesh's processes are priced for both and bring a loop of their own.
+Importing asyncio costs 7 MB and 87 ms of a start. The mesh's processes are priced for both and bring their own loop.
 """
 
 from __future__ import annotations
@@ -11,37 +11,47 @@
 from ..timers import Timer
 
 
-class Watcher(Protocol):
-    """What streams need of a loop; asyncio's has it."""
+class EventLoop(Protocol):
+    """What streams need of an event loop; asyncio's loops have it."""
 
-    def add_reader(self, fd: int, callback: Callable[..., Any], *args: Any) -> Any: ...
+    def add_reader(self, fd: int, callback: Callable[..., Any], *args: Any) -> Any:
+        """Call `callback(*args)` whenever the descriptor is readable."""
 
-    def remove_reader(self, fd: int) -> Any: ...
+    def remove_reader(self, fd: int) -> Any:
+        """Stop watching the descriptor for reading."""
 
-    def add_writer(self, fd: int, callback: Callable[..., Any], *args: Any) -> Any: ...
+    def add_writer(self, fd: int, callback: Callable[..., Any], *args: Any) -> Any:
+        """Call `callback(*args)` whenever the descriptor is writable."""
 
-    def remove_writer(self, fd: int) -> Any: ...
+    def remove_writer(self, fd: int) -> Any:
+        """Stop watching the descriptor for writing."""
 
-    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Any: ...
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> Any:
+        """Call `callback(*args)` in the next iteration of the loop."""
 
 
-class Deadlines(Protocol):
-    """What sets timers."""
+class TimerScheduler(Protocol):
+    """What sets timers: a clock or a reactor."""
 
-    def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> Timer: ...
+    def after(self, delay_us: int, callback: Callable[..., None], *arguments: Any) -> Timer:
+        """Schedule `callback(*arguments)` in `delay_us` microseconds."""
 
 
-_installed: Watcher | None = None
+_installed: EventLoop | None = None
 
 
-def install(watcher: Watcher | None) -> None:
-    """From now on this process's loop; None: asyncio's again."""
+def install(loop: EventLoop | None) -> None:
+    """Make `loop` this process's event loop; None: asyncio's again."""
     global _installed
-    _installed = watcher
+    _installed = loop
 
 
-def running() -> Watcher:
-    """Raises RuntimeError where none runs."""
+def running_loop() -> EventLoop:
+    """Return the event loop that runs in this process.
+
+    Raises:
+        RuntimeError: No loop is installed and no asyncio loop runs.
+    """
     if _installed is not None:
         return _installed
     import asyncio
--- a/lilacsill/net/stream.py
+++ b/lilacsill/net/stream.py
@@ -1,8 +1,8 @@
-"""One TCP stream. Between its user and the kernel there is one buffer for what the kernel has not taken yet.
+"""One TCP stream, with one buffer for the bytes that the kernel has not accepted yet.
 
-asyncio's own transports take two to four turns of the event loop to set a connection up, and as many tasks and futures.
-With a full core a turn takes 50 ms: probes ran into their time-out before their connection was up, each of them then
-cost another connection, and nothing was served any more.
+asyncio's own transports take two to four iterations of the event loop to set a connection up, and as many tasks and
+futures. On a busy core an iteration takes 50 ms: health checks ran into their time-out before their connection was up,
+each of them then cost another connection, and nothing was served any more.
 """
 
 from __future__ import annotations
@@ -11,81 +11,84 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from .reactor import running
+from .reactor import running_loop
 
-READ = 256 * 1024  # bytes at once
-# One for all: what was read is handed on before the next read.
-_BUFFER = memoryview(bytearray(READ))
+MAX_READ_BYTES = 256 * 1024  # read at once
+# One buffer for all streams: what was read is copied out before the next read.
+_BUFFER = memoryview(bytearray(MAX_READ_BYTES))
 
 
-class StreamUser(Protocol):
-    """Who reads and writes. Called from the event loop, never from inside a call to the stream."""
+class StreamHandler(Protocol):
+    """The owner of a stream. It is called from the event loop, never from inside a call to the stream."""
 
-    def received(self, data: bytes) -> None:
-        """Bytes from the peer."""
+    def data_received(self, data: bytes) -> None:
+        """Handle bytes from the peer."""
 
-    def ended(self) -> None:
-        """The peer has ended its sending or reset the connection. The stream then closes by itself."""
+    def eof_received(self) -> None:
+        """Handle the end of the peer's sending, or a reset. The stream then closes by itself."""
 
     def flushed(self) -> None:
-        """The kernel has taken all that was sent, after a time in which it had not."""
+        """Handle that the kernel has accepted all bytes sent, after some had to be buffered."""
 
-    def shut(self) -> None:
-        """The last call: the stream is closed and its descriptor is free."""
+    def connection_lost(self) -> None:
+        """Handle the end of the stream, the last call: it is closed and its descriptor is free."""
 
 
 class Stream:
-    """A connected socket that does not block; owns it from now on. Raises OSError where the kernel has no room to
-    watch it, and then the socket is still the caller's."""
+    """A connected non-blocking socket, which the stream owns from its construction on.
+
+    Raises:
+        OSError: The event loop cannot watch the socket (at construction); the socket is still the caller's then.
+    """
 
     __slots__ = (
         "_loop",
         "_sock",
         "_fd",
-        "_user",
+        "_handler",
         "_unsent",
         "_half_closing",
-        "_over",
+        "_closed",
         "closing",
         "paused",
         "read_limit",
         "reset",
     )
 
-    def __init__(self, sock: socket.socket, user: StreamUser) -> None:
-        self._loop = running()
-        self._sock, self._fd, self._user = sock, sock.fileno(), user
+    def __init__(self, sock: socket.socket, handler: StreamHandler) -> None:
+        self._loop = running_loop()
+        self._sock, self._fd, self._handler = sock, sock.fileno(), handler
         self._unsent = bytearray()
-        self._half_closing = self._over = False
-        self.closing = False  # nothing more is read, and when all is written it is closed
+        self._half_closing = self._closed = False
+        self.closing = False  # nothing more is read, and the stream closes when all is written
         self.paused = False
-        self.reset = False  # by the peer
-        self.read_limit: Callable[[], int] | None = None  # how much to read at once; None: what there is
+        self.reset = False  # whether the peer has reset the connection
+        self.read_limit: Callable[[], int] | None = None  # bytes to read at once; None: MAX_READ_BYTES
         self._loop.add_reader(self._fd, self.receive)
 
     @property
     def unsent(self) -> int:
-        """Bytes that the kernel has not taken."""
+        """Number of bytes that the kernel has not accepted yet."""
         return len(self._unsent)
 
     def receive(self) -> None:
-        """Hand on what has come, if anything has."""
+        """Read once, and pass on what was read, if anything."""
         try:
-            nbytes = self._sock.recv_into(_BUFFER, self.read_limit() if self.read_limit is not None else READ)
+            nbytes = self._sock.recv_into(_BUFFER, self.read_limit() if self.read_limit is not None else MAX_READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
             nbytes = 0
             self.reset = True
-            self._unsent.clear()  # nobody takes it any more
+            self._unsent.clear()  # nobody receives it any more
         if nbytes:
-            self._user.received(bytes(_BUFFER[:nbytes]))
+            self._handler.data_received(bytes(_BUFFER[:nbytes]))
         else:
-            self._user.ended()
+            self._handler.eof_received()
             self.close()
 
     def nothing_to_read(self) -> bool:
-        """Whether the kernel has nothing to read, not even the peer's close."""
+        """Return whether the kernel has nothing to read, not even the peer's close."""
         if self.closing:
             return False
         try:
@@ -97,57 +100,60 @@
         return False
 
     def pause(self) -> None:
-        """Read nothing until `resume`; the peer's window closes by itself."""
+        """Read nothing until `resume`; TCP's flow control then slows the peer down."""
         if not self.closing and not self.paused:
             self.paused = True
             self._loop.remove_reader(self._fd)
 
     def resume(self) -> None:
+        """Read again after `pause`."""
         if not self.closing and self.paused:
             self.paused = False
             self._loop.add_reader(self._fd, self.receive)
 
     def send(self, data: bytes) -> None:
-        """Write now what the kernel takes, and the rest as it takes it."""
-        if self._over:
+        """Write now what the kernel accepts, and the rest when it accepts more."""
+        if self._closed:
             return
         if not self._unsent:
             try:
-                taken = self._sock.send(data)
+                accepted = self._sock.send(data)
             except (BlockingIOError, InterruptedError):
-                taken = 0
+                accepted = 0
             except OSError:
-                return self.abort()
-            if taken == len(data):
+                self.abort()
+                return
+            if accepted == len(data):
                 return
-            data = data[taken:]
-            self._loop.add_writer(self._fd, self._writable)
+            data = data[accepted:]
+            self._loop.add_writer(self._fd, self._on_writable)
         self._unsent += data
 
-    def _writable(self) -> None:
+    def _on_writable(self) -> None:
         try:
             del self._unsent[: self._sock.send(self._unsent)]
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
-            return self.abort()
+            self.abort()
+            return
         if self._unsent:
             return
         self._loop.remove_writer(self._fd)
-        self._user.flushed()
+        self._handler.flushed()
         if self._half_closing:
             self._shut_down()
         if self.closing:
             self.abort()
 
     def half_close(self) -> None:
-        """End the sending when all is written; what comes is still read."""
+        """Shut down the sending side when all is written; the stream still reads."""
         self._half_closing = True
         if not self._unsent:
             self._shut_down()
 
     def _shut_down(self) -> None:
-        if not self._over:
+        if not self._closed:
             try:
                 self._sock.shutdown(socket.SHUT_WR)
             except OSError:  # the peer has reset it
@@ -162,12 +168,15 @@
                 self.abort()
 
     def abort(self) -> None:
-        """Close now, in the eyes of the peer too: the next attempt of the same request may go out in this turn."""
-        if self._over:
+        """Close at once.
+
+        The peer sees it at once, too: the next attempt of the same request may go out in this iteration of the loop.
+        """
+        if self._closed:
             return
-        self.closing = self._over = True
+        self.closing = self._closed = True
         self._unsent.clear()
         self._loop.remove_reader(self._fd)
         self._loop.remove_writer(self._fd)
         self._sock.close()
-        self._loop.call_soon(self._user.shut)
+        self._loop.call_soon(self._handler.connection_lost)
--- a/lilacsill/timers.py
+++ b/lilacsill/timers.py
@@ -1,7 +1,7 @@
-"""Deadlines by the thousand: a wheel of slots a millisecond wide. No I/O; the clock comes from outside.
+"""A timing wheel: deadlines by the thousand, in slots a millisecond wide. No I/O; the caller passes the time in.
 
 Four of five timers of a request are cancelled before they are due. In a heap each of them costs a sift on its way in
-and another on its way out (Varghese and Lauck, Hashed and Hierarchical Timing Wheels, SOSP 1987, scheme 4); here a
+and another on its way out (Varghese and Lauck, Hashed and Hierarchical Timing Wheels, SOSP 1987, scheme 4). Here a
 timer is an entry of a list, and cancelling it empties the entry.
 """
 
@@ -11,86 +11,97 @@
 from heapq import heapify, heappop, heappush
 from typing import Any
 
-SLOT_US = 1_000
-SWEEP_AT = 512  # cancelled entries that are held on to before they may be swept out
+SLOT_US = 1_000  # width of a slot in microseconds
+SWEEP_THRESHOLD = 512  # cancelled entries that may stay in the wheel before they are swept out
 
 
 class Timer:
-    """One deadline. Called at most once; never early, and less than a slot late by itself."""
+    """One deadline.
 
-    __slots__ = ("_call", "_arguments", "held_by")
+    It fires at most once, never early, and the wheel adds less than the width of a slot to its time.
+    """
 
-    def __init__(self, wheel: Wheel, call: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        self.held_by: Wheel | None = wheel  # None once it has been taken out
+    __slots__ = ("_callback", "_arguments", "wheel")
+
+    def __init__(self, wheel: TimerWheel, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
+        self.wheel: TimerWheel | None = wheel  # None once the wheel has handed it out
         self._arguments = arguments
-        self._call: Callable[..., None] | None = call
+        self._callback: Callable[..., None] | None = callback
 
     def cancel(self) -> None:
-        """Has no effect on one that is over."""
-        if self._call is not None:
-            self._call, self._arguments = None, ()
-            if self.held_by is not None:
-                self.held_by.cancelled += 1
+        """Cancel the timer. Has no effect on one that has fired or was cancelled before."""
+        if self._callback is not None:
+            self._callback, self._arguments = None, ()
+            if self.wheel is not None:
+                self.wheel.cancelled += 1
 
     @property
-    def over(self) -> bool:
-        return self._call is None
+    def is_done(self) -> bool:
+        """Whether the timer has fired or was cancelled."""
+        return self._callback is None
 
     def fire(self) -> None:
-        call, arguments = self._call, self._arguments
-        if call is not None:
-            self._call, self._arguments = None, ()
-            call(*arguments)
+        """Call the callback, unless the timer is done."""
+        callback, arguments = self._callback, self._arguments
+        if callback is not None:
+            self._callback, self._arguments = None, ()
+            callback(*arguments)
+
 
+class TimerWheel:
+    """All deadlines of a process.
 
-class Wheel:
-    """All deadlines of a process. `due` says when to call `turn` next."""
+    `next_due_us` says when to call `pop_due` next.
+    """
 
     def __init__(self) -> None:
         self._slots: dict[int, list[Timer]] = {}
-        self._order: list[int] = []  # a heap of the slots that are held
-        self._held = 0
-        self.cancelled = 0
+        self._slot_heap: list[int] = []  # numbers of the slots in use
+        self._entries = 0  # timers in the slots, cancelled ones included
+        self.cancelled = 0  # of these, the cancelled ones
 
     def __len__(self) -> int:
-        """Timers that are not cancelled."""
-        return self._held - self.cancelled
+        """Return the number of timers that are not cancelled."""
+        return self._entries - self.cancelled
 
     @property
-    def due(self) -> int | None:
-        """When the next slot is due, in microseconds; None: nothing is."""
-        return self._order[0] * SLOT_US if self._order else None
+    def next_due_us(self) -> int | None:
+        """The time at which the next slot is due, in microseconds; None where no timer is set."""
+        return self._slot_heap[0] * SLOT_US if self._slot_heap else None
 
-    def add(self, at_us: int, call: Callable[..., None], arguments: tuple[Any, ...] = ()) -> Timer:
-        """`call(*arguments)` at that time."""
-        timer = Timer(self, call, arguments)
+    def add(self, at_us: int, callback: Callable[..., None], arguments: tuple[Any, ...] = ()) -> Timer:
+        """Schedule `callback(*arguments)` for the time `at_us`, in microseconds."""
+        timer = Timer(self, callback, arguments)
         number = -(-at_us // SLOT_US)
         slot = self._slots.get(number)
         if slot is None:
             self._slots[number] = [timer]
-            heappush(self._order, number)
+            heappush(self._slot_heap, number)
         else:
             slot.append(timer)
-        self._held += 1
-        if self.cancelled > SWEEP_AT and 2 * self.cancelled > self._held:
+        self._entries += 1
+        if self.cancelled > SWEEP_THRESHOLD and 2 * self.cancelled > self._entries:
             self._sweep()
         return timer
 
-    def take(self, now_us: int) -> list[Timer]:
-        """The timers that are due, in order of their slots; `fire` each. One cancelled by another stays silent."""
+    def pop_due(self, now_us: int) -> list[Timer]:
+        """Remove and return the timers that are due, in order of their slots.
+
+        The caller calls `fire` on each. A timer that an earlier one cancels in between stays silent.
+        """
         due: list[Timer] = []
-        while self._order and self._order[0] * SLOT_US <= now_us:
-            due += self._slots.pop(heappop(self._order))
-        self._held -= len(due)
+        while self._slot_heap and self._slot_heap[0] * SLOT_US <= now_us:
+            due += self._slots.pop(heappop(self._slot_heap))
+        self._entries -= len(due)
         for timer in due:
-            self.cancelled -= timer.over
-            timer.held_by = None
+            self.cancelled -= timer.is_done
+            timer.wheel = None
         return due
 
     def _sweep(self) -> None:
-        """A client may state a day's patience and be answered at once: what is cancelled must not stay till then."""
-        live = {number: [t for t in slot if not t.over] for number, slot in self._slots.items()}
+        # A client may state a deadline a day ahead and be answered at once: its timer must not stay until then.
+        live = {number: [t for t in slot if not t.is_done] for number, slot in self._slots.items()}
         self._slots = {number: slot for number, slot in live.items() if slot}
-        self._order = list(self._slots)
-        heapify(self._order)
-        self._held, self.cancelled = sum(map(len, self._slots.values())), 0
+        self._slot_heap = list(self._slots)
+        heapify(self._slot_heap)
+        self._entries, self.cancelled = sum(map(len, self._slots.values())), 0
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -40,14 +40,14 @@
 
 
 def what_came_with_the_end_of_a_link_is_handled(patch: Patch) -> None:
-    def received(self: Link, data: bytes) -> None:
+    def data_received(self: Link, data: bytes) -> None:
         try:
             for number, payload in self._frames.feed(data):
                 self.on_message(self, number, decode(payload))
         except BadFrame:
             self.close()
 
-    patch.setattr(Link, "received", received)
+    patch.setattr(Link, "data_received", data_received)
 
 
 def paused_links_are_given_back_paused(patch: Patch) -> None:
--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -58,7 +58,7 @@
 class BackendConnection(Connection):
     def __init__(self, backend: Backend) -> None:
         super().__init__()
-        self._backend, self._reader = backend, Reader(HttpRequestParser, 1 << 20, keep_lines=True)
+        self._backend, self._reader = backend, Reader(HttpRequestParser, 1 << 20, keep_header_lines=True)
         self._before: Message | None = None
 
     def on_data(self, data: bytes) -> None:
@@ -153,7 +153,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._reader = Reader(HttpResponseParser, 1 << 24, keep_lines=True)
+        self._reader = Reader(HttpResponseParser, 1 << 24, keep_header_lines=True)
         self.answers: list[Message] = []
         self.over = self.cut = False
         self.reads = True
--- a/tests/test_stream.py
+++ b/tests/test_stream.py
@@ -15,7 +15,7 @@
 
 from lilacsill.address import Address
 from lilacsill.clock import Clock
-from lilacsill.net.connecting import Connecting, connected, family_of
+from lilacsill.net.connecting import ConnectAttempt, connect, address_family
 from lilacsill.net.stream import Stream
 from tests.loopback import post, world
 
@@ -34,17 +34,17 @@
         self.told.append(what)
         self.changed.set()
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         self.data += data
         self.changed.set()
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
         self._tell("ended")
 
     def flushed(self) -> None:
         self._tell("flushed")
 
-    def shut(self) -> None:
+    def connection_lost(self) -> None:
         self._tell("shut")
 
     async def until(self, met: Callable[[], bool]) -> None:
@@ -177,11 +177,11 @@
         with socket.create_server(("127.0.0.1", 0)) as listener:
             port = int(listener.getsockname()[1])
             for host in ("127.0.0.1", "localhost"):
-                sock = await connected(Clock(), Address(host, port), 5.0)
+                sock = await connect(Clock(), Address(host, port), 5.0)
                 assert sock.getpeername()[1] == port
                 sock.close()
         with pytest.raises(ConnectionRefusedError):
-            await connected(Clock(), Address("127.0.0.1", refused_port()), 5.0)
+            await connect(Clock(), Address("127.0.0.1", refused_port()), 5.0)
 
     asyncio.run(asyncio.wait_for(run(), 30))
 
@@ -198,13 +198,13 @@
                 filler.setblocking(False)
                 filler.connect_ex((address.host, address.port))
             with pytest.raises(TimeoutError):
-                await connected(clock, address, 0.01)
-            connecting = Connecting(clock, address, 60.0, lambda sock: sock.close(), failed.append)
+                await connect(clock, address, 0.01)
+            connecting = ConnectAttempt(clock, address, 60.0, lambda sock: sock.close(), failed.append)
             connecting.begin()
             connecting.cancel()
             connecting.cancel()
         assert [e.errno for e in failed] == [errno.ECANCELED]
-        task = asyncio.ensure_future(connected(clock, Address("localhost", refused_port()), 60.0))
+        task = asyncio.ensure_future(connect(clock, Address("localhost", refused_port()), 60.0))
         await asyncio.sleep(0)
         task.cancel()
         with pytest.raises(asyncio.CancelledError):
@@ -214,8 +214,8 @@
 
 
 def test_numeric_addresses_are_told_from_names() -> None:
-    assert family_of("127.0.0.1") == socket.AF_INET and family_of("::1") == socket.AF_INET6
-    assert family_of("localhost") is None and family_of("1.2.3") is None and family_of("a\0b") is None
+    assert address_family("127.0.0.1") == socket.AF_INET and address_family("::1") == socket.AF_INET6
+    assert address_family("localhost") is None and address_family("1.2.3") is None and address_family("a\0b") is None
 
 
 def test_a_request_that_came_with_its_connection_is_taken_in_the_turn_that_accepts_it(tmp_path: Path) -> None:
--- a/tests/test_timers.py
+++ b/tests/test_timers.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from lilacsill.clock import Clock
-from lilacsill.timers import SLOT_US, SWEEP_AT, Timer, Wheel
+from lilacsill.timers import SLOT_US, SWEEP_THRESHOLD, Timer, TimerWheel
 
 STEPS = st.lists(
     st.one_of(
@@ -22,7 +22,7 @@
 
 @given(STEPS)
 def test_each_deadline_is_met_once_never_early_and_within_a_slot(steps: list[tuple[str, int]]) -> None:
-    wheel, now, fired = Wheel(), 1_000_000, list[int]()
+    wheel, now, fired = TimerWheel(), 1_000_000, list[int]()
     timers = list[Timer]()
     due: dict[int, int] = {}
     for what, n in steps:
@@ -32,36 +32,36 @@
             due[number] = now + n
         elif what == "cancel" and timers:
             n %= len(timers)
-            if not timers[n].over:
+            if not timers[n].is_done:
                 del due[n]
             timers[n].cancel()
         elif what == "go":
             now += n
-            for timer in wheel.take(now):
+            for timer in wheel.pop_due(now):
                 timer.fire()
         for number, at in list(due.items()):
-            if timers[number].over:
+            if timers[number].is_done:
                 del due[number]
                 assert number in fired and at <= now
             elif what == "go":
                 assert at + SLOT_US > now
         assert len(wheel) == len(due)
-        assert (wheel.due is not None) or not due
+        assert (wheel.next_due_us is not None) or not due
     assert len(fired) == len(set(fired))
 
 
 def test_cancelled_deadlines_far_ahead_are_not_held() -> None:
-    wheel = Wheel()
-    for _ in range(20 * SWEEP_AT):
+    wheel = TimerWheel()
+    for _ in range(20 * SWEEP_THRESHOLD):
         wheel.add(24 * 3600 * 10**6, print).cancel()
-    assert len(wheel) == 0 and wheel.cancelled <= SWEEP_AT + 1
+    assert len(wheel) == 0 and wheel.cancelled <= SWEEP_THRESHOLD + 1
 
 
 def test_one_cancelled_by_another_of_its_slot_stays_silent() -> None:
-    wheel, fired = Wheel(), list[str]()
+    wheel, fired = TimerWheel(), list[str]()
     wheel.add(10, lambda: other.cancel())
     other = wheel.add(10, fired.append, ("late",))
-    for timer in wheel.take(SLOT_US):
+    for timer in wheel.pop_due(SLOT_US):
         timer.fire()
     assert not fired and len(wheel) == 0
 
