--- a/lilacsill/mesh/proxy/backend_connection.py
+++ b/lilacsill/mesh/proxy/backend_connection.py
@@ -7,7 +7,7 @@
 from httptools import HttpResponseParser
 
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Message, Reader, chunk, request_head
+from lilacsill.http1.message import Message, Reader, encode_chunk, encode_request_head
 from lilacsill.mesh.runtime.messages import Headers
 
 from .reasons import FailureReason
@@ -42,7 +42,7 @@
         """Handle a complete response, or the end of one that was streamed."""
 
     def on_response_part(self, response: Message) -> None:
-        """Handle that more of a long response has come; `response.take()` returns it."""
+        """Handle that more of a long response has come; `response.take_body()` returns it."""
 
     def on_lost(self, reason: FailureReason) -> None:
         """Handle that no complete response will come; the request may have run."""
@@ -70,7 +70,7 @@
     connection = message.fields.get(b"connection")
     if connection is not None and connection.lower() not in (b"close", b"keep-alive"):
         excluded = HOP_BY_HOP | {name.strip().lower() for name in connection.split(b",")}
-    return [line for line in message.lines or [] if line[0].lower() not in excluded]
+    return [line for line in message.header_lines or [] if line[0].lower() not in excluded]
 
 
 class BackendConnection(Connection):
@@ -79,7 +79,7 @@
     def __init__(self, owner: ConnectionOwner) -> None:
         super().__init__()
         self._owner = owner
-        self._reader = Reader(HttpResponseParser, MAX_BODY_BYTES, keep_lines=True)
+        self._reader = Reader(HttpResponseParser, MAX_BODY_BYTES, keep_header_lines=True)
         self.handler: ResponseHandler | None = None
         self.max_idle_us = MAX_IDLE_US  # how long the backend keeps it
         self.idle_since = 0  # 0: it has not been idle yet
@@ -122,7 +122,7 @@
             body = _chunked(body, body_complete)
         elif content_length or method != b"GET":
             headers = [*headers, (b"Content-Length", b"%d" % content_length)]
-        self.send(request_head(method, target, headers) + body)
+        self.send(encode_request_head(method, target, headers) + body)
 
     def send_body(self, data: bytes, last: bool, chunked: bool) -> None:
         """Send more of the request's body."""
@@ -168,7 +168,7 @@
             self.drop()  # the beginning of a response that nobody asked for
         elif self._reader.in_body and current.received > STREAMED_FROM_BYTES:
             if current.fields.get(b"attempt-id", b"") != handler.attempt_id:
-                current.take()
+                current.take_body()
             else:
                 handler.on_response_part(current)
 
@@ -192,7 +192,7 @@
 
 
 def _chunked(data: bytes, last: bool) -> bytes:
-    return (chunk(data) if data else b"") + (chunk(b"") if last else b"")
+    return (encode_chunk(data) if data else b"") + (encode_chunk(b"") if last else b"")
 
 
 def _keep_alive_us(response: Message) -> int:
--- a/lilacsill/mesh/proxy/backend_request.py
+++ b/lilacsill/mesh/proxy/backend_request.py
@@ -177,7 +177,7 @@
         self._gateway.circuit_breaker.record_response(self._gateway.now())
         if self._streaming:
             self._finish()
-            self._sink.send(BodyChunk(response.take(), True))
+            self._sink.send(BodyChunk(response.take_body(), True))
         else:
             self._on_complete_response(response)
 
@@ -199,7 +199,7 @@
         if failure is not None:
             self._sink.send(NoResponse(failure, gateway.load()))
             return
-        body = response.take()
+        body = response.take_body()
         headers = self._headers(response)
         self._sink.send(Response(status, headers, body, True, len(body), not_run, duration_ms, gateway.load()))
 
@@ -209,7 +209,7 @@
             return
         self._gateway.circuit_breaker.record_response(self._gateway.now())
         if self._streaming:
-            message: Message = BodyChunk(response.take(), False)
+            message: Message = BodyChunk(response.take_body(), False)
         else:
             failure = self._failure_reason(response)
             if failure is not None:
@@ -224,7 +224,7 @@
         length = UNKNOWN_LENGTH if response.length is None else response.length
         not_run = self._is_not_run(response)
         headers = self._headers(response)
-        return Response(response.status, headers, response.take(), False, length, not_run, 0, self._gateway.load())
+        return Response(response.status, headers, response.take_body(), False, length, not_run, 0, self._gateway.load())
 
     def on_lost(self, reason: FailureReason) -> None:
         """End the request without a complete response; it may have run."""
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -23,6 +23,7 @@
 from .discovery import DiscoveryClient
 from .failure_detector import FailureDetector
 from .forwarding import Forwarder
+from .graceful_shutdown import GracefulShutdown
 from .inbound import Clients
 from .offer_server import OfferServer
 from .reasons import FailureReason, RejectionReason
@@ -214,7 +215,10 @@
         if self._leaving_since:
             return
         log.info("leaves")
-        self._leaving_since = self._reactor.now()
+        now = self._leaving_since = self._reactor.now()
+        grace_us = self._settings.bound_us("GracePeriodS", 6000)
+        take_all_us = min(NOTICE_US, grace_us // 2)
+        self._carrier.shutdown = GracefulShutdown(now + take_all_us, now + grace_us - END_US)
         self._news.leaving = True
         self._clients.leave()
         self._news.changed()
@@ -278,7 +282,7 @@
         self._done(server if answer.status == 200 else "", slots)
 
     def on_response_part(self, answer: Request) -> None:
-        answer.take()
+        answer.take_body()
 
     def on_lost(self, reason: FailureReason) -> None:
         self._done("", 0)
