--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -18,6 +18,7 @@
 from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
 from lilacsill.mesh.proxy.failure_detector import FailureDetector
+from lilacsill.mesh.proxy.known_endpoints import KnownEndpoints
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.proxy.table import Table
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
@@ -90,29 +91,34 @@
             self.peers.to(parse_address(address)).ask(message, timeout_us, answered)
 
 
+class SharedEndpoints(KnownEndpoints):
+    """Endpoints whose records are those of all light proxies of the process."""
+
+    shared: Shared | None
+
+    def update(self, endpoint: Endpoint, now: int) -> None:
+        super().update(endpoint if self.shared is None else self.shared.one(endpoint), now)
+
+
 class HollowDiscovery(DiscoveryClient):
-    """Stops with its proxy, and says nothing while that is cut off."""
+    """Stops with its proxy, and sends nothing while that is cut off."""
 
     proxy: HollowProxy
-    shared: Shared | None
 
-    def _turn(self) -> None:
+    def _keep_polling(self) -> None:
         if not self.proxy.over:
-            super()._turn()
+            super()._keep_polling()
 
-    def _ask(self, registry: str, wait_ms: int) -> None:
+    def _poll(self, registry: str, wait_ms: int) -> None:
         if not self.proxy.cut:
-            super()._ask(registry, wait_ms)
-
-    def _endpoint_told(self, endpoint: Endpoint, now: int) -> None:
-        super()._endpoint_told(endpoint if self.shared is None else self.shared.one(endpoint), now)
+            super()._poll(registry, wait_ms)
 
     def close_links(self) -> None:
         self._peers.keep(set())
 
 
 class HollowProxy:
-    """One. `on_news` is called whenever a registry has told it something."""
+    """One. `on_update` is called whenever a registry has told it something."""
 
     def __init__(
         self,
@@ -121,49 +127,59 @@
         number: int,
         shared: Shared | None,
         pings: bool,
-        on_news: Callable[[HollowProxy], None],
+        on_update: Callable[[HollowProxy], None],
     ) -> None:
         """Raises OSError."""
         self.number, self.settings, self._reactor = number, settings, reactor
         self.over = self.cut = False
         assert settings.app is not None
-        self._life = BackendLifecycle(1_000_000)
-        self._gateway = BackendGateway(reactor, self._life, settings.app)
-        self.carrier = Forwarder(
+        self._lifecycle = BackendLifecycle(1_000_000)
+        self._gateway = BackendGateway(reactor, self._lifecycle, settings.app)
+        self.forwarder = Forwarder(
             reactor, Routes(), self._gateway, settings.node, settings.service, BOUNDS, Random(number)
         )
         if shared is not None:
-            self.carrier.tables = shared.tables
-        self.news = HollowDiscovery(settings, reactor, self.carrier, self._life)
-        self.news.proxy, self.news.shared = self, shared
-        self.news.on_news = lambda: on_news(self)
+            self.forwarder.tables = shared.tables
         self._links = Links(reactor, self)
-        self.neighbours = FailureDetector(self._links, settings.node, self.news.others, self._accused)
+        self.endpoints = SharedEndpoints(settings.node, self.forwarder)
+        self.endpoints.shared = shared
+        self.failure_detector = FailureDetector(self._links, settings.node, self.endpoints.peers, self._on_suspect)
+        self.discovery = HollowDiscovery(
+            settings,
+            reactor,
+            self.forwarder,
+            self._lifecycle,
+            self.endpoints,
+            self.failure_detector.suspects,
+            lambda: on_update(self),
+        )
+        self.discovery.proxy = self
         self._listen()
-        self._life.on_health_check(f"i-{number:08x}-{self.news.endpoint().incarnation}", settings.service, SLOTS)
-        self.news.start()
+        self._lifecycle.on_health_check(
+            f"i-{number:08x}-{self.discovery.endpoint().incarnation}", settings.service, SLOTS
+        )
+        self.discovery.start()
         if pings:
-            self.neighbours.start()
+            self.failure_detector.start()
 
     def _listen(self) -> None:
         self._offers = OfferServer(
             self._reactor, Address(self.settings.ip, self.settings.ports[0]), self._gateway, self
         )
 
-    def _accused(self) -> None:
-        self.news.accused = self.neighbours.suspects
-        self.news.tell()
+    def _on_suspect(self) -> None:
+        self.discovery.poll_now()
 
     def status(self) -> bytes:
         return b"{}"
 
     def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
-        self.neighbours.indirect_ping(request, reply)
+        self.failure_detector.indirect_ping(request, reply)
 
     def leave(self) -> None:
         """As on SIGTERM."""
-        self.news.leaving = True
-        self.news.changed()
+        self.discovery.leaving = True
+        self.discovery.announce()
 
     def lose(self) -> None:
         """Cut off from all others."""
@@ -180,7 +196,7 @@
         self._close()
 
     def _close(self) -> None:
-        self.news.close_links()
+        self.discovery.close_links()
         self._links.peers.keep(set())
         self._offers.close()
         for sink in list(self._offers.links):
--- a/benchmarks/capacity/host.py
+++ b/benchmarks/capacity/host.py
@@ -132,7 +132,7 @@
     # What is seen
 
     def _news(self, proxy: HollowProxy) -> None:
-        now, seq, known = self._reactor.now(), proxy.carrier.routes.seq, len(proxy.news.endpoints)
+        now, seq, known = self._reactor.now(), proxy.forwarder.routes.seq, len(proxy.endpoints)
         applied = self._applied[proxy.number]
         if not applied or applied[-1][0] != seq:
             applied.append((seq, now))
@@ -151,7 +151,9 @@
         late_us = self._late_us
         if order.do == "traffic":
             self._late_us = 0
-        whole = sum(self._changed[n][0] == order.size and self._proxies[n].news.sure() for n in self._here())
+        whole = sum(
+            self._changed[n][0] == order.size and self._proxies[n].discovery.is_config_current() for n in self._here()
+        )
         return Report(
             len(self._proxies),
             time.process_time(),
--- a/lilacsill/mesh/proxy/__init__.py
+++ b/lilacsill/mesh/proxy/__init__.py
@@ -1,2 +1,5 @@
-"""The proxy: carries each request of its machine to the proxy beside a backend, and is the one holder of
-the slots of the backend beside itself."""
+"""The proxy of one machine.
+
+It carries each request of the machine's clients to the proxy beside a backend (ingress: `inbound`, `forwarding`), and
+admits the requests of all proxies to the backend of its own machine (egress: `offer_server`, `backend_gateway`).
+"""
--- a/lilacsill/mesh/proxy/__main__.py
+++ b/lilacsill/mesh/proxy/__main__.py
@@ -7,15 +7,17 @@
 from lilacsill.mesh.runtime.start import start
 
 
-def process() -> int:
+def run_process() -> int:
+    """Run the proxy until it is shut down. Return the exit status."""
     from .process import Process
 
     return start("proxy", Process)
 
 
 def main() -> int:
+    """Run the proxy, or the command that the arguments name. Return the exit status."""
     if len(sys.argv) == 1:
-        return process()
+        return run_process()
     from lilacsill.mesh.runtime.commands import Commands, run
 
     return run("proxy", Commands)
--- a/lilacsill/mesh/proxy/backend_gateway.py
+++ b/lilacsill/mesh/proxy/backend_gateway.py
@@ -73,6 +73,10 @@
             self.reactor.after(QUEUE_CHECK_US, self._check_queue)
         return request
 
+    def drain(self) -> None:
+        """Begin to drain: what waits is rejected once the time for it is over."""
+        self.reactor.after(self.lifecycle.admitted_drain_us, self.admission.reject_all, RejectionReason.DRAINING)
+
     def _rejection_reason(self, offer: Offer, now: int) -> RejectionReason | None:
         reason = self.lifecycle.rejection_reason(offer.server, now)
         if reason is None and self.circuit_breaker.rejects(offer.idempotent, now):
--- a/lilacsill/mesh/proxy/backend_lifecycle.py
+++ b/lilacsill/mesh/proxy/backend_lifecycle.py
@@ -58,7 +58,7 @@
 
     def __init__(self, drain_us: int) -> None:
         """Begin without a backend. `drain_us` is how long work may reach a draining backend."""
-        self._admitted_drain_us = int(drain_us * DRAIN_SHARE)
+        self.admitted_drain_us = int(drain_us * DRAIN_SHARE)  # for what was admitted before the drain
         self.server = ""  # empty: no incarnation has been heard of since this proxy started
         self.service = ""
         self.slots = 1
@@ -141,6 +141,6 @@
             return None
         if server != self.server or state is not EndpointState.DRAINING:
             return RejectionReason.WRONG_INCARNATION
-        if admitted and now - self._drain_started_at <= self._admitted_drain_us:
+        if admitted and now - self._drain_started_at <= self.admitted_drain_us:
             return None
         return RejectionReason.DRAINING
--- a/lilacsill/mesh/proxy/backend_monitor.py
+++ b/lilacsill/mesh/proxy/backend_monitor.py
@@ -8,14 +8,14 @@
 from .admission import AdmissionController
 from .backend_pool import BackendPool
 from .backend_request import BackendRequest
-from .circuit_breaker import MIN_SILENCE_US, CircuitBreaker
+from .circuit_breaker import RESPONSE_TIMEOUT_US, CircuitBreaker
 from .lost_requests import LostRequestDetector
 from .reasons import FailureReason, RejectionReason
 
 CHECK_US = 150_000
 STALLED_US = 150_000  # a check that is so late: this process was stalled, and responses may be there unread
 OVERDUE_FACTOR = 5.0  # times the usual duration
-SETTLED_US = 100_000  # what is in flight for so long is surely known to the backend
+KNOWN_AFTER_US = 100_000  # what is in flight for so long is surely known to the backend
 
 
 class BackendMonitor:
@@ -63,7 +63,7 @@
     def _check_overdue(self, request: BackendRequest, now: int) -> None:
         """Count a request as a failure of the backend, once, if it takes far longer than is usual."""
         age_us = now - request.admission.started_at
-        if not request.is_overdue and age_us > max(MIN_SILENCE_US, OVERDUE_FACTOR * self._expected_us(request)):
+        if not request.is_overdue and age_us > max(RESPONSE_TIMEOUT_US, OVERDUE_FACTOR * self._expected_us(request)):
             request.is_overdue = True
             self._admission.failure_rate.record(False, now)
 
@@ -92,7 +92,7 @@
         known = [
             request
             for request in self._requests
-            if request.is_in_flight and (request is answered or now - request.admission.started_at > SETTLED_US)
+            if request.is_in_flight and (request is answered or now - request.admission.started_at > KNOWN_AFTER_US)
         ]
         if self._lost_requests.record_report(report, len(known)):
             self._give_up_oldest([request for request in known if request is not answered], now)
--- a/lilacsill/mesh/proxy/backend_pool.py
+++ b/lilacsill/mesh/proxy/backend_pool.py
@@ -93,12 +93,12 @@
         if connection in self._idle:
             return
         if not connection.can_be_reused:
-            return self.discard(connection)
+            self.discard(connection)
+            return
         connection.idle_since = self.now()
         self._idle.append(connection)
         if self._sweep_timer is None:
             self._sweep_timer = self._reactor.after(MAX_IDLE_US, self._sweep)
-        return None
 
     def _sweep(self) -> None:
         """Close the connections that have been idle for too long."""
--- a/lilacsill/mesh/proxy/backend_request.py
+++ b/lilacsill/mesh/proxy/backend_request.py
@@ -213,12 +213,12 @@
         else:
             failure = self._failure_reason(response)
             if failure is not None:
-                return self.on_lost(failure)
+                self.on_lost(failure)
+                return
             self._streaming = True
             message = self._response_head(response)
         if self._sink.send(message) > MAX_BUFFERED_BYTES:
             self.pause()
-        return None
 
     def _response_head(self, response: HttpMessage) -> Response:
         length = UNKNOWN_LENGTH if response.length is None else response.length
--- a/lilacsill/mesh/proxy/circuit_breaker.py
+++ b/lilacsill/mesh/proxy/circuit_breaker.py
@@ -14,8 +14,8 @@
 MAX_BACKOFF_US = 1_600_000
 TRIAL_TIMEOUT_US = 1_000_000  # a trial in flight for so long does not delay the next one
 WRITE_TRIAL_DELAY_US = 2_000_000  # where no idempotent request comes, a write is the trial after so long
-MIN_SILENCE_US = 400_000  # without any response
-SILENCE_FACTOR = 4.0  # times the usual duration of a request without a response
+RESPONSE_TIMEOUT_US = 400_000  # without any response
+TIMEOUT_FACTOR = 4.0  # times the usual duration of a request without a response
 MIN_OVERDUE = 2  # so many requests must be overdue: one alone may be a long one
 
 
@@ -66,8 +66,8 @@
             in_flight: For each request in flight its age and its usual duration, in microseconds.
             now: The current time in microseconds.
         """
-        silence_us = now - self._last_response_at
-        if silence_us < MIN_SILENCE_US:
+        since_response_us = now - self._last_response_at
+        if since_response_us < RESPONSE_TIMEOUT_US:
             return False
-        overdue = [usual for age, usual in in_flight if age > max(MIN_SILENCE_US, SILENCE_FACTOR * usual)]
-        return len(overdue) >= MIN_OVERDUE and silence_us > SILENCE_FACTOR * min(overdue)
+        overdue = [usual for age, usual in in_flight if age > max(RESPONSE_TIMEOUT_US, TIMEOUT_FACTOR * usual)]
+        return len(overdue) >= MIN_OVERDUE and since_response_us > TIMEOUT_FACTOR * min(overdue)
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -1,79 +1,104 @@
-"""Endpoints and configuration that this proxy lacks, pulled from registries by a vector of versions: one for each
-registry's directory, one for the configuration.
+"""Service discovery: long polls of registries for endpoints and configuration, which also announce the own endpoint.
 
-It hangs on two registries, named by rendezvous hashing; one that gives no answer is left for the next.
+A poll carries a vector of versions, one for each registry's directory and one for the configuration, and the reply has
+what is newer. The proxy polls two registries at a time; one that does not answer is replaced by the next.
 """
 
 from __future__ import annotations
 
 import time
-from collections.abc import Callable
+from collections.abc import Callable, Set
 from functools import partial
 
-from lilacsill.address import Address, parse_address
+from lilacsill.address import parse_address
 from lilacsill.mesh.runtime.freshness import Evidence
-from lilacsill.mesh.runtime.hashing import chosen
 from lilacsill.mesh.runtime.incarnation import Incarnation
 from lilacsill.mesh.runtime.messages import Endpoint, Message, Poll, PollReply
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.rpc import Peers
 from lilacsill.mesh.runtime.settings import Settings
 
-from .backend_lifecycle import BackendLifecycle
+from .backend_lifecycle import BackendLifecycle, EndpointState
 from .failure_detector import with_incarnations
 from .forwarding import Forwarder
+from .known_endpoints import KnownEndpoints
+from .registry_selector import RegistrySelector
 
-REGISTRIES = 2
-WAIT_MS = 700
-LATE_US = 500_000  # beyond the wait
-REST_US = 150_000
-SHUN_US = 2_000_000  # one that gave no answer
-BEHIND_US = 150_000
-CURRENT_US = 1_900_000  # a proof of a tail's that is younger, over whatever hops, counts
+POLL_WAIT_MS = 700  # how long a registry may wait for something new
+REPLY_MARGIN_US = 500_000  # beyond that wait
+POLL_CHECK_US = 150_000  # how often the proxy checks that two polls are pending
+BACKOFF_US = 2_000_000  # of a registry that did not answer
+STALE_BACKOFF_US = BACKOFF_US // 4  # of a registry whose configuration is not known to be current
+MISSING_CONFIG_US = 150_000  # how long another registry's configuration may take to come
+CURRENT_US = 1_900_000  # a proof by the tail of the chain counts for so long, over all hops
+NO_ITEMS = -1  # in `Poll.config_seq`: the registry is to send no configuration
+UNKNOWN_VERSIONS = (0, 0)  # of a registry that was not polled before
 
 
 class DiscoveryClient:
-    """Keeps routes and tables up to date, and tells registries of the own endpoint."""
-
-    def __init__(self, settings: Settings, reactor: Reactor, carrier: Forwarder, life: BackendLifecycle) -> None:
-        self._settings, self._reactor, self._carrier, self._life = settings, reactor, carrier, life
+    """Keeps endpoints and configuration up to date, and announces the own endpoint."""
+
+    def __init__(
+        self,
+        settings: Settings,
+        reactor: Reactor,
+        forwarder: Forwarder,
+        lifecycle: BackendLifecycle,
+        endpoints: KnownEndpoints,
+        suspects: Set[str],
+        on_update: Callable[[], None],
+    ) -> None:
+        """Prepare a client that does nothing until it is started.
+
+        Args:
+            settings: The settings of the process.
+            reactor: Clock and timers.
+            forwarder: Gets the configuration.
+            lifecycle: The state of the own backend, to be announced.
+            endpoints: Gets the endpoints of all proxies.
+            suspects: The nodes that the failure detector cannot reach, at any time.
+            on_update: Called after each reply of a registry.
+        """
+        self._settings, self._reactor = settings, reactor
+        self._forwarder, self._lifecycle = forwarder, lifecycle
+        self._endpoints, self._suspects, self._on_update = endpoints, suspects, on_update
         self._peers = Peers(reactor)
-        self._registries = {f"{seed.host}:{settings.ports[0]}" for seed in settings.seeds}
-        self.vector: dict[str, tuple[int, int]] = {}  # of each registry: its life, version of its directory
-        self._hanging: dict[str, int] = {}  # registry: number of the question that is out
-        self._shunned: dict[str, int] = {}
-        self._asks = 0
-        self._newest = 0  # number of the configuration that is known to be there
-        self._behind: set[str] = set()  # registries to be asked for items out of turn
+        self.registries = RegistrySelector(
+            settings.node, {f"{seed.host}:{settings.ports[0]}" for seed in settings.seeds}
+        )
+        self.registry_versions: dict[str, tuple[int, int]] = {}  # of each: its incarnation, version of its directory
+        self._pending: dict[str, int] = {}  # by registry: the number of the poll that counts
+        self._polls = 0
+        self._newest_seq = 0  # of the configuration that is known to exist
+        self._behind: set[str] = set()  # registries that are to send the configuration with the next poll
+        # The time of day is a good guess at a higher number than that of the run before.
         self._incarnation = Incarnation(time.time_ns() // 1000)
         self.evidence = Evidence(CURRENT_US)  # that the configuration here is the one in force
         self.leaving = False
-        self.endpoints: dict[str, Endpoint] = {}
-        self._others: dict[str, str] | None = None  # None: to be made anew
-        self.accused: set[str] = set()  # neighbours that cannot be seen
-        self.on_news: Callable[[], None] = lambda: None
-        carrier.sure = self.sure
-
-    def sure(self) -> bool:
-        """Whether the configuration here is the one that stands."""
+        forwarder.sure = self.is_config_current
+
+    def is_config_current(self) -> bool:
+        """Return whether the configuration here is the one in force."""
         return self.evidence.is_current(self._reactor.now())
 
     def start(self) -> None:
-        self._turn()
+        """Begin to poll."""
+        self._keep_polling()
 
-    def changed(self) -> None:
-        """The own endpoint has: tell at once."""
+    def announce(self) -> None:
+        """Announce at once that the own endpoint has changed."""
         self._incarnation.changed()
-        self.tell()
+        self.poll_now()
 
-    def tell(self) -> None:
-        for registry in list(self._hanging):
-            self._ask(registry, 0)
+    def poll_now(self) -> None:
+        """Poll the current registries without a wait, so that they learn at once what this proxy reports."""
+        for registry in list(self._pending):
+            self._poll(registry, 0)
 
     def endpoint(self) -> Endpoint:
-        life, settings = self._life, self._settings
-        cold_us = life.warming_up_until - self._reactor.now()
-        state = "leaving" if self.leaving else life.state
+        """Return the record of this proxy and its backend."""
+        lifecycle, settings = self._lifecycle, self._settings
+        warmup_left_us = lifecycle.warming_up_until - self._reactor.now()
         return Endpoint(
             settings.node,
             self._incarnation.number,
@@ -81,142 +106,109 @@
             settings.ip,
             settings.ports[0],
             settings.zone,
-            life.service or settings.service,
-            life.server,
-            state,
-            life.slots,
-            max(0, cold_us // 1000),
+            lifecycle.service or settings.service,
+            lifecycle.server,
+            EndpointState.LEAVING if self.leaving else lifecycle.state,
+            lifecycle.slots,
+            max(0, warmup_left_us // 1000),
         )
 
-    def others(self) -> dict[str, str]:
-        """Addresses of the other proxies, by node: the same dict while none comes, moves or goes."""
-        if self._others is None:
-            self._others = {
-                n: f"{s.host}:{s.port}"
-                for n, s in self.endpoints.items()
-                if n != self._settings.node and s.state != "leaving"
-            }
-        return self._others
-
-    def _turn(self) -> None:
-        now = self._reactor.now()
-        self._reactor.after(REST_US, self._turn)
-        self._shunned = {c: until for c, until in self._shunned.items() if until > now}
-        open_to = self._registries - self._shunned.keys() or self._registries
-        for registry in chosen(self._settings.node, open_to, REGISTRIES):
-            if registry not in self._hanging:
-                self._ask(registry, WAIT_MS)
-
-    def _ask(self, registry: str, wait_ms: int) -> None:
-        self._asks += 1
-        number = self._asks
-        self._hanging[registry] = number
-        life, directory = self.vector.get(registry, (0, 0))
-        # One registry brings the configuration; the others say that there is more, and are asked if that one fails.
-        wants = registry == self._first() or registry in self._behind
-        self._behind.discard(registry)
-        ask = Poll(
+    # Polls
+
+    def _keep_polling(self) -> None:
+        self._reactor.after(POLL_CHECK_US, self._keep_polling)
+        self.registries.end_backoffs(self._reactor.now())
+        self._poll_missing(self.registries.selected())
+
+    def _poll_missing(self, registries: list[str]) -> None:
+        for registry in registries:
+            if registry not in self._pending:
+                self._poll(registry, POLL_WAIT_MS)
+
+    def _poll(self, registry: str, wait_ms: int) -> None:
+        self._polls += 1
+        number = self._pending[registry] = self._polls
+        incarnation, directory_version = self.registry_versions.get(registry, UNKNOWN_VERSIONS)
+        poll = Poll(
             self.endpoint(),
-            life,
-            directory,
-            self._carrier.routes.seq if wants else -1,
-            self._newest,
+            incarnation,
+            directory_version,
+            self._forwarder.routes.seq if self._sends_config(registry) else NO_ITEMS,
+            self._newest_seq,
             wait_ms,
-            with_incarnations(
-                self.accused, {n: self.endpoints[n].incarnation for n in self.accused if n in self.endpoints}
-            ),
+            with_incarnations(self._suspects, self._endpoints.incarnations(self._suspects)),
         )
         self._peers.to(parse_address(registry)).ask(
-            ask, wait_ms * 1000 + LATE_US, partial(self._answered, registry, number, self._reactor.now())
+            poll, wait_ms * 1000 + REPLY_MARGIN_US, partial(self._on_reply, registry, number, self._reactor.now())
         )
 
-    def _first(self) -> str:
-        open_to = self._registries - self._shunned.keys() or self._registries
-        return next(iter(chosen(self._settings.node, open_to, 1)), "")
-
-    def _answered(self, registry: str, number: int, asked_at: int, m: Message | None) -> None:
-        current = self._hanging.get(registry) == number
-        if current:
-            del self._hanging[registry]
-        if not isinstance(m, PollReply):
-            if current:
-                self._shunned[registry] = self._reactor.now() + SHUN_US
-                self._turn_now()
+    def _sends_config(self, registry: str) -> bool:
+        """Return whether a registry is to send the configuration.
+
+        One registry does. The others only report that there is more, and are asked if the one fails.
+        """
+        is_behind = registry in self._behind
+        self._behind.discard(registry)
+        return is_behind or registry == self.registries.first()
+
+    def _on_reply(self, registry: str, number: int, asked_at: int, reply: Message | None) -> None:
+        is_latest = self._pending.get(registry) == number
+        if is_latest:
+            del self._pending[registry]
+        if not isinstance(reply, PollReply):
+            if is_latest:
+                self._replace(registry, BACKOFF_US)
             return
-        self._take(registry, asked_at, m)
-        if not current:
+        self._apply(registry, asked_at, reply)
+        if not is_latest:
             return
-        if m.freshness is None:
-            # Cut off, or just started: its directory is of use, its configuration is not.
-            self._shunned[registry] = self._reactor.now() + SHUN_US // 4
-            return self._turn_now()
-        if registry in chosen(self._settings.node, self._registries - self._shunned.keys(), REGISTRIES):
-            self._ask(registry, WAIT_MS)
-
-    def _turn_now(self) -> None:
-        now = self._reactor.now()
-        open_to = self._registries - {c for c, until in self._shunned.items() if until > now}
-        for registry in chosen(self._settings.node, open_to, REGISTRIES):
-            if registry not in self._hanging:
-                self._ask(registry, WAIT_MS)
+        if reply.freshness is None:
+            # The registry was cut off or has just started: its directory is of use, its configuration is not.
+            self._replace(registry, STALE_BACKOFF_US)
+        elif self.registries.is_available(registry):
+            self._poll(registry, POLL_WAIT_MS)
 
-    def _take(self, registry: str, asked_at: int, m: PollReply) -> None:
+    def _replace(self, registry: str, backoff_us: int) -> None:
         now = self._reactor.now()
-        self.vector[registry] = (m.registry_incarnation, m.directory_version)
-        for endpoint in m.endpoints:
-            self._endpoint_told(endpoint, now)
-        for node in m.removed:
-            gone = self.endpoints.pop(node, None)
-            if gone is not None:
-                self._others = None
-            self._drop_links(gone)
-            for table in self._carrier.tables.values():
-                table.gone(node)
-        routes = self._carrier.routes
-        if m.items or m.config_seq > routes.seq:
-            routes.apply(m.items, m.config_seq)
-        self._newest = max(self._newest, m.newest_seq)
-        if m.freshness is not None and routes.seq >= m.newest_seq:
-            self.evidence.heard(m.freshness, asked_at)
-        elif m.freshness is not None and not m.items:
-            self._reactor.after(BEHIND_US, self._still_behind, registry)
-        if m.registry_addresses:
-            self._registries = set(m.registry_addresses)
-        self._carrier.proxies = max(1, len(self.endpoints))
-        self.on_news()
-        self._refute(m.endpoints)
+        self.registries.back_off(registry, now + backoff_us)
+        self._poll_missing(self.registries.replacements(now))
 
-    def _refute(self, endpoints: list[Endpoint]) -> None:
-        """A record of a run of this proxy that is over, with a higher number than this one's, would hide this one."""
-        own = (e for e in endpoints if e.node == self._settings.node)
-        if any(self._incarnation.refute(e.incarnation, e.version) for e in own):
-            self.changed()
-
-    def _drop_links(self, endpoint: Endpoint | None) -> None:
-        """The process at its far end is over; a request that went out on one would have an unknown outcome."""
-        if endpoint is not None:
-            self._carrier.links.drop(Address(endpoint.host, endpoint.port))
-
-    def _still_behind(self, registry: str) -> None:
-        """That registry knows of more, and the one that should bring it has not."""
-        if self._carrier.routes.seq < self._newest:
-            self._behind.add(registry)
-            self._ask(registry, WAIT_MS)
+    # Replies
 
-    def _endpoint_told(self, endpoint: Endpoint, now: int) -> None:
-        held = self.endpoints.get(endpoint.node)
-        if held is not None and held.incarnation == endpoint.incarnation and held.version >= endpoint.version:
+    def _apply(self, registry: str, asked_at: int, reply: PollReply) -> None:
+        self.registry_versions[registry] = (reply.registry_incarnation, reply.directory_version)
+        now = self._reactor.now()
+        for endpoint in reply.endpoints:
+            self._endpoints.update(endpoint, now)
+        for node in reply.removed:
+            self._endpoints.remove(node)
+        self._apply_config(registry, asked_at, reply)
+        if reply.registry_addresses:
+            self.registries.addresses = set(reply.registry_addresses)
+        self._forwarder.proxies = max(1, len(self._endpoints))
+        self._on_update()
+        self._refute(reply.endpoints)
+
+    def _apply_config(self, registry: str, asked_at: int, reply: PollReply) -> None:
+        routes = self._forwarder.routes
+        if reply.items or reply.config_seq > routes.seq:
+            routes.apply(reply.items, reply.config_seq)
+        self._newest_seq = max(self._newest_seq, reply.newest_seq)
+        if reply.freshness is None:
             return
-        self.endpoints[endpoint.node] = endpoint
-        if held is None or address_and_departure(held) != address_and_departure(endpoint):
-            self._others = None
-        if held is not None and held.incarnation != endpoint.incarnation:
-            self._drop_links(held)
-        if held is not None and held.service != endpoint.service:
-            self._carrier.table(held.service).gone(endpoint.node)
-        self._carrier.table(endpoint.service).told(endpoint, now)
-
-
-def address_and_departure(endpoint: Endpoint) -> tuple[str, int, bool]:
-    """What neighbours need to know of it: its address, and whether it leaves."""
-    return endpoint.host, endpoint.port, endpoint.state == "leaving"
+        if routes.seq >= reply.newest_seq:
+            self.evidence.heard(reply.freshness, asked_at)
+        elif not reply.items:
+            self._reactor.after(MISSING_CONFIG_US, self._poll_if_behind, registry)
+
+    def _poll_if_behind(self, registry: str) -> None:
+        """Ask a registry for the configuration that it knows of, if the one that should send it has not."""
+        if self._forwarder.routes.seq < self._newest_seq:
+            self._behind.add(registry)
+            self._poll(registry, POLL_WAIT_MS)
+
+    def _refute(self, endpoints: list[Endpoint]) -> None:
+        """Announce a higher incarnation where a record of an earlier run of this proxy would hide this one."""
+        own = (endpoint for endpoint in endpoints if endpoint.node == self._settings.node)
+        if any(self._incarnation.refute(endpoint.incarnation, endpoint.version) for endpoint in own):
+            self.announce()
--- /dev/null
+++ b/lilacsill/mesh/proxy/health_probe.py
@@ -0,0 +1,117 @@
+"""Asks the backend for its health when the proxy has no heartbeat of it.
+
+A proxy that was restarted need not wait for the next heartbeat: the response to a health check names the incarnation
+of the backend. A backend that drains does not answer it with success; if it did, the registries know of its drain.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from lilacsill.http1.message import Message as HttpMessage
+from lilacsill.mesh.runtime.log_ring import log
+from lilacsill.mesh.runtime.messages import Headers
+from lilacsill.mesh.runtime.reactor import Reactor
+
+from .backend_connection import BackendConnection
+from .backend_lifecycle import BackendLifecycle
+from .backend_pool import BackendPool
+from .reasons import FailureReason
+from .server_load import reported_slots
+
+RETRY_US = 400_000
+TIMEOUT_US = 1_000_000
+OK = 200  # HTTP status
+DEFAULT_SLOTS = 1  # where the backend does not report them
+
+
+class HealthCheck:
+    """One health check, which is a request on a connection of the pool."""
+
+    def __init__(
+        self, reactor: Reactor, pool: BackendPool, path: bytes, on_done: Callable[[str | None, int], None]
+    ) -> None:
+        """Send the check.
+
+        Args:
+            reactor: Timers of the process.
+            pool: Connections to the backend.
+            path: The request target.
+            on_done: Called once with the incarnation of the backend and its slots; with None if it is not healthy.
+        """
+        self.attempt_id, self.idempotent = b"", True
+        self._reactor, self._pool, self._path, self._on_done = reactor, pool, path, on_done
+        pool.acquire(self.idempotent, self._on_connected, self._on_not_connected)
+
+    def _on_connected(self, connection: BackendConnection) -> None:
+        headers: Headers = [(b"Host", b"backend")]
+        connection.send_request(self, b"GET", self._path, headers, b"", content_length=0, body_complete=True)
+        self._reactor.after(TIMEOUT_US, self._on_timeout, connection)
+
+    def _on_not_connected(self, error: OSError) -> None:
+        self._on_done(None, DEFAULT_SLOTS)
+
+    def _on_timeout(self, connection: BackendConnection) -> None:
+        if connection.handler is self:
+            self._pool.discard(connection)
+            self.on_lost(FailureReason.TIMED_OUT)
+
+    def on_response(self, response: HttpMessage) -> None:
+        """Read incarnation and slots from a complete response."""
+        server = response.header(b"answering-server") if response.status == OK else None
+        slots = reported_slots(response.fields.get(b"server-load", b""))
+        self._on_done(server or None, DEFAULT_SLOTS if slots is None else slots)
+
+    def on_response_part(self, response: HttpMessage) -> None:
+        """Drop the body of a long response."""
+        response.take_body()
+
+    def on_lost(self, reason: FailureReason) -> None:
+        """Report that there is no response."""
+        self._on_done(None, DEFAULT_SLOTS)
+
+
+class HealthProbe:
+    """Repeats the health check until the backend answers it."""
+
+    def __init__(
+        self,
+        reactor: Reactor,
+        pool: BackendPool,
+        lifecycle: BackendLifecycle,
+        service: str,
+        health_path: Callable[[], bytes | None],
+        on_identified: Callable[[], None],
+    ) -> None:
+        """Prepare a probe that does nothing until it is started.
+
+        Args:
+            reactor: Timers of the process.
+            pool: Connections to the backend.
+            lifecycle: Gets the result.
+            service: The service that the backend belongs to.
+            health_path: Returns the path of the service's health check; None while the configuration is not known.
+            on_identified: Called when the result is new, so that other machines must be notified.
+        """
+        self._reactor, self._pool, self._lifecycle, self._service = reactor, pool, lifecycle, service
+        self._health_path, self._on_identified = health_path, on_identified
+        self._running = False
+
+    def start(self) -> None:
+        """Check now, unless a check is in progress, the backend is known, or the path is not."""
+        path = self._health_path()
+        if self._lifecycle.server or self._running or path is None:
+            return
+        self._running = True
+        HealthCheck(self._reactor, self._pool, path, self._on_result)
+
+    def _on_result(self, server: str | None, slots: int) -> None:
+        if server is None:
+            self._reactor.after(RETRY_US, self._retry)
+        elif self._lifecycle.on_health_check(server, self._service, slots):
+            log.info("backend identified by its health check: %s", server)
+            self._on_identified()
+
+    def _retry(self) -> None:
+        self._running = False
+        self.start()
--- /dev/null
+++ b/lilacsill/mesh/proxy/known_endpoints.py
@@ -0,0 +1,74 @@
+"""The endpoints that a proxy knows of, and what follows when one appears, changes or goes."""
+
+from __future__ import annotations
+
+from collections.abc import Set
+
+from lilacsill.address import Address
+from lilacsill.mesh.runtime.messages import Endpoint
+
+from .backend_lifecycle import EndpointState
+from .forwarding import Forwarder
+
+
+class KnownEndpoints:
+    """All endpoints by node, as registries have reported them."""
+
+    def __init__(self, node: str, forwarder: Forwarder) -> None:
+        """Begin without endpoints, for the proxy `node`; the forwarder's tables and links follow each change."""
+        self._node, self._forwarder = node, forwarder
+        self._by_node: dict[str, Endpoint] = {}
+        self._peers: dict[str, str] | None = None  # None: to be built again
+
+    def __len__(self) -> int:
+        return len(self._by_node)
+
+    def get(self, node: str) -> Endpoint | None:
+        """Return the endpoint of a node; None if it is not known."""
+        return self._by_node.get(node)
+
+    def incarnations(self, nodes: Set[str]) -> dict[str, int]:
+        """Return the incarnations of those nodes that are known."""
+        return {node: self._by_node[node].incarnation for node in nodes if node in self._by_node}
+
+    def peers(self) -> dict[str, str]:
+        """Return the addresses of the other proxies by node; the same dict until one of them comes, moves or goes."""
+        if self._peers is None:
+            self._peers = {
+                node: f"{endpoint.host}:{endpoint.port}"
+                for node, endpoint in self._by_node.items()
+                if node != self._node and endpoint.state != EndpointState.LEAVING
+            }
+        return self._peers
+
+    def update(self, endpoint: Endpoint, now: int) -> None:
+        """Take a record, unless a later one of the same incarnation is known."""
+        known = self._by_node.get(endpoint.node)
+        if known is not None and known.incarnation == endpoint.incarnation and known.version >= endpoint.version:
+            return
+        self._by_node[endpoint.node] = endpoint
+        if known is None or peer_address(known) != peer_address(endpoint):
+            self._peers = None
+        if known is not None and known.incarnation != endpoint.incarnation:
+            self._close_links(known)
+        if known is not None and known.service != endpoint.service:
+            self._forwarder.table(known.service).gone(endpoint.node)
+        self._forwarder.table(endpoint.service).told(endpoint, now)
+
+    def remove(self, node: str) -> None:
+        """Remove the endpoint of a node, in the tables of all services."""
+        known = self._by_node.pop(node, None)
+        if known is not None:
+            self._peers = None
+            self._close_links(known)
+        for table in self._forwarder.tables.values():
+            table.gone(node)
+
+    def _close_links(self, endpoint: Endpoint) -> None:
+        """Close idle links to a process that is over: a request sent on one would have an unknown outcome."""
+        self._forwarder.links.drop(Address(endpoint.host, endpoint.port))
+
+
+def peer_address(endpoint: Endpoint) -> tuple[str, int, bool]:
+    """Return what other proxies need to know of a proxy to ping it: its host, its port, and whether it leaves."""
+    return endpoint.host, endpoint.port, endpoint.state == EndpointState.LEAVING
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -1,4 +1,4 @@
-"""The process: listeners, the own backend's beats, readiness, and the way out."""
+"""The proxy process: it puts the parts together, and connects them to listeners, signals and readiness checks."""
 
 from __future__ import annotations
 
@@ -12,277 +12,162 @@
 from lilacsill.http1.message import Message as Request
 from lilacsill.mesh.runtime.control import ControlServer, Respond
 from lilacsill.mesh.runtime.log_ring import log
-from lilacsill.mesh.runtime.messages import Headers, IndirectPing, Message
+from lilacsill.mesh.runtime.messages import IndirectPing, Message
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.rpc import Answered, Peers
 from lilacsill.mesh.runtime.settings import Settings, SettingsError, load
 
-from .backend_connection import BackendConnection
 from .backend_gateway import BackendGateway
-from .backend_lifecycle import BackendLifecycle, parse_heartbeat
+from .backend_lifecycle import BackendLifecycle, EndpointState
 from .discovery import DiscoveryClient
 from .failure_detector import FailureDetector
 from .forwarding import Forwarder
-from .graceful_shutdown import GracefulShutdown
+from .health_probe import HealthProbe
+from .heartbeat_api import HeartbeatApi
 from .inbound import Clients
+from .known_endpoints import KnownEndpoints
 from .offer_server import OfferServer
-from .reasons import FailureReason, RejectionReason
 from .routes import Routes
-from .server_load import reported_slots
+from .shutdown_sequence import ShutdownSequence
+from .status_report import status_report
 
-LEAVE_LOOK_US = 50_000
-NOTICE_US = 2_600_000  # clients go elsewhere after two missed looks at readiness
-END_US = 500_000  # before the platform would end it
-PROBE_US, PROBE_LATE_US = 400_000, 1_000_000
+DEFAULT_DRAIN_MS = 2_000
+DEFAULT_GRACE_MS = 6_000
+DEFAULT_RETRY_RATIO = 0.2  # retries for each request
+DEFAULT_RETRY_SLACK = 0.0  # retries in each window beyond the ratio
+DEFAULT_RETRY_WINDOW_MS = 10_000
 
 
 class Process:
     """One proxy."""
 
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
-        """Raises OSError, SettingsError."""
+        """Start the proxy. Raises OSError, SettingsError."""
         if settings.app is None:
             raise SettingsError(f"{settings.path}: AppAddress: a proxy stands beside a backend")
         self._settings, self._reactor = settings, reactor
-        self._life = BackendLifecycle(settings.bound_us("DrainWithinMs", 2000))
-        self._gateway = BackendGateway(reactor, self._life, settings.app)
-        ratio, slack = settings.bounds.get("RetryRatio", 0.2), settings.bounds.get("RetrySlack", 0.0)
-        window_us = settings.bound_us("RetryWindowS", 10_000)
-        # On the first start of all there was no process before this one.
-        slack_from = 0 if settings.fresh else reactor.now() + window_us
-        self._carrier = Forwarder(
+        self._lifecycle = BackendLifecycle(settings.bound_us("DrainWithinMs", DEFAULT_DRAIN_MS))
+        self._gateway = BackendGateway(reactor, self._lifecycle, settings.app)
+        self._forwarder = self._create_forwarder()
+        self._endpoints = KnownEndpoints(settings.node, self._forwarder)
+        self._failure_detector = FailureDetector(
+            ReactorEnvironment(reactor), settings.node, self._endpoints.peers, self._on_suspect
+        )
+        self._discovery = DiscoveryClient(
+            settings,
+            reactor,
+            self._forwarder,
+            self._lifecycle,
+            self._endpoints,
+            self._failure_detector.suspects,
+            self._on_update,
+        )
+        self._offer_server = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway, self)
+        self._clients = Clients(reactor, settings.listen["Outgoing"], self._forwarder)
+        heartbeats = HeartbeatApi(reactor, self._gateway, self._discovery.announce)
+        self._heartbeat_server = ControlServer(reactor, settings.listen["ControlPort"], heartbeats.handle)
+        self._readiness_server = ControlServer(reactor, settings.listen["ReadyCheck"], self._on_readiness_check)
+        self._health_probe = HealthProbe(
+            reactor,
+            self._gateway.pool,
+            self._lifecycle,
+            settings.service,
+            lambda: self._forwarder.routes.health_path(settings.service),
+            self._discovery.announce,
+        )
+        self._shutdown = ShutdownSequence(
+            reactor,
+            settings.bound_us("GracePeriodS", DEFAULT_GRACE_MS),
+            self._forwarder,
+            self._clients,
+            self._gateway,
+            self._offer_server,
+            self._discovery,
+        )
+        reactor.on_signal(signal.SIGTERM, self._shutdown.start)
+        reactor.on_signal(signal.SIGHUP, self._on_settings_changed)
+        self._discovery.start()
+        self._failure_detector.start()
+
+    def _create_forwarder(self) -> Forwarder:
+        settings, reactor = self._settings, self._reactor
+        window_us = settings.bound_us("RetryWindowS", DEFAULT_RETRY_WINDOW_MS)
+        return Forwarder(
             reactor,
             Routes(),
             self._gateway,
             settings.node,
             settings.service,
-            (ratio, window_us, slack),
+            (
+                settings.bounds.get("RetryRatio", DEFAULT_RETRY_RATIO),
+                window_us,
+                settings.bounds.get("RetrySlack", DEFAULT_RETRY_SLACK),
+            ),
             Random(),
-            slack_from,
+            # A process before this one may have spent the slack; on the first start of all there was none.
+            slack_from=0 if settings.fresh else reactor.now() + window_us,
         )
-        self._news = DiscoveryClient(settings, reactor, self._carrier, self._life)
-        self._far = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway, self)
-        self._clients = Clients(reactor, settings.listen["Outgoing"], self._carrier)
-        self._control = ControlServer(reactor, settings.listen["ControlPort"], self._called)
-        self._ready = ControlServer(reactor, settings.listen["ReadyCheck"], self._asked_ready)
-        self._leaving_since = 0
-        self._probing = False
-        self._news.on_news = self._news_came
-        self._neighbours = FailureDetector(Asking(reactor), settings.node, self._news.others, self._accused)
-        reactor.on_signal(signal.SIGTERM, self._terminated)
-        reactor.on_signal(signal.SIGHUP, self._settings_changed)
-        self._news.start()
-        self._neighbours.start()
 
-    def _accused(self) -> None:
-        self._news.accused = self._neighbours.suspects
-        log.info("cannot see %s", " ".join(sorted(self._neighbours.suspects)))
-        self._news.tell()
-
-    # The platform
-
-    def _asked_ready(self, request: Request, respond: Respond) -> None:
-        ready = self._news.sure() and not self._leaving_since
+    # Events
+
+    def _on_suspect(self) -> None:
+        log.info("suspects: %s", " ".join(sorted(self._failure_detector.suspects)))
+        self._discovery.poll_now()
+
+    def _on_update(self) -> None:
+        """Use what a registry has sent about the own service and the own backend."""
+        service = self._lifecycle.service or self._settings.service
+        max_connections = self._forwarder.routes.most_connections(service)
+        if max_connections is not None:
+            self._gateway.pool.max_connections = max_connections
+        if self._is_drain_new():
+            self._gateway.drain()
+        self._health_probe.start()
+
+    def _is_drain_new(self) -> bool:
+        """Return whether the registries know of a drain that the backend told an earlier run of this proxy."""
+        own = self._endpoints.get(self._settings.node)
+        if own is None or own.state != EndpointState.DRAINING or not own.server:
+            return False
+        return self._lifecycle.on_reported_drain(own.server, self._reactor.now())
+
+    def _on_readiness_check(self, request: Request, respond: Respond) -> None:
+        ready = self._discovery.is_config_current() and not self._shutdown.is_started
         respond(200 if ready else 503, b"{}")
 
-    # The backend beside it
-
-    def _called(self, request: Request, respond: Respond) -> None:
-        path = request.target.partition(b"?")[0].decode("latin-1")
-        server = path.removeprefix("/api/servers/")
-        if not server or server == path or "/" in server:
-            return respond(404, b'{"Message":"no such call"}')
-        if request.method == b"DELETE":
-            if self._life.on_stopped(server, self._reactor.now()):
-                self._gateway.admission.reject_all(RejectionReason.WRONG_INCARNATION)
-                self._news.changed()
-            return respond(200, b"{}")
-        if request.method != b"PUT":
-            return respond(405, b'{"Message":"PUT or DELETE"}')
+    def _on_settings_changed(self) -> None:
+        """Check the settings file, and log what is wrong with it. Settings are only read at the start."""
         try:
-            body = msgspec.json.decode(bytes(request.body))
-        except msgspec.DecodeError as e:
-            return respond(400, msgspec.json.encode({"Message": f"not JSON: {e}"}))
-        beat = parse_heartbeat(server, body)
-        if beat is None:
-            return respond(400, b'{"Message":"Details or Condition: not whole"}')
-        before = (self._life.server, self._life.state)
-        if self._life.on_heartbeat(beat, self._reactor.now()):
-            if self._life.server != before[0]:
-                self._gateway.pool.close_idle()
-            if self._life.state == "draining" and before[1] != "draining":
-                self._drains()
-            self._news.changed()
-        respond(200, b"{}")
-
-    def _drains(self) -> None:
-        half_us = self._settings.bound_us("DrainWithinMs", 2000) // 2
-        self._reactor.after(half_us, self._gateway.admission.reject_all, RejectionReason.DRAINING)
-
-    def _news_came(self) -> None:
-        most = self._carrier.routes.most_connections(self._life.service or self._settings.service)
-        if most is not None:
-            self._gateway.pool.max_connections = most
-        told = self._news.endpoints.get(self._settings.node)
-        leaves = told.server if told is not None and told.state == "draining" else ""
-        if leaves and self._life.on_reported_drain(leaves, self._reactor.now()):
-            self._drains()
-        self._look_at_backend()
-
-    def _look_at_backend(self) -> None:
-        """A proxy that was started anew need not wait for a beat: the backend's health answer names its life. One that
-        leaves does not answer well; and if it did, the registries know that this life has said so."""
-        health = self._carrier.routes.health_path(self._settings.service)
-        if self._life.server or self._probing or health is None:
-            return
-        self._probing = True
-        Probe(self._gateway, health, self._probed)
-
-    def _probed(self, server: str, slots: int) -> None:
-        if server and self._life.on_health_check(server, self._settings.service, slots):
-            log.info("the backend is %s", server)
-            self._news.changed()
-        elif not server:
-            self._reactor.after(PROBE_US, self._probe_again)
+            load(self._settings.path)
+        except SettingsError as error:
+            log.warning("%s", error)
 
-    def _probe_again(self) -> None:
-        self._probing = False
-        self._look_at_backend()
+    # Questions of other proxies and of operators
 
     def status(self) -> bytes:
         """Return the status report as JSON."""
-        now, life, gate = self._reactor.now(), self._life, self._gateway.admission
-        return msgspec.json.encode(
-            {
-                "node": self._settings.node,
-                "state": self._carrier.routes.seq,
-                "sure": self._news.sure(),
-                "why_unsure": self._news.evidence.why_not_current(now),
-                "age_ms": self._news.evidence.age_ms(now),
-                "leaving": bool(self._leaving_since),
-                "in_hand": len(self._carrier.in_hand),
-                "backend": {
-                    "server": life.server,
-                    "service": life.service,
-                    "state": life.state,
-                    "slots": life.slots,
-                    "dark": not self._gateway.circuit_breaker.is_closed,
-                    "connections": len(self._gateway.pool.connections),
-                    "most": self._gateway.pool.max_connections,
-                    "forgotten": self._gateway.pool.idle_limit.resets,
-                    "running": gate.running,
-                    "load": gate.load(now),
-                },
-                "vector": self._news.vector,
-                "watches": self._neighbours.monitored(),
-                "accused": sorted(self._neighbours.suspects),
-                "tables": {
-                    service: [
-                        {
-                            "node": s.endpoint.node,
-                            "server": s.endpoint.server,
-                            "state": s.endpoint.state,
-                            "held": s.held,
-                            "own": len(s.since),
-                            "slow": s.slow,
-                            "ill": s.ill,
-                            "heard_ms": (now - s.heard_at) // 1000 if s.heard_at else None,
-                            "out_ms": max(0, s.out_until - now) // 1000,
-                        }
-                        for s in table.stands.values()
-                    ]
-                    for service, table in self._carrier.tables.items()
-                },
-                "log": log.tail(),
-            }
+        report = status_report(
+            self._settings.node,
+            self._shutdown.is_started,
+            self._forwarder,
+            self._gateway,
+            self._discovery,
+            self._failure_detector,
+            self._reactor.now(),
         )
+        return msgspec.json.encode(report)
 
     def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
         """Ping a third proxy for another one, and reply whether it answered."""
-        self._neighbours.indirect_ping(request, reply)
-
-    # The way out
-
-    def _settings_changed(self) -> None:
-        """Seeds are for a start only, and all else stays as it is for the life of a process; a file that cannot be
-        used is told of."""
-        try:
-            load(self._settings.path)
-        except SettingsError as e:
-            log.warning("%s", e)
-
-    def _terminated(self) -> None:
-        if self._leaving_since:
-            return
-        log.info("leaves")
-        now = self._leaving_since = self._reactor.now()
-        grace_us = self._settings.bound_us("GracePeriodS", 6000)
-        take_all_us = min(NOTICE_US, grace_us // 2)
-        self._carrier.shutdown = GracefulShutdown(now + take_all_us, now + grace_us - END_US)
-        self._news.leaving = True
-        self._clients.leave()
-        self._news.changed()
-        self._leave()
-
-    def _leave(self) -> None:
-        gone_us = self._reactor.now() - self._leaving_since
-        busy = bool(self._carrier.in_hand or self._gateway.requests)
-        late = gone_us > self._settings.bound_us("GracePeriodS", 6000) - END_US
-        if late:
-            # Whose backend is still at work gets no more than that; answers that wait behind it are given.
-            for carry in list(self._carrier.in_hand):
-                carry.break_off()
-        if late or (gone_us > NOTICE_US and not busy):
-            self._clients.listener.close()
-            self._far.close()
-            self._clients.close_idle()
-            self._reactor.after(LEAVE_LOOK_US, self._end)
-            return
-        self._reactor.after(LEAVE_LOOK_US, self._leave)
-
-    def _end(self) -> None:
-        late = self._reactor.now() - self._leaving_since > self._settings.bound_us("GracePeriodS", 6000) - END_US // 2
-        if late or not (self._carrier.in_hand or self._gateway.requests):
-            return self._reactor.stop()
-        self._reactor.after(LEAVE_LOOK_US, self._end)
+        self._failure_detector.indirect_ping(request, reply)
 
 
-class Asking:
-    """Questions to neighbours."""
+class ReactorEnvironment:
+    """The clock, the timers and the links that the failure detector uses in a real process."""
 
     def __init__(self, reactor: Reactor) -> None:
         self.now, self.after, self._peers = reactor.now, reactor.after, Peers(reactor)
 
     def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+        """Send a question; `answered` is called once, with None if there was no answer in time."""
         self._peers.to(parse_address(address)).ask(message, timeout_us, answered)
-
-
-class Probe:
-    """One look at the backend's health."""
-
-    def __init__(self, gateway: BackendGateway, path: bytes, done: Callable[[str, int], None]) -> None:
-        self._done, self.attempt_id, self.idempotent = done, b"", True
-        self._path = path
-        self._pool, self._reactor = gateway.pool, gateway.reactor
-        gateway.pool.acquire(True, self._connected, lambda e: done("", 0))
-
-    def _connected(self, connection: BackendConnection) -> None:
-        headers: Headers = [(b"Host", b"backend")]
-        connection.send_request(self, b"GET", self._path, headers, b"", 0, True)
-        self._reactor.after(PROBE_LATE_US, self._late, connection)
-
-    def _late(self, connection: BackendConnection) -> None:
-        if connection.handler is self:
-            self._pool.discard(connection)
-            self.on_lost(FailureReason.TIMED_OUT)
-
-    def on_response(self, answer: Request) -> None:
-        server = answer.header(b"answering-server") or ""
-        slots = reported_slots(answer.fields.get(b"server-load", b"")) or 1
-        self._done(server if answer.status == 200 else "", slots)
-
-    def on_response_part(self, answer: Request) -> None:
-        answer.take_body()
-
-    def on_lost(self, reason: FailureReason) -> None:
-        self._done("", 0)
--- /dev/null
+++ b/lilacsill/mesh/proxy/registry_selector.py
@@ -0,0 +1,48 @@
+"""Which registries a proxy polls: two, by rendezvous hashing, without those that failed lately. No I/O."""
+
+from __future__ import annotations
+
+from lilacsill.mesh.runtime.hashing import chosen
+
+POLLED_REGISTRIES = 2
+
+
+class RegistrySelector:
+    """The registries of one proxy, and which of them are in backoff."""
+
+    def __init__(self, node: str, addresses: set[str]) -> None:
+        """Begin with the registries at these addresses (`host:port`), for the proxy `node`."""
+        self._node = node
+        self.addresses = addresses
+        self._backoff_until: dict[str, int] = {}
+
+    def back_off(self, registry: str, until: int) -> None:
+        """Poll a registry no more until that time, if there are others."""
+        self._backoff_until[registry] = until
+
+    def end_backoffs(self, now: int) -> None:
+        """Forget the backoffs that are over."""
+        self._backoff_until = {registry: until for registry, until in self._backoff_until.items() if until > now}
+
+    def selected(self) -> list[str]:
+        """Return the registries to poll; if all are in backoff, any of them."""
+        return self._choose(self._available() or self.addresses, POLLED_REGISTRIES)
+
+    def is_available(self, registry: str) -> bool:
+        """Return whether a registry is among those to poll, and not in backoff."""
+        return registry in self._choose(self._available(), POLLED_REGISTRIES)
+
+    def replacements(self, now: int) -> list[str]:
+        """Return the registries to poll after one has failed; none if all are in backoff."""
+        in_backoff = {registry for registry, until in self._backoff_until.items() if until > now}
+        return self._choose(self.addresses - in_backoff, POLLED_REGISTRIES)
+
+    def first(self) -> str | None:
+        """Return the registry that sends the configuration; None if there is no registry."""
+        return next(iter(self._choose(self._available() or self.addresses, 1)), None)
+
+    def _available(self) -> set[str]:
+        return self.addresses - self._backoff_until.keys()
+
+    def _choose(self, registries: set[str], count: int) -> list[str]:
+        return chosen(self._node, registries, count)
--- /dev/null
+++ b/lilacsill/mesh/proxy/shutdown_sequence.py
@@ -0,0 +1,87 @@
+"""What a proxy does from SIGTERM to its exit.
+
+1. It announces that it leaves, is not ready any more, and closes each connection of a client with its next answer.
+2. When clients have had time to notice and nothing is in flight, or when the grace period is almost over, it breaks off
+   what is left and closes its listeners.
+3. When the last answers are sent, the event loop stops.
+"""
+
+from __future__ import annotations
+
+from lilacsill.mesh.runtime.log_ring import log
+from lilacsill.mesh.runtime.reactor import Reactor
+
+from .backend_gateway import BackendGateway
+from .discovery import DiscoveryClient
+from .forwarding import Forwarder
+from .graceful_shutdown import GracefulShutdown
+from .inbound import Clients
+from .offer_server import OfferServer
+
+CHECK_US = 50_000
+NOTICE_US = 2_600_000  # clients go elsewhere after two readiness checks that failed
+KILL_MARGIN_US = 500_000  # before the platform would kill the process
+
+
+class ShutdownSequence:
+    """The graceful shutdown of one process."""
+
+    def __init__(
+        self,
+        reactor: Reactor,
+        grace_us: int,
+        forwarder: Forwarder,
+        clients: Clients,
+        gateway: BackendGateway,
+        offer_server: OfferServer,
+        discovery: DiscoveryClient,
+    ) -> None:
+        """Prepare the sequence; `grace_us` is the time from SIGTERM until the platform kills the process."""
+        self._reactor, self._grace_us = reactor, grace_us
+        self._forwarder, self._clients = forwarder, clients
+        self._gateway, self._offer_server, self._discovery = gateway, offer_server, discovery
+        self._started_at: int | None = None
+
+    @property
+    def is_started(self) -> bool:
+        """Whether the process shuts down."""
+        return self._started_at is not None
+
+    def start(self) -> None:
+        """Begin; a second call changes nothing."""
+        if self._started_at is not None:
+            return
+        log.info("graceful shutdown started")
+        now = self._started_at = self._reactor.now()
+        take_all_us = min(NOTICE_US, self._grace_us // 2)
+        self._forwarder.shutdown = GracefulShutdown(now + take_all_us, now + self._grace_us - KILL_MARGIN_US)
+        self._discovery.leaving = True
+        self._clients.leave()
+        self._discovery.announce()
+        self._drain(now)
+
+    @property
+    def _is_busy(self) -> bool:
+        return bool(self._forwarder.in_hand or self._gateway.requests)
+
+    def _drain(self, started_at: int) -> None:
+        elapsed_us = self._reactor.now() - started_at
+        is_late = elapsed_us > self._grace_us - KILL_MARGIN_US
+        if is_late:
+            # The backend may still be at work on these. Answers that wait behind them on their connections are sent.
+            for forwarding in list(self._forwarder.in_hand):
+                forwarding.break_off()
+        if is_late or (elapsed_us > NOTICE_US and not self._is_busy):
+            self._clients.listener.close()
+            self._offer_server.close()
+            self._clients.close_idle()
+            self._reactor.after(CHECK_US, self._stop, started_at)
+        else:
+            self._reactor.after(CHECK_US, self._drain, started_at)
+
+    def _stop(self, started_at: int) -> None:
+        elapsed_us = self._reactor.now() - started_at
+        if elapsed_us > self._grace_us - KILL_MARGIN_US // 2 or not self._is_busy:
+            self._reactor.stop()
+        else:
+            self._reactor.after(CHECK_US, self._stop, started_at)
--- /dev/null
+++ b/lilacsill/mesh/proxy/status_report.py
@@ -0,0 +1,121 @@
+"""The status of a proxy as operators see it (`python -m lilacsill.mesh.proxy status`)."""
+
+from __future__ import annotations
+
+import msgspec
+
+from lilacsill.mesh.runtime.log_ring import log
+from lilacsill.mesh.runtime.messages import Load
+
+from .backend_gateway import BackendGateway
+from .discovery import DiscoveryClient
+from .failure_detector import FailureDetector
+from .forwarding import Forwarder
+from .table import Stand
+
+
+class BackendStatus(msgspec.Struct):
+    """The backend of this machine."""
+
+    server: str  # its incarnation
+    service: str
+    state: str  # see `EndpointState`
+    slots: int
+    circuit_open: bool  # it answers nothing; one read at a time tries it
+    connections: int
+    max_connections: int
+    connections_forgotten: int  # idle ones that the backend turned out to have dropped
+    running: int
+    load: Load
+
+
+class EndpointStatus(msgspec.Struct):
+    """One backend of a service, as this proxy sees it."""
+
+    node: str
+    server: str  # its incarnation
+    state: str
+    in_flight: int  # in its last report
+    unreported_attempts: int  # of this proxy, since that report
+    slowdown: float  # 0.0: not known
+    failure_rate: float
+    report_age_ms: int | None  # None: there was no report
+    ejected_ms: int  # for so long it is left out, since its machine could not be reached
+
+
+class ProxyStatus(msgspec.Struct):
+    """The whole report."""
+
+    node: str
+    config_seq: int
+    sure: bool  # the configuration here is the one in force
+    unsure_reason: str = msgspec.field(name="why_unsure")  # the key is the same in the status of all programs
+    age_ms: int | None
+    leaving: bool
+    requests: int  # of clients of this machine, in flight
+    backend: BackendStatus
+    registry_versions: dict[str, tuple[int, int]]  # by registry: its incarnation, version of its directory
+    monitors: list[str]  # the proxies that this one pings
+    suspects: list[str]
+    tables: dict[str, list[EndpointStatus]]  # by service
+    log: list[str]
+
+
+def status_report(
+    node: str,
+    leaving: bool,
+    forwarder: Forwarder,
+    gateway: BackendGateway,
+    discovery: DiscoveryClient,
+    failure_detector: FailureDetector,
+    now: int,
+) -> ProxyStatus:
+    """Return the status as of now."""
+    return ProxyStatus(
+        node=node,
+        config_seq=forwarder.routes.seq,
+        sure=discovery.is_config_current(),
+        unsure_reason=discovery.evidence.why_not_current(now),
+        age_ms=discovery.evidence.age_ms(now),
+        leaving=leaving,
+        requests=len(forwarder.in_hand),
+        backend=_backend_status(gateway),
+        registry_versions=discovery.registry_versions,
+        monitors=failure_detector.monitored(),
+        suspects=sorted(failure_detector.suspects),
+        tables={
+            service: [_endpoint_status(entry, now) for entry in table.stands.values()]
+            for service, table in forwarder.tables.items()
+        },
+        log=log.tail(),
+    )
+
+
+def _backend_status(gateway: BackendGateway) -> BackendStatus:
+    lifecycle, pool = gateway.lifecycle, gateway.pool
+    return BackendStatus(
+        server=lifecycle.server,
+        service=lifecycle.service,
+        state=lifecycle.state,
+        slots=lifecycle.slots,
+        circuit_open=not gateway.circuit_breaker.is_closed,
+        connections=len(pool.connections),
+        max_connections=pool.max_connections,
+        connections_forgotten=pool.idle_limit.resets,
+        running=gateway.admission.running,
+        load=gateway.load(),
+    )
+
+
+def _endpoint_status(entry: Stand, now: int) -> EndpointStatus:
+    return EndpointStatus(
+        node=entry.endpoint.node,
+        server=entry.endpoint.server,
+        state=entry.endpoint.state,
+        in_flight=entry.held,
+        unreported_attempts=len(entry.since),
+        slowdown=entry.slow,
+        failure_rate=entry.ill,
+        report_age_ms=(now - entry.heard_at) // 1000 if entry.heard_at else None,
+        ejected_ms=max(0, entry.out_until - now) // 1000,
+    )
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -16,6 +16,7 @@
 from lilacsill.address import Address
 from lilacsill.mesh.proxy import discovery
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
+from lilacsill.mesh.proxy.known_endpoints import KnownEndpoints
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.registry import process as registries
 from lilacsill.mesh.runtime.freshness import dated
@@ -106,7 +107,9 @@
             routes=Routes(), tables={}, table=lambda service: table, proxies=1, links=links
         )
         settings = settings_of(ip, self.fleet.seeds)
-        self.proxies[ip] = discovery.DiscoveryClient(settings, reactor, forwarder, BackendLifecycle(0))
+        self.proxies[ip] = discovery.DiscoveryClient(
+            settings, reactor, forwarder, BackendLifecycle(0), KnownEndpoints(ip, forwarder), set(), lambda: None
+        )
         self.proxies[ip].start()
 
     @property
@@ -215,8 +218,8 @@
                 held: dict[tuple[str, str], Item] = registry._copy._items
                 self._judge("registry", ip, held["route", "r"].version)
         for ip, proxy in self.proxies.items():
-            if self._awake(f"{ip}:0") and proxy.sure():
-                self._judge("proxy", ip, proxy._carrier.routes._versions["route", "r"])
+            if self._awake(f"{ip}:0") and proxy.is_config_current():
+                self._judge("proxy", ip, proxy._forwarder.routes._versions["route", "r"])
 
     def _awake(self, address: str) -> bool:
         machine = self.net.machines[address]
@@ -243,7 +246,7 @@
         for address in self.stores:
             self.follow(address)
         self.run(2 * S)
-        if not all(p.sure() for p in self.proxies.values()):
+        if not all(p.is_config_current() for p in self.proxies.values()):
             raise RuleBroken("a proxy has no current configuration in calm times")
 
     def run(self, us: int) -> None:
--- a/tests/control/defects_point_1.py
+++ b/tests/control/defects_point_1.py
@@ -98,11 +98,11 @@
 
 
 def proxies_date_by_arrival(patch: Patch) -> None:
-    def answered(self: DiscoveryClient, registry: str, number: int, asked_at: int, m: Message | None) -> None:
-        real(self, registry, number, self._reactor.now(), m)
+    def on_reply(self: DiscoveryClient, registry: str, number: int, asked_at: int, reply: Message | None) -> None:
+        real(self, registry, number, self._reactor.now(), reply)
 
-    real = DiscoveryClient._answered
-    patch.setattr(DiscoveryClient, "_answered", answered)
+    real = DiscoveryClient._on_reply
+    patch.setattr(DiscoveryClient, "_on_reply", on_reply)
 
 
 def a_proof_is_current_for_ever(patch: Patch) -> None:
--- a/tests/control/test_point_1_leases.py
+++ b/tests/control/test_point_1_leases.py
@@ -75,7 +75,11 @@
     plane.run(CUT_US - S)
     assert [status for status, _ in found] == [200] and found[0][1] < FOUND_US, found
     cut_off = [plane.registries[ip_of(a)]._sure for a in smaller]
-    if any(cut_off) or plane.proxies[PROXIES[2]].sure() or not plane.proxies[PROXIES[0]].sure():
+    if (
+        any(cut_off)
+        or plane.proxies[PROXIES[2]].is_config_current()
+        or not plane.proxies[PROXIES[0]].is_config_current()
+    ):
         raise RuleBroken("after 19 s the smaller side calls its configuration current, or the larger side does not")
     assert len(plane.acked) > before + 50 and len(answers) > 100
     gaps = [later.at - one.at for one, later in zip(plane.acked[before - 1 :], plane.acked[before:], strict=False)]
@@ -172,7 +176,7 @@
         plane.run(2 * S)
     plane.net.cut({registry}, {member})
     plane.run(5 * S)
-    if plane.registries[ip_of(member)]._sure or not all(p.sure() for p in plane.proxies.values()):
+    if plane.registries[ip_of(member)]._sure or not all(p.is_config_current() for p in plane.proxies.values()):
         raise RuleBroken("a registry without its store calls its configuration current, or proxies stay with it")
 
 
--- a/tests/control/test_point_5_callers.py
+++ b/tests/control/test_point_5_callers.py
@@ -11,6 +11,7 @@
 from lilacsill.address import Address
 from lilacsill.http1.message import Message as Request
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
+from lilacsill.mesh.proxy.known_endpoints import KnownEndpoints
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
 from lilacsill.mesh.registry.directory import Directory
 from lilacsill.mesh.registry.process import Process as Registry
@@ -139,6 +140,12 @@
     return Endpoint("me", life, count, LOOPBACK, 1, "z", "stock", "i-me", state, 4, 0)
 
 
+def discovery_client(s: Stage) -> DiscoveryClient:
+    """Of the proxy `me`, for the forwarder of the stage."""
+    endpoints = KnownEndpoints("me", s.forwarder)
+    return DiscoveryClient(settings(), s.reactor, s.forwarder, BackendLifecycle(S), endpoints, set(), lambda: None)
+
+
 def test_a_proxy_whose_clock_went_back_outlives_its_earlier_run_on_all_registries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
@@ -156,8 +163,8 @@
             reply(PollReply(1, changes.version, changes.endpoints, changes.gone, 0, [], 0, Freshness(0, 0), []))
 
         registry = RpcServer(s.reactor, Address(LOOPBACK, 0), {Poll: polled})
-        client = DiscoveryClient(settings(), s.reactor, s.forwarder, BackendLifecycle(S))
-        client._registries = {f"{LOOPBACK}:{registry.listener.port}"}
+        client = discovery_client(s)
+        client.registries.addresses = {f"{LOOPBACK}:{registry.listener.port}"}
         client.start()
         s.until(lambda: bool(polls) and polls[-1].endpoint.incarnation > before.incarnation, "it has raised its own")
         s.settle()
@@ -195,11 +202,11 @@
 def test_idle_links_to_a_process_that_is_over_are_not_used() -> None:
     with stage() as s:
         far = ScriptedProxy(s.reactor, lambda n, o: [(n, whole(b"mine"))])
-        client = DiscoveryClient(settings(), s.reactor, s.forwarder, BackendLifecycle(S))
+        client = discovery_client(s)
         told = replace(record(1), node="far", port=far.listener.port, server="i-far")
 
         def news(*endpoints: Endpoint, gone: tuple[str, ...] = ()) -> None:
-            client._take(
+            client._apply(
                 "registry", s.reactor.now(), PollReply(1, 1, list(endpoints), list(gone), 0, [], 0, Freshness(0, 0), [])
             )
             s.prefer("far")
--- a/tests/mesh/test_watch_list.py
+++ b/tests/mesh/test_watch_list.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from lilacsill.mesh.proxy.discovery import address_and_departure
+from lilacsill.mesh.proxy.known_endpoints import peer_address
 from lilacsill.mesh.proxy.watch_list import WatchList
 from lilacsill.mesh.runtime.hashing import chosen, weight
 from lilacsill.mesh.runtime.messages import Endpoint
@@ -65,5 +65,5 @@
     later = Endpoint("n1", 1, 2, "10.0.0.1", 7660, "z", "s", "i-2", "draining", 9, 5)
     leaving = Endpoint("n1", 1, 3, "10.0.0.1", 7660, "z", "s", "i-2", "leaving", 9, 5)
     moved = Endpoint("n1", 1, 4, "10.0.0.2", 7660, "z", "s", "i-2", "draining", 9, 5)
-    assert address_and_departure(endpoint) == address_and_departure(later) != address_and_departure(leaving)
-    assert address_and_departure(moved) != address_and_departure(later)
+    assert peer_address(endpoint) == peer_address(later) != peer_address(leaving)
+    assert peer_address(moved) != peer_address(later)
