--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -10,8 +10,8 @@
 import msgspec
 
 from lilacsill.mesh.proxy.neighbours import WATCHED
-from lilacsill.mesh.proxy.routes import Routes
-from lilacsill.mesh.proxy.table import Table
+from lilacsill.mesh.proxy.active_config import ActiveConfig
+from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.proxy.watch_list import WatchList
 from lilacsill.mesh.registry.config_cache import ConfigCache
 from lilacsill.mesh.registry.directory import Directory
@@ -63,20 +63,20 @@
 # The proxy
 
 
-def table_of(endpoints: list[Endpoint]) -> Table:
+def table_of(endpoints: list[Endpoint]) -> EndpointTable:
     """All backends of one service, each heard from."""
-    table = Table(Random(1))
+    table = EndpointTable(Random(1))
     for told in endpoints:
-        table.told(told, NOW_US)
-    for at, stand in enumerate(table.stands.values()):
-        table.ended(stand, 0, Load(at % 9, 9, 1.0, 0.0), NOW_US)
+        table.update(told, NOW_US)
+    for at, entry in enumerate(table.entries.values()):
+        table.attempt_ended(entry, 0, Load(at % 9, 9, 1.0, 0.0), NOW_US)
     return table
 
 
 def choice(size: int) -> Step:
     """Which backend gets a call, of so many of its service."""
     table = table_of([fleet.endpoint(number, 1) for number in range(size)])
-    return Step("choice", size, cpu_us(lambda: table.pick(NOW_US + 1_000, [])), "us")
+    return Step("choice", size, cpu_us(lambda: table.choose(NOW_US + 1_000, [])), "us")
 
 
 def watching(size: int) -> Step:
@@ -118,10 +118,10 @@
         reply = decode(data)
         assert isinstance(reply, PollReply)
         held = {told.node: told for told in reply.endpoints}
-        tables: dict[str, Table] = {}
+        tables: dict[str, EndpointTable] = {}
         for told in reply.endpoints:
-            tables.setdefault(told.service, Table(Random(1))).told(told, NOW_US)
-        routes = Routes()
+            tables.setdefault(told.service, EndpointTable(Random(1))).update(told, NOW_US)
+        routes = ActiveConfig()
         routes.apply(fleet.items(fleet.services_of(size)), 1)
         return held, tables, routes
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -17,9 +17,10 @@
 from lilacsill.mesh.proxy.far import BackendGateway
 from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.life import Life
+from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
 from lilacsill.mesh.proxy.neighbours import Neighbours
-from lilacsill.mesh.proxy.routes import Routes
-from lilacsill.mesh.proxy.table import Table
+from lilacsill.mesh.proxy.active_config import ActiveConfig
+from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.runtime.messages import Endpoint, Message
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.rpc import Peers
@@ -28,7 +29,7 @@
 from . import fleet
 
 SLOTS = 9
-BOUNDS = (0.2, 10_000_000, 60.0)  # of the retry budget
+RETRY_BUDGET = RetryBudgetSettings(0.2, 10_000_000, 60.0)
 Answered = Callable[[Message | None], None]
 
 
@@ -62,7 +63,7 @@
     """What the light proxies of one process have in common."""
 
     def __init__(self) -> None:
-        self.tables: dict[str, Table] = {}
+        self.tables: dict[str, EndpointTable] = {}
         self._endpoints: dict[str, Endpoint] = {}
 
     def one(self, endpoint: Endpoint) -> Endpoint:
@@ -130,7 +131,7 @@
         self._life = Life(1_000_000)
         self._gateway = BackendGateway(reactor, self._life, settings.app)
         self.carrier = Forwarder(
-            reactor, Routes(), self._gateway, settings.node, settings.service, BOUNDS, Random(number)
+            reactor, ActiveConfig(), self._gateway, settings.node, settings.service, RETRY_BUDGET, Random(number)
         )
         if shared is not None:
             self.carrier.tables = shared.tables
--- a/benchmarks/capacity/host.py
+++ b/benchmarks/capacity/host.py
@@ -132,7 +132,7 @@
     # What is seen
 
     def _news(self, proxy: HollowProxy) -> None:
-        now, seq, known = self._reactor.now(), proxy.carrier.routes.seq, len(proxy.news.endpoints)
+        now, seq, known = self._reactor.now(), proxy.carrier.config.seq, len(proxy.news.endpoints)
         applied = self._applied[proxy.number]
         if not applied or applied[-1][0] != seq:
             applied.append((seq, now))
--- a/benchmarks/store_size.py
+++ b/benchmarks/store_size.py
@@ -13,7 +13,7 @@
 
 import msgspec
 
-from lilacsill.mesh.proxy.routes import Routes
+from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.registry.config_cache import ConfigCache
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.runtime.reactor import Reactor
@@ -101,7 +101,7 @@
     def call() -> None:
         items_of(state, change)
 
-    cache, routing = ConfigCache(), Routes()
+    cache, routing = ConfigCache(), ActiveConfig()
     cache.take(state.since(0), state.seq)
     routing.apply(items, state.seq)
     path = f"/r{routes - 1}/x".encode()
@@ -112,7 +112,7 @@
         "follow_us": processor_us(lambda: [state.since(state.seq - 1) for _ in range(100)]) // 100,
         "poll_us": processor_us(lambda: [cache.piece(state.seq - 1) for _ in range(100)]) // 100,
         "match_us": processor_us(lambda: [routing.match(b"h.example", path) for _ in range(100)]) // 100,
-        "proxy_start_us": processor_us(lambda: Routes().apply(items, state.seq), 5),
+        "proxy_start_us": processor_us(lambda: ActiveConfig().apply(items, state.seq), 5),
         "store_start_us": start_us(items),
         "fill_ms": fill_ms(routes),
     }
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -119,7 +119,7 @@
             self.endpoint(),
             life,
             directory,
-            self._carrier.routes.seq if wants else -1,
+            self._carrier.config.seq if wants else -1,
             self._newest,
             wait_ms,
             told(self.accused, {n: self.endpoints[n].incarnation for n in self.accused if n in self.endpoints}),
@@ -169,8 +169,8 @@
                 self._others = None
             self._drop_links(gone)
             for table in self._carrier.tables.values():
-                table.gone(node)
-        routes = self._carrier.routes
+                table.remove(node)
+        routes = self._carrier.config
         if m.items or m.config_seq > routes.seq:
             routes.apply(m.items, m.config_seq)
         self._newest = max(self._newest, m.newest_seq)
@@ -197,7 +197,7 @@
 
     def _still_behind(self, registry: str) -> None:
         """That registry knows of more, and the one that should bring it has not."""
-        if self._carrier.routes.seq < self._newest:
+        if self._carrier.config.seq < self._newest:
             self._behind.add(registry)
             self._ask(registry, WAIT_MS)
 
@@ -211,8 +211,8 @@
         if held is not None and held.incarnation != endpoint.incarnation:
             self._drop_links(held)
         if held is not None and held.service != endpoint.service:
-            self._carrier.table(held.service).gone(endpoint.node)
-        self._carrier.table(endpoint.service).told(endpoint, now)
+            self._carrier.table(held.service).remove(endpoint.node)
+        self._carrier.table(endpoint.service).update(endpoint, now)
 
 
 def place_of(endpoint: Endpoint) -> tuple[str, int, bool]:
--- a/lilacsill/mesh/proxy/forwarding.py
+++ b/lilacsill/mesh/proxy/forwarding.py
@@ -17,12 +17,13 @@
 from lilacsill.mesh.runtime.messages import BodyChunk, Headers, NoResponse, Offer, Rejected, Response
 from lilacsill.mesh.runtime.reactor import Reactor
 
+from .active_config import ActiveConfig
 from .backend import passed_on
-from .budget import Budget
+from .endpoint_table import EndpointLoad, EndpointTable
 from .far import PILE, BackendGateway
 from .graceful_shutdown import GracefulShutdown
-from .routes import Route, Routes
-from .table import Stand, Table
+from .retry_budget import RetryBudget, RetryBudgetSettings
+from .routes import Route
 from .transports import Exchange, ExchangeLinks, LocalExchange
 
 KEEP = 128 * 1024  # of a request's body
@@ -55,21 +56,19 @@
     def __init__(
         self,
         reactor: Reactor,
-        routes: Routes,
+        config: ActiveConfig,
         gateway: BackendGateway,
         node: str,
         service: str,
-        bounds: tuple[float, int, float],
+        budget: RetryBudgetSettings,
         rng: Random,
-        slack_from: int = 0,
     ) -> None:
-        """`bounds`: of the retry budget, its ratio, window and slack; `slack_from`: when its slack may be spent."""
-        self.reactor, self.routes, self.gateway, self.rng = reactor, routes, gateway, rng
+        self.reactor, self.config, self.gateway, self.rng = reactor, config, gateway, rng
         self.links = ExchangeLinks(reactor)
         self.node, self.caller = node, service.encode()
-        self._bounds, self._slack_from = bounds, slack_from
-        self.tables: dict[str, Table] = {}
-        self._budgets: dict[str, Budget] = {}
+        self._budget_settings = budget
+        self.tables: dict[str, EndpointTable] = {}
+        self._budgets: dict[str, RetryBudget] = {}
         self.proxies = 1
         self.sure: Callable[[], bool] = lambda: False
         self.in_hand: set[Forwarding] = set()
@@ -78,16 +77,16 @@
         self.patience: dict[str, list[int]] = {}  # of each route's clients, for `usual`
         self._took: dict[str, tuple[float, int]] = {}  # by route: mean ms at a backend, answers that it is made of
 
-    def table(self, service: str) -> Table:
+    def table(self, service: str) -> EndpointTable:
         table = self.tables.get(service)
         if table is None:
-            table = self.tables[service] = Table(self.rng)
+            table = self.tables[service] = EndpointTable(self.rng)
         return table
 
-    def budget(self, service: str) -> Budget:
+    def budget(self, service: str) -> RetryBudget:
         budget = self._budgets.get(service)
         if budget is None:
-            budget = self._budgets[service] = Budget(*self._bounds, self._slack_from)
+            budget = self._budgets[service] = RetryBudget(self._budget_settings)
         return budget
 
     def usual_ms(self, route: str) -> int:
@@ -108,7 +107,7 @@
         host = request.fields.get(b"host", b"").lower()
         host = host.partition(b":")[0]
         target = request.target
-        route = self.routes.match(host, target.partition(b"?")[0])
+        route = self.config.match(host, target.partition(b"?")[0])
         if route is None:
             # Only who knows the configuration as it stands may say that there is none.
             if self.sure():
@@ -127,11 +126,11 @@
     def _can_finish(self, shutdown: GracefulShutdown, request: HttpMessage, route: Route) -> bool:
         time_left_us = min(client_patience_us(request), route.timeout_us)
         usual_us = self.usual_ms(route.name) * 1000 or None
-        return shutdown.can_finish(self.reactor.now(), time_left_us, route.aim_us, usual_us)
+        return shutdown.can_finish(self.reactor.now(), time_left_us, route.target_us, usual_us)
 
     def retry_after(self, route: Route) -> tuple[bytes, bytes]:
         """The header that tells a refused client when to come back: a part of the route's target, with jitter."""
-        back_s = BACK_PART * route.aim_us / 1e6 * (0.75 + 0.5 * self.rng.random())
+        back_s = BACK_PART * route.target_us / 1e6 * (0.75 + 0.5 * self.rng.random())
         return b"Retry-After", b"%.3f" % back_s
 
 
@@ -146,7 +145,7 @@
 
     def __init__(self, forwarder: Forwarder, request: HttpMessage, route: Route, client: Client, whole: bool) -> None:
         self._forwarder, self._request, self._route, self._client = forwarder, request, route, client
-        self._service = route.service(forwarder.rng)
+        self._service = route.choose_service(forwarder.rng)
         self._table = forwarder.table(self._service)
         now = forwarder.reactor.now()
         patience_us = client_patience_us(request)
@@ -154,16 +153,16 @@
         self._until = now + min(patience_us, route.timeout_us)
         # One that comes back has lost part of its time to the aim already: it has less left than is usual on its route.
         spent_us = usual(forwarder.patience.setdefault(route.name, [0, 0]), patience_us) - patience_us
-        self._aim_at = now + route.aim_us - max(0, spent_us)
+        self._aim_at = now + route.target_us - max(0, spent_us)
         self._headers = [line for line in passed_on(request) if line[0].lower() not in OWN]
         self._headers.append((b"Calling-Service", forwarder.caller))
         self._body = request.take()  # what of it has come and is kept for another offer
         self._whole = whole
         self._kept = True  # all that has come
         self._arrivals = self._declines = 0
-        self._tried: list[Stand] = []  # declined it, or promised that it had not run there
-        self._failed: list[Stand] = []  # may have run it
-        self._stand: Stand | None = None
+        self._tried: list[EndpointLoad] = []  # declined it, or promised that it had not run there
+        self._failed: list[EndpointLoad] = []  # may have run it
+        self._stand: EndpointLoad | None = None
         self._number = 0
         self._exchange: Exchange | None = None
         self._streaming = False
@@ -171,7 +170,7 @@
         self._timer = forwarder.reactor.after(max(0, self._until - now) + LATE_US, self._late)
 
     def begin(self) -> None:
-        self._forwarder.budget(self._service).asked(self._forwarder.reactor.now())
+        self._forwarder.budget(self._service).record_request(self._forwarder.reactor.now())
         self._next()
 
     # Attempts
@@ -184,11 +183,11 @@
         stand = None
         if self._declines < DECLINES_MOST and self._kept:
             # Where one that broke an earlier attempt is all there is, it is better than nobody.
-            stand = self._table.pick(now, [*self._tried, *self._failed]) or self._table.pick(now, self._tried)
+            stand = self._table.choose(now, [*self._tried, *self._failed]) or self._table.choose(now, self._tried)
         if stand is None:
             return self._give_up()
         self._stand, self._number = stand, forwarder.attempt()
-        self._table.sent(stand, self._number)
+        self._table.attempt_started(stand, self._number)
         request, route = self._request, self._route
         length = request.length or 0
         if request.length is None and b"transfer-encoding" in request.fields:
@@ -205,8 +204,8 @@
             length,
             (self._until - now) // 1000,
             (self._aim_at - now) // 1000,
-            route.rank,
-            route.repeatable,
+            route.priority,
+            route.is_idempotent,
             self._arrivals > 0,
             forwarder.usual_ms(route.name),
         )
@@ -215,11 +214,11 @@
         else:
             self._exchange = forwarder.links.to(Address(stand.endpoint.host, stand.endpoint.port), offer, self)
 
-    def _attempt_over(self, told: Rejected | Response | NoResponse | None) -> Stand:
+    def _attempt_over(self, told: Rejected | Response | NoResponse | None) -> EndpointLoad:
         stand, self._stand, self._exchange = self._stand, None, None
         assert stand is not None
         load = told.load if told is not None else None
-        self._table.ended(stand, self._number, load, self._forwarder.reactor.now())
+        self._table.attempt_ended(stand, self._number, load, self._forwarder.reactor.now())
         return stand
 
     # Outcomes of exchanges
@@ -233,7 +232,7 @@
             self._tried.append(stand)
             self._declines += 1
             if message.reason in ("life", "leaving", "unreachable"):
-                self._table.unreachable(stand, self._forwarder.reactor.now())
+                self._table.eject(stand, self._forwarder.reactor.now())
             self._next()
         elif isinstance(message, Response):
             self._answered(message)
@@ -253,7 +252,7 @@
         if self.over:
             return
         stand = self._attempt_over(None)
-        self._table.unreachable(stand, self._forwarder.reactor.now())
+        self._table.eject(stand, self._forwarder.reactor.now())
         self._tried.append(stand)
         self._declines += 1
         self._next()
@@ -265,7 +264,7 @@
         if self._streaming:
             return self._cut()
         stand = self._attempt_over(None)
-        self._table.unreachable(stand, self._forwarder.reactor.now())
+        self._table.eject(stand, self._forwarder.reactor.now())
         self._failed.append(stand)
         self._repeat()
 
@@ -299,11 +298,11 @@
             self._tried.append(stand)
             self._arrivals += 1
             again = self._may_repeat()
-        elif m.status >= 500 and self._route.repeatable:
+        elif m.status >= 500 and self._route.is_idempotent:
             self._failed.append(stand)
             self._arrivals += 1
             # Where all of a service fails, what it calls does: a repeat would only ask that for more.
-            again = self._table.ill() < ILL_ALL and self._may_repeat()
+            again = self._table.lowest_failure_rate() < ILL_ALL and self._may_repeat()
         if (again or m.not_run) and not m.body_complete and exchange is not None:
             exchange.cancel()
         if again:
@@ -324,7 +323,7 @@
     def _repeat(self) -> None:
         """The attempt may have run: a read may be retried, a write may not."""
         self._arrivals += 1
-        if self._route.repeatable and self._may_repeat():
+        if self._route.is_idempotent and self._may_repeat():
             return self._next()
         if self._forwarder.reactor.now() >= self._until:
             return self._finish(504, [], b"no answer in time\n")
@@ -333,10 +332,10 @@
     def _may_repeat(self) -> bool:
         now = self._forwarder.reactor.now()
         return (
-            self._arrivals < self._route.tries
+            self._arrivals < self._route.max_attempts
             and self._until - now > LEAST_US
             and self._kept
-            and self._forwarder.budget(self._service).spend(now, self._forwarder.proxies)
+            and self._forwarder.budget(self._service).try_spend(now, self._forwarder.proxies)
         )
 
     # The end
@@ -356,7 +355,7 @@
             return self._cut()
         exchange, self._exchange = self._exchange, None
         if self._stand is not None:
-            self._table.ended(self._stand, self._number, None, self._forwarder.reactor.now())
+            self._table.attempt_ended(self._stand, self._number, None, self._forwarder.reactor.now())
             self._stand = None
         if exchange is not None:
             exchange.cancel()
@@ -389,6 +388,6 @@
             return
         self._done()
         if self._stand is not None:
-            self._table.ended(self._stand, self._number, None, self._forwarder.reactor.now())
+            self._table.attempt_ended(self._stand, self._number, None, self._forwarder.reactor.now())
         if self._exchange is not None:
             self._exchange.cancel()
--- a/lilacsill/mesh/proxy/inbound.py
+++ b/lilacsill/mesh/proxy/inbound.py
@@ -264,7 +264,7 @@
 
     @property
     def body_limit(self) -> int:
-        return self.forwarder.routes.limits["MaxBodyBytes"]
+        return self.forwarder.config.limits.max_body_bytes
 
     def _accepted(self, sock: socket.socket) -> None:
         connection = ClientConnection(self)
@@ -273,8 +273,8 @@
 
     def _look(self) -> None:
         self.reactor.after(LOOK_US, self._look)
-        now, limits = self.reactor.now(), self.forwarder.routes.limits
-        idle_us, head_us = limits["IdleTimeoutMs"] * 1000, limits["HeaderWaitMs"] * 1000
+        now, limits = self.reactor.now(), self.forwarder.config.limits
+        idle_us, head_us = limits.idle_timeout_us, limits.header_timeout_us
         for connection in list(self.connections):
             if connection.idle and now - connection.quiet_since > idle_us + LOOK_US:
                 connection.close()
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -17,6 +17,7 @@
 from lilacsill.mesh.runtime.rpc import Answered, Peers
 from lilacsill.mesh.runtime.settings import Settings, SettingsError, load
 
+from .active_config import ActiveConfig
 from .backend import BackendConnection
 from .control_api import OfferServer
 from .discovery import DiscoveryClient
@@ -26,7 +27,7 @@
 from .inbound import Clients
 from .life import Life, beat_of
 from .neighbours import Neighbours
-from .routes import Routes
+from .retry_budget import RetryBudgetSettings
 
 LEAVE_LOOK_US = 50_000
 NOTICE_US = 2_600_000  # clients go elsewhere after two missed looks at readiness
@@ -50,13 +51,12 @@
         slack_from = 0 if settings.fresh else reactor.now() + window_us
         self._carrier = Forwarder(
             reactor,
-            Routes(),
+            ActiveConfig(),
             self._gateway,
             settings.node,
             settings.service,
-            (ratio, window_us, slack),
+            RetryBudgetSettings(ratio, window_us, slack, slack_from),
             Random(),
-            slack_from,
         )
         self._news = DiscoveryClient(settings, reactor, self._carrier, self._life)
         self._far = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway)
@@ -120,7 +120,7 @@
         self._reactor.after(half_us, self._gateway.gate.clear, "draining")
 
     def _news_came(self) -> None:
-        most = self._carrier.routes.most_connections(self._life.service or self._settings.service)
+        most = self._carrier.config.max_connections(self._life.service or self._settings.service)
         if most is not None:
             self._gateway.pool.most = most
         told = self._news.endpoints.get(self._settings.node)
@@ -132,7 +132,7 @@
     def _look_at_backend(self) -> None:
         """A proxy that was started anew need not wait for a beat: the backend's health answer names its life. One that
         leaves does not answer well; and if it did, the registries know that this life has said so."""
-        health = self._carrier.routes.health_path(self._settings.service)
+        health = self._carrier.config.health_path(self._settings.service)
         if self._life.server or self._probing or health is None:
             return
         self._probing = True
@@ -154,7 +154,7 @@
         return msgspec.json.encode(
             {
                 "node": self._settings.node,
-                "state": self._carrier.routes.seq,
+                "state": self._carrier.config.seq,
                 "sure": self._news.sure(),
                 "why_unsure": self._news.evidence.why_not_current(now),
                 "age_ms": self._news.evidence.age_ms(now),
@@ -181,14 +181,14 @@
                             "node": s.endpoint.node,
                             "server": s.endpoint.server,
                             "state": s.endpoint.state,
-                            "held": s.held,
-                            "own": len(s.since),
-                            "slow": s.slow,
-                            "ill": s.ill,
-                            "heard_ms": (now - s.heard_at) // 1000 if s.heard_at else None,
-                            "out_ms": max(0, s.out_until - now) // 1000,
+                            "held": s.reported_requests,
+                            "own": len(s.unreported_attempts),
+                            "slow": s.slowdown or 0.0,
+                            "ill": s.failure_rate,
+                            "heard_ms": (now - s.reported_at) // 1000 if s.reported_at is not None else None,
+                            "out_ms": max(0, s.ejected_until - now) // 1000,
                         }
-                        for s in table.stands.values()
+                        for s in table.entries.values()
                     ]
                     for service, table in self._carrier.tables.items()
                 },
--- a/lilacsill/mesh/proxy/routes.py
+++ b/lilacsill/mesh/proxy/routes.py
@@ -1,4 +1,4 @@
-"""The configuration as requests see it: which route, which service, within what bounds. No I/O."""
+"""Routes, and the choice of the route of a request. No I/O."""
 
 from __future__ import annotations
 
@@ -9,91 +9,95 @@
 
 from lilacsill.mesh.runtime.messages import Item
 
-LIMITS = {"MaxHeaderBytes": 16384, "MaxBodyBytes": 67108864, "HeaderWaitMs": 3000, "IdleTimeoutMs": 15000}
+DEFAULT_TIMEOUT_MS = 60_000
+DEFAULT_PRIORITY = 1
 
 
 class Route(msgspec.Struct, frozen=True):
-    """One route; times in microseconds."""
+    """One route of the configuration."""
 
     name: str
     host: bytes
-    prefix: bytes
+    prefix: bytes  # of the path
     services: tuple[str, ...]
-    bounds: tuple[float, ...]  # of the shares, added up; the last is their sum
-    repeatable: bool
+    cumulative_shares: tuple[float, ...]  # of the services in their order; the last is the sum of all
+    is_idempotent: bool
     timeout_us: int
-    aim_us: int
-    rank: int
-    tries: int
+    target_us: int  # latency target; without one of its own, the timeout
+    priority: int  # 0 is the most urgent
+    max_attempts: int
 
-    def service(self, rng: Random) -> str:
-        """One of its services, by their shares."""
+    def choose_service(self, rng: Random) -> str:
+        """Draw one of the services with probabilities in proportion to their shares."""
         if len(self.services) == 1:
             return self.services[0]
-        x = rng.random() * self.bounds[-1]
-        return next((s for s, b in zip(self.services, self.bounds, strict=True) if x < b), self.services[-1])
+        drawn = rng.random() * self.cumulative_shares[-1]
+        pairs = zip(self.services, self.cumulative_shares, strict=True)
+        return next((service for service, bound in pairs if drawn < bound), self.services[-1])
 
 
-def route_of(item: Item) -> Route:
+def parse_route(item: Item) -> Route:
+    """Read the route out of an item that the store has validated."""
     assert item.body is not None
     body: dict[str, Any] = msgspec.json.decode(item.body)
     rule = body["Rule"]
-    then = rule["Then"]
-    split = then.get("TrafficSplit") or [{"TargetService": then["TargetService"], "Share": 1}]
-    services, bounds, total = [], [], 0.0
+    action = rule["Then"]
+    split = action.get("TrafficSplit") or [{"TargetService": action["TargetService"], "Share": 1}]
+    services, cumulative_shares, total = [], [], 0.0
     for part in split:
         if part["Share"] > 0:
             total += part["Share"]
             services.append(part["TargetService"])
-            bounds.append(total)
-    timeout_us = int(then.get("TimeoutMs", 60_000) * 1000)
+            cumulative_shares.append(total)
+    timeout_us = int(action.get("TimeoutMs", DEFAULT_TIMEOUT_MS) * 1000)
     return Route(
-        item.name,
-        body["Host"].lower().encode(),
-        rule["When"]["PathPrefix"].encode(),
-        tuple(services),
-        tuple(bounds),
-        rule["RouteKind"] == "read_only",
-        timeout_us,
-        int(rule.get("TargetMs", 0) * 1000) or timeout_us,
-        int(rule.get("Rank", 1)),
-        int(then.get("MaxTries", 1)),
+        name=item.name,
+        host=body["Host"].lower().encode(),
+        prefix=rule["When"]["PathPrefix"].encode(),
+        services=tuple(services),
+        cumulative_shares=tuple(cumulative_shares),
+        is_idempotent=rule["RouteKind"] == "read_only",
+        timeout_us=timeout_us,
+        target_us=int(rule.get("TargetMs", 0) * 1000) or timeout_us,
+        priority=int(rule.get("Rank", DEFAULT_PRIORITY)),
+        max_attempts=int(action.get("MaxTries", 1)),
     )
 
 
 class HostRoutes:
-    """The routes of one host. A look costs one step for each length of prefix there is, however many routes."""
+    """The routes of one host. A match costs one step for each length of prefix, however many routes there are."""
 
-    __slots__ = ("_by_prefix", "_lengths")
+    __slots__ = ("_by_prefix", "_prefixes_by_length")
 
     def __init__(self) -> None:
         self._by_prefix: dict[bytes, Route] = {}
-        self._lengths: dict[int, int] = {}  # length: how many prefixes have it; the longest first
+        self._prefixes_by_length: dict[int, int] = {}  # how many prefixes have each length; the longest first
 
     def put(self, route: Route) -> None:
-        """The newest route at a place holds it."""
+        """Add a route; it replaces another with the same prefix."""
         if route.prefix not in self._by_prefix:
             self._count(len(route.prefix), 1)
         self._by_prefix[route.prefix] = route
 
     def remove(self, route: Route) -> None:
-        """Unless another has its place by now."""
+        """Remove a route, unless another one has replaced it."""
         if self._by_prefix.get(route.prefix) is route:
             del self._by_prefix[route.prefix]
             self._count(len(route.prefix), -1)
 
-    def _count(self, length: int, by: int) -> None:
-        count = self._lengths.get(length, 0) + by
+    def _count(self, length: int, difference: int) -> None:
+        counts = self._prefixes_by_length
+        count = counts.get(length, 0) + difference
         if not count:
-            del self._lengths[length]
-        elif length in self._lengths:
-            self._lengths[length] = count
+            del counts[length]
+        elif length in counts:
+            counts[length] = count
         else:
-            self._lengths = dict(sorted({**self._lengths, length: count}.items(), reverse=True))
+            self._prefixes_by_length = dict(sorted({**counts, length: count}.items(), reverse=True))
 
     def match(self, path: bytes) -> Route | None:
-        """The one whose prefix begins the path and is longest."""
-        for length in self._lengths:
+        """Return the route with the longest prefix of the path."""
+        for length in self._prefixes_by_length:
             route = self._by_prefix.get(path[:length])
             if route is not None:
                 return route
@@ -101,58 +105,3 @@
 
     def __bool__(self) -> bool:
         return bool(self._by_prefix)
-
-
-class Routes:
-    """What is in force in this process. An item never goes back to a lower version in a life."""
-
-    def __init__(self) -> None:
-        self._versions: dict[tuple[str, str], int] = {}
-        self._routes: dict[str, Route] = {}
-        self._hosts: dict[bytes, HostRoutes] = {}
-        self.services: dict[str, dict[str, Any]] = {}
-        self.limits: dict[str, int] = dict(LIMITS)
-        self.seq = 0  # number of the newest call in force
-
-    def apply(self, items: list[Item], seq: int) -> None:
-        for item in items:
-            key = (item.kind, item.name)
-            if item.version <= self._versions.get(key, -1):
-                continue
-            self._versions[key] = item.version
-            if item.kind == "route":
-                self._set_route(item)
-            elif item.kind == "service":
-                if item.body is None:
-                    self.services.pop(item.name, None)
-                else:
-                    self.services[item.name] = msgspec.json.decode(item.body)
-            elif item.kind == "limits" and item.body is not None:
-                told = msgspec.json.decode(item.body)
-                self.limits = {k: int(told.get(k, v)) for k, v in LIMITS.items()}
-        self.seq = max(self.seq, seq)
-
-    def _set_route(self, item: Item) -> None:
-        old = self._routes.pop(item.name, None)
-        if old is not None:
-            held = self._hosts.get(old.host)
-            if held is not None:
-                held.remove(old)
-                if not held:
-                    del self._hosts[old.host]
-        if item.body is not None:
-            route = self._routes[item.name] = route_of(item)
-            self._hosts.setdefault(route.host, HostRoutes()).put(route)
-
-    def match(self, host: bytes, path: bytes) -> Route | None:
-        held = self._hosts.get(host)
-        return None if held is None else held.match(path)
-
-    def health_path(self, service: str) -> bytes | None:
-        about = self.services.get(service)
-        return None if about is None else str(about.get("HealthPath", "/health")).encode()
-
-    def most_connections(self, service: str) -> int | None:
-        """That one backend of the service accepts from all callers together; None: not told."""
-        most = self.services.get(service, {}).get("MaxConnections")
-        return int(most) if most is not None else None
--- a/lilacsill/mesh/simulation/load_reports.py
+++ b/lilacsill/mesh/simulation/load_reports.py
@@ -1,7 +1,7 @@
 """Proxies and the backends beside them in virtual time: the choice, the gates, the news of loads, and nothing else.
 
-The tables and gates are the product's own (`lilacsill.mesh.proxy.table`, `lilacsill.mesh.proxy.gate`); the way between
-two proxies is a delay. It tells how even the load is and how much comes late, as nodes double from 8 to 400, and what
+The tables and gates are the product's own (`lilacsill.mesh.proxy.endpoint_table`, `lilacsill.mesh.proxy.gate`); the
+way between two proxies is a delay. It tells how even the load is and how much comes late, as nodes double from 8 to 400, and what
 news of loads could gain.
 """
 
@@ -14,8 +14,8 @@
 
 import msgspec
 
+from lilacsill.mesh.proxy.endpoint_table import EndpointLoad, EndpointTable
 from lilacsill.mesh.proxy.gate import Gate, Ticket
-from lilacsill.mesh.proxy.table import Stand, Table
 from lilacsill.mesh.runtime.messages import Endpoint, Load
 
 from .network import MS, S, Time
@@ -85,7 +85,7 @@
 class Environment:
     """One play."""
 
-    def __init__(self, fair: Fair, seed: int, table: Callable[[Random], Table] = Table) -> None:
+    def __init__(self, fair: Fair, seed: int, table: Callable[[Random], EndpointTable] = EndpointTable) -> None:
         self.fair, self.rng, self.time = fair, Random(seed), Time()
         self.credit = CreditLedger()
         self.gates = [Gate() for _ in range(fair.nodes)]
@@ -95,7 +95,7 @@
         self.tables = [table(Random(seed * 1000 + i)) for i in range(fair.nodes)]
         for made in self.tables:
             for i in range(fair.nodes):
-                made.told(Endpoint(f"n{i}", 1, 1, "", 0, "", "s", f"i{i}", "ready", fair.slots, 0), self.time.now)
+                made.update(Endpoint(f"n{i}", 1, 1, "", 0, "", "s", f"i{i}", "ready", fair.slots, 0), self.time.now)
         self._attempts = 0
         self._offsets: dict[Batch, int] = {}
         self.usual_ms = int(fair.work_ms)
@@ -151,9 +151,10 @@
 
     def _cry(self, node: int, load: Load, as_of: int) -> None:
         for table in self.tables:
-            stand = table.stands[f"n{node}"]
-            if stand.heard_at <= as_of:
-                stand.held, stand.heard_at, stand.slow = load.in_flight, as_of, load.slowdown or stand.slow
+            entry = table.entries[f"n{node}"]
+            if entry.reported_at is None or entry.reported_at <= as_of:
+                entry.reported_requests, entry.reported_at = load.in_flight, as_of
+                entry.slowdown = load.slowdown or entry.slowdown
 
     def _sample(self) -> None:
         held = [g.running + g.waiting for g in self.gates]
@@ -167,19 +168,19 @@
 
     def __init__(self, world: Environment, node: int, batch: Batch, at: int) -> None:
         self._world, self._table, self._batch, self._at = world, world.tables[node], batch, at
-        self._tried: list[Stand] = []
+        self._tried: list[EndpointLoad] = []
         self._aim_at = world.time.now + world.fair.aim_ms * MS
-        self._stand: Stand | None = None
+        self._entry: EndpointLoad | None = None
         self._number = 0
 
     def next(self) -> None:
         world, now = self._world, self._world.time.now
-        stand = self._table.pick(now, self._tried) if len(self._tried) < TURNS else None
-        if stand is None:
+        entry = self._table.choose(now, self._tried) if len(self._tried) < TURNS else None
+        if entry is None:
             return self._over(False)
-        self._stand, self._number = stand, world.attempt()
-        self._table.sent(stand, self._number)
-        world.time.after(HOP_US, self._offered, int(stand.endpoint.node[1:]))
+        self._entry, self._number = entry, world.attempt()
+        self._table.attempt_started(entry, self._number)
+        world.time.after(HOP_US, self._offered, int(entry.endpoint.node[1:]))
 
     def _offered(self, node: int) -> None:
         world, gate = self._world, self._world.gates[node]
@@ -204,12 +205,12 @@
         world.time.after(HOP_US, self._told, world.gates[node].load(world.time.now), False)
 
     def _told(self, load: Load, served: bool) -> None:
-        assert self._stand is not None
-        self._table.ended(self._stand, self._number, load, self._world.time.now)
+        assert self._entry is not None
+        self._table.attempt_ended(self._entry, self._number, load, self._world.time.now)
         if served:
             return self._over(True)
         self._world.credit.turned += self._world.counts
-        self._tried.append(self._stand)
+        self._tried.append(self._entry)
         self.next()
 
     def _over(self, served: bool) -> None:
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -16,7 +16,7 @@
 from lilacsill.address import Address
 from lilacsill.mesh.proxy import discovery
 from lilacsill.mesh.proxy.life import Life
-from lilacsill.mesh.proxy.routes import Routes
+from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.registry import process as registries
 from lilacsill.mesh.runtime.freshness import dated
 from lilacsill.mesh.runtime.messages import Follow, FollowReply, Heartbeat, Item, Message, Patch, Read, Reply
@@ -100,10 +100,10 @@
 
     def proxy(self, ip: str) -> None:
         reactor: Any = Reactor(self._machine(f"{ip}:0"))
-        table = SimpleNamespace(gone=lambda node: None, told=lambda endpoint, now: None)
+        table = SimpleNamespace(remove=lambda node: None, update=lambda endpoint, now: None)
         links = SimpleNamespace(drop=lambda address: None)
         forwarder: Any = SimpleNamespace(
-            routes=Routes(), tables={}, table=lambda service: table, proxies=1, links=links
+            config=ActiveConfig(), tables={}, table=lambda service: table, proxies=1, links=links
         )
         settings = settings_of(ip, self.fleet.seeds)
         self.proxies[ip] = discovery.DiscoveryClient(settings, reactor, forwarder, Life(0))
@@ -216,7 +216,7 @@
                 self._judge("registry", ip, held["route", "r"].version)
         for ip, proxy in self.proxies.items():
             if self._awake(f"{ip}:0") and proxy.sure():
-                self._judge("proxy", ip, proxy._carrier.routes._versions["route", "r"])
+                self._judge("proxy", ip, proxy._carrier.config._versions["route", "r"])
 
     def _awake(self, address: str) -> bool:
         machine = self.net.machines[address]
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -6,9 +6,10 @@
 from typing import Any
 
 import pytest
+from msgspec.structs import replace
 
 from lilacsill.address import Address
-from lilacsill.mesh.proxy.budget import Budget
+from lilacsill.mesh.proxy.retry_budget import RetryBudget, RetryBudgetSettings
 from lilacsill.mesh.proxy.far import BackendRequest
 from lilacsill.mesh.proxy.forwarding import Forwarding
 from lilacsill.mesh.proxy.gate import Gate, Ticket
@@ -145,11 +146,11 @@
 
 
 def the_slack_is_there_at_once(patch: Patch) -> None:
-    def begin(self: Budget, ratio: float, window_us: int, slack: float, slack_from: int = 0) -> None:
-        real(self, ratio, window_us, slack)
+    def begin(self: RetryBudget, settings: RetryBudgetSettings) -> None:
+        real(self, replace(settings, slack_from=0))
 
-    real = Budget.__init__
-    patch.setattr(Budget, "__init__", begin)
+    real = RetryBudget.__init__
+    patch.setattr(RetryBudget, "__init__", begin)
 
 
 def routes_without_a_usual_time_have_no_room(patch: Patch) -> None:
--- a/tests/control/test_point_4_long_days.py
+++ b/tests/control/test_point_4_long_days.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from lilacsill.mesh.proxy.routes import Routes
+from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.registry import config_cache
 from lilacsill.mesh.registry.config_cache import ConfigCache
 from lilacsill.mesh.runtime.messages import Item
@@ -92,7 +92,7 @@
 def test_a_registry_keeps_a_bounded_number_of_dropped_items(monkeypatch: Patch) -> None:
     monkeypatch.setattr(config_cache, "TOMBSTONES", 40)
     monkeypatch.setattr(config_cache, "COLLECTED_AT_ONCE", 8)
-    registry, proxy = ConfigCache(), Routes()
+    registry, proxy = ConfigCache(), ActiveConfig()
     registry.take([Item("service", "s", 1, 1, b"{}")], 1)
     for seq in range(2, 200):
         registry.take([Item("route", f"d{seq}", 1, seq, None)], seq)
--- a/tests/control/test_point_5_answers.py
+++ b/tests/control/test_point_5_answers.py
@@ -13,7 +13,7 @@
 from msgspec.structs import replace
 
 from lilacsill.address import Address
-from lilacsill.mesh.proxy.budget import Budget
+from lilacsill.mesh.proxy.retry_budget import RetryBudget, RetryBudgetSettings
 from lilacsill.mesh.proxy.transports import ExchangeLinks
 from lilacsill.mesh.runtime.frames import frame
 from lilacsill.mesh.runtime.link import Link, Listener
@@ -85,7 +85,7 @@
 
 def test_no_try_runs_on_more_backends_than_its_route_allows() -> None:
     with stage() as s:
-        s.forwarder.routes.apply([Stage.route("reads", "read_only", 3, tries=2)], 3)
+        s.forwarder.config.apply([Stage.route("reads", "read_only", 3, tries=2)], 3)
         backends = [s.add(name) for name in ("one", "two", "three")]
         for backend in backends:
             backend.script += ["closes"] * 4
@@ -95,7 +95,7 @@
 
 def test_a_try_on_a_connection_that_the_backend_forgot_counts() -> None:
     with stage() as s:
-        s.forwarder.routes.apply([Stage.route("reads", "read_only", 3, tries=2)], 3)
+        s.forwarder.config.apply([Stage.route("reads", "read_only", 3, tries=2)], 3)
         one, two, three = (s.add(name) for name in ("one", "two", "three"))
         s.prefer("one")
         assert statuses(s, ask(s, "GET", "/reads/a")) == [200]
@@ -123,14 +123,15 @@
 
 def test_a_proxy_that_was_started_anew_spends_no_slack_that_one_before_it_may_have_spent() -> None:
     window_us, now = 10 * S, 100 * S
-    before, after = (Budget(0.2, window_us, 60, slack_from) for slack_from in (0, now + window_us))
-    spent = sum(before.spend(now, 1) for _ in range(100))
+    settings = [RetryBudgetSettings(0.2, window_us, 60, slack_from) for slack_from in (0, now + window_us)]
+    before, after = map(RetryBudget, settings)
+    spent = sum(before.try_spend(now, 1) for _ in range(100))
     assert 0 < spent <= 60
-    assert not any(after.spend(now + i, 1) for i in range(0, window_us, S))
+    assert not any(after.try_spend(now + i, 1) for i in range(0, window_us, S))
     for _ in range(100):
-        after.asked(now + S)
-    assert 0 < sum(after.spend(now + 2 * S, 1) for _ in range(100)) <= 20  # its ratio of its own requests
-    assert after.spend(now + 2 * window_us, 1)
+        after.record_request(now + S)
+    assert 0 < sum(after.try_spend(now + 2 * S, 1) for _ in range(100)) <= 20  # its ratio of its own requests
+    assert after.try_spend(now + 2 * window_us, 1)
 
 
 # Answers bound to their question
@@ -223,7 +224,7 @@
 
 def test_a_failure_of_our_own_bears_nothing_of_a_backend() -> None:
     with stage() as s:
-        s.forwarder.routes.apply([Stage.route("reads", "read_only", 3, tries=2)], 3)
+        s.forwarder.config.apply([Stage.route("reads", "read_only", 3, tries=2)], 3)
         s.add("one").script += ["fails"]
         s.add("two").script += ["closes"]
         s.prefer("one")
@@ -265,7 +266,7 @@
         s.add("one", slots=1).script += ["fails"] * 8 + ["answers late"] * 3
         for _ in range(11):  # what is known of the first route: failures, a spent budget, a usual time
             statuses(s, ask(s, "GET", "/reads/a"))
-        s.forwarder.routes.apply([Stage.route("later", "read_only", 9)], 9)
+        s.forwarder.config.apply([Stage.route("later", "read_only", 9)], 9)
         served = {"/reads/a": 0, "/later/a": 0}
         for turn in range(8):
             paths = sorted(served, reverse=turn % 2 == 0) * 3  # more than there is room for
--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -19,7 +19,8 @@
 from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.inbound import Clients
 from lilacsill.mesh.proxy.life import Beat, Life
-from lilacsill.mesh.proxy.routes import Routes
+from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.runtime.link import Listener
 from lilacsill.mesh.runtime.messages import Endpoint, Item
 from lilacsill.mesh.runtime.reactor import Reactor
@@ -175,7 +176,7 @@
         self.lives: dict[str, Life] = {}
         self.gateways: dict[str, BackendGateway] = {}
         self.doors: dict[str, OfferServer] = {}
-        routes = Routes()
+        routes = ActiveConfig()
         routes.apply([self.route("reads", "read_only", 1), self.route("writes", "writes", 2)], 2)
         self.forwarder = Forwarder(
             reactor,
@@ -183,7 +184,7 @@
             BackendGateway(reactor, Life(2_000_000), Address(LOOPBACK, 1)),
             "near",
             "desk",
-            (0.2, 10_000_000, 1000.0),
+            RetryBudgetSettings(0.2, 10_000_000, 1000.0),
             Random(1),
         )
         self.forwarder.sure = lambda: True
@@ -216,12 +217,12 @@
         endpoint = Endpoint(
             name, 1, 1, LOOPBACK, self.doors[name].listener.port, "z", "stock", server or f"i-{name}", "ready", slots, 0
         )
-        self.forwarder.table("stock").told(endpoint, self.reactor.now())
+        self.forwarder.table("stock").update(endpoint, self.reactor.now())
 
     def prefer(self, name: str) -> None:
         """The others are out of reach for the first choice."""
-        for node, stand in self.forwarder.table("stock").stands.items():
-            stand.out_until = 0 if node == name else self.reactor.now() + 60_000_000
+        for node, entry in self.forwarder.table("stock").entries.items():
+            entry.ejected_until = 0 if node == name else self.reactor.now() + 60_000_000
 
     def client(self, data: bytes) -> Client:
         client = Client()
--- a/tests/mesh/test_copy.py
+++ b/tests/mesh/test_copy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lilacsill.mesh.proxy.routes import Routes
+from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.registry.config_cache import PIECE, ConfigCache
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.store.state import ConfigState
@@ -12,7 +12,7 @@
 
 def test_a_crier_that_was_started_anew_tells_of_what_was_dropped_before() -> None:
     # All registries died right after a route was dropped; proxies served it for ever (trouble-2, CONFIG).
-    proxy = Routes()
+    proxy = ActiveConfig()
     proxy.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
     config_seq = ConfigState()
     config_seq.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
@@ -25,7 +25,7 @@
 
 
 def test_pieces_add_up_to_the_whole() -> None:
-    registry, proxy = ConfigCache(), Routes()
+    registry, proxy = ConfigCache(), ActiveConfig()
     registry.take([Stage.route(f"route{i}", "read_only", i + 1) for i in range(350)], 350)
     pieces = 0
     while proxy.seq < registry.seq:
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -53,13 +53,13 @@
         monkeypatch.setattr(stage.reactor, "on_signal", lambda number, call: None)
         self.process = Process(own, stage.reactor)
         routes = [Stage.route("reads", "read_only", 1), Stage.route("writes", "writes", 2)]
-        self.process._carrier.routes.apply(routes, 2)
+        self.process._carrier.config.apply(routes, 2)
         self.process._carrier.sure = lambda: True
 
     def knows(self, name: str) -> None:
         port = self.stage.doors[name].listener.port
         endpoint = Endpoint(name, 1, 1, LOOPBACK, port, "z", "stock", f"i-{name}", "ready", 4, 0)
-        self.process._carrier.table("stock").told(endpoint, self.stage.reactor.now())
+        self.process._carrier.table("stock").update(endpoint, self.stage.reactor.now())
 
     def sigterm(self) -> None:
         self.process._terminated()
