--- a/lilacsill/mesh/simulation/load_reports.py
+++ b/lilacsill/mesh/simulation/load_reports.py
@@ -1,8 +1,8 @@
 """Proxies and the backends beside them in virtual time: the choice, the gates, the news of loads, and nothing else.
 
 The tables and gates are the product's own (`lilacsill.mesh.proxy.endpoint_table`, `lilacsill.mesh.proxy.gate`); the
-way between two proxies is a delay. It tells how even the load is and how much comes late, as nodes double from 8 to 400, and what
-news of loads could gain.
+way between two proxies is a delay. It tells how even the load is and how much comes late, as nodes double from 8 to
+400, and what news of loads could gain.
 """
 
 from __future__ import annotations
