--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -19,8 +19,9 @@
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
 from lilacsill.mesh.proxy.failure_detector import FailureDetector
 from lilacsill.mesh.proxy.known_endpoints import KnownEndpoints
-from lilacsill.mesh.proxy.routes import Routes
-from lilacsill.mesh.proxy.table import Table
+from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.active_config import ActiveConfig
+from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.rpc import Peers
@@ -29,7 +30,7 @@
 from . import fleet
 
 SLOTS = 9
-BOUNDS = (0.2, 10_000_000, 60.0)  # of the retry budget
+RETRY_BUDGET = RetryBudgetSettings(0.2, 10_000_000, 60.0)
 Answered = Callable[[Message | None], None]
 
 
@@ -63,7 +64,7 @@
     """What the light proxies of one process have in common."""
 
     def __init__(self) -> None:
-        self.tables: dict[str, Table] = {}
+        self.tables: dict[str, EndpointTable] = {}
         self._endpoints: dict[str, Endpoint] = {}
 
     def one(self, endpoint: Endpoint) -> Endpoint:
@@ -136,7 +137,7 @@
         self._lifecycle = BackendLifecycle(1_000_000)
         self._gateway = BackendGateway(reactor, self._lifecycle, settings.app)
         self.forwarder = Forwarder(
-            reactor, Routes(), self._gateway, settings.node, settings.service, BOUNDS, Random(number)
+            reactor, ActiveConfig(), self._gateway, settings.node, settings.service, RETRY_BUDGET, Random(number)
         )
         if shared is not None:
             self.forwarder.tables = shared.tables
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -133,7 +133,7 @@
             self.endpoint(),
             incarnation,
             directory_version,
-            self._forwarder.routes.seq if self._sends_config(registry) else NO_ITEMS,
+            self._forwarder.config.seq if self._sends_config(registry) else NO_ITEMS,
             self._newest_seq,
             wait_ms,
             with_incarnations(self._suspects, self._endpoints.incarnations(self._suspects)),
@@ -190,7 +190,7 @@
         self._refute(reply.endpoints)
 
     def _apply_config(self, registry: str, asked_at: int, reply: PollReply) -> None:
-        routes = self._forwarder.routes
+        routes = self._forwarder.config
         if reply.items or reply.config_seq > routes.seq:
             routes.apply(reply.items, reply.config_seq)
         self._newest_seq = max(self._newest_seq, reply.newest_seq)
@@ -203,7 +203,7 @@
 
     def _poll_if_behind(self, registry: str) -> None:
         """Ask a registry for the configuration that it knows of, if the one that should send it has not."""
-        if self._forwarder.routes.seq < self._newest_seq:
+        if self._forwarder.config.seq < self._newest_seq:
             self._behind.add(registry)
             self._poll(registry, POLL_WAIT_MS)
 
--- a/lilacsill/mesh/proxy/known_endpoints.py
+++ b/lilacsill/mesh/proxy/known_endpoints.py
@@ -52,8 +52,8 @@
         if known is not None and known.incarnation != endpoint.incarnation:
             self._close_links(known)
         if known is not None and known.service != endpoint.service:
-            self._forwarder.table(known.service).gone(endpoint.node)
-        self._forwarder.table(endpoint.service).told(endpoint, now)
+            self._forwarder.table(known.service).remove(endpoint.node)
+        self._forwarder.table(endpoint.service).update(endpoint, now)
 
     def remove(self, node: str) -> None:
         """Remove the endpoint of a node, in the tables of all services."""
@@ -62,7 +62,7 @@
             self._peers = None
             self._close_links(known)
         for table in self._forwarder.tables.values():
-            table.gone(node)
+            table.remove(node)
 
     def _close_links(self, endpoint: Endpoint) -> None:
         """Close idle links to a process that is over: a request sent on one would have an unknown outcome."""
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -17,6 +17,7 @@
 from lilacsill.mesh.runtime.rpc import Answered, Peers
 from lilacsill.mesh.runtime.settings import Settings, SettingsError, load
 
+from .active_config import ActiveConfig
 from .backend_gateway import BackendGateway
 from .backend_lifecycle import BackendLifecycle, EndpointState
 from .discovery import DiscoveryClient
@@ -27,7 +28,7 @@
 from .inbound import Clients
 from .known_endpoints import KnownEndpoints
 from .offer_server import OfferServer
-from .routes import Routes
+from .retry_budget import RetryBudgetSettings
 from .shutdown_sequence import ShutdownSequence
 from .status_report import status_report
 
@@ -72,7 +73,7 @@
             self._gateway.pool,
             self._lifecycle,
             settings.service,
-            lambda: self._forwarder.routes.health_path(settings.service),
+            lambda: self._forwarder.config.health_path(settings.service),
             self._discovery.announce,
         )
         self._shutdown = ShutdownSequence(
@@ -94,18 +95,18 @@
         window_us = settings.bound_us("RetryWindowS", DEFAULT_RETRY_WINDOW_MS)
         return Forwarder(
             reactor,
-            Routes(),
+            ActiveConfig(),
             self._gateway,
             settings.node,
             settings.service,
-            (
+            RetryBudgetSettings(
                 settings.bounds.get("RetryRatio", DEFAULT_RETRY_RATIO),
                 window_us,
                 settings.bounds.get("RetrySlack", DEFAULT_RETRY_SLACK),
+                # A process before this one may have spent the slack; on the first start of all there was none.
+                slack_from=0 if settings.fresh else reactor.now() + window_us,
             ),
             Random(),
-            # A process before this one may have spent the slack; on the first start of all there was none.
-            slack_from=0 if settings.fresh else reactor.now() + window_us,
         )
 
     # Events
@@ -117,7 +118,7 @@
     def _on_update(self) -> None:
         """Use what a registry has sent about the own service and the own backend."""
         service = self._lifecycle.service or self._settings.service
-        max_connections = self._forwarder.routes.most_connections(service)
+        max_connections = self._forwarder.config.max_connections(service)
         if max_connections is not None:
             self._gateway.pool.max_connections = max_connections
         if self._is_drain_new():
--- a/lilacsill/mesh/proxy/status_report.py
+++ b/lilacsill/mesh/proxy/status_report.py
@@ -9,9 +9,9 @@
 
 from .backend_gateway import BackendGateway
 from .discovery import DiscoveryClient
+from .endpoint_table import EndpointLoad
 from .failure_detector import FailureDetector
 from .forwarding import Forwarder
-from .table import Stand
 
 
 class BackendStatus(msgspec.Struct):
@@ -73,7 +73,7 @@
     """Return the status as of now."""
     return ProxyStatus(
         node=node,
-        config_seq=forwarder.routes.seq,
+        config_seq=forwarder.config.seq,
         sure=discovery.is_config_current(),
         unsure_reason=discovery.evidence.why_not_current(now),
         age_ms=discovery.evidence.age_ms(now),
@@ -84,7 +84,7 @@
         monitors=failure_detector.monitored(),
         suspects=sorted(failure_detector.suspects),
         tables={
-            service: [_endpoint_status(entry, now) for entry in table.stands.values()]
+            service: [_endpoint_status(entry, now) for entry in table.entries.values()]
             for service, table in forwarder.tables.items()
         },
         log=log.tail(),
@@ -107,15 +107,15 @@
     )
 
 
-def _endpoint_status(entry: Stand, now: int) -> EndpointStatus:
+def _endpoint_status(entry: EndpointLoad, now: int) -> EndpointStatus:
     return EndpointStatus(
         node=entry.endpoint.node,
         server=entry.endpoint.server,
         state=entry.endpoint.state,
-        in_flight=entry.held,
-        unreported_attempts=len(entry.since),
-        slowdown=entry.slow,
-        failure_rate=entry.ill,
-        report_age_ms=(now - entry.heard_at) // 1000 if entry.heard_at else None,
-        ejected_ms=max(0, entry.out_until - now) // 1000,
+        in_flight=entry.reported_requests,
+        unreported_attempts=len(entry.unreported_attempts),
+        slowdown=entry.slowdown or 0.0,
+        failure_rate=entry.failure_rate,
+        report_age_ms=(now - entry.reported_at) // 1000 if entry.reported_at is not None else None,
+        ejected_ms=max(0, entry.ejected_until - now) // 1000,
     )
