--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -213,12 +213,12 @@
 def read_whole(size: int) -> Step:
     """The operator's read of the whole configuration, at the tail."""
     state = state_of(size)
-    return Step("store: configuration read whole", size, cpu_us(state.layout), "us")
+    return Step("store: configuration read whole", size, cpu_us(state.to_json), "us")
 
 
 def store_since(size: int) -> Step:
     state = state_of(size)
-    return Step("store: state.since, one change", size, cpu_us(lambda: state.since(size - 1)), "us")
+    return Step("store: state.items_since, one change", size, cpu_us(lambda: state.items_since(size - 1)), "us")
 
 
 def store_memory(size: int) -> Step:
--- a/benchmarks/chain.py
+++ b/benchmarks/chain.py
@@ -106,8 +106,8 @@
             time.run(time.now + MS)
         took.append(time.now - began)
         time.run(time.now + 50 * MS)
-    assert fleet.stores[lost].replica.whole
-    mended = [m for s in fleet.stores.values() for m in s.chain.mends if m.startswith(lost)]
+    assert fleet.stores[lost].replica.complete
+    mended = [m for s in fleet.stores.values() for m in s.chain.repairs if m.startswith(lost)]
     return max(took) / MS, int(mended[-1].split(": ")[1].split()[0])
 
 
--- a/benchmarks/order_cost.py
+++ b/benchmarks/order_cost.py
@@ -57,7 +57,7 @@
         "first_ms": round(first / 1e6, 1),
         "change_us": change,
         "again_us": again,
-        "read_us": microseconds(lambda number: state.layout()),
+        "read_us": microseconds(lambda number: state.to_json()),
         "full_record_bytes": state.size - before,
     }
 
--- a/benchmarks/store_size.py
+++ b/benchmarks/store_size.py
@@ -102,14 +102,14 @@
         items_of(state, change)
 
     cache, routing = ConfigCache(), Routes()
-    cache.take(state.since(0), state.seq)
+    cache.take(state.items_since(0), state.seq)
     routing.apply(items, state.seq)
     path = f"/r{routes - 1}/x".encode()
 
     return {
         "call_us": processor_us(call),
-        "read_us": processor_us(state.layout),
-        "follow_us": processor_us(lambda: [state.since(state.seq - 1) for _ in range(100)]) // 100,
+        "read_us": processor_us(state.to_json),
+        "follow_us": processor_us(lambda: [state.items_since(state.seq - 1) for _ in range(100)]) // 100,
         "poll_us": processor_us(lambda: [cache.piece(state.seq - 1) for _ in range(100)]) // 100,
         "match_us": processor_us(lambda: [routing.match(b"h.example", path) for _ in range(100)]) // 100,
         "proxy_start_us": processor_us(lambda: Routes().apply(items, state.seq), 5),
--- a/lilacsill/mesh/simulation/explore_losses.py
+++ b/lilacsill/mesh/simulation/explore_losses.py
@@ -118,8 +118,8 @@
         on_disk = day.net.machines[replica.me.address].disk.facts.get("whole")
         accepted = replica.acceptor.acceptor_state.accepted is not None
         told.append(
-            f"{members.get(replica.me, -1)}{replica.whole:d}{same:d}{on_disk == b'1':d}"
-            f"{replica.view == view:d}{replica.blocked:d}{accepted:d}{replica.departure:d}"
+            f"{members.get(replica.me, -1)}{replica.complete:d}{same:d}{on_disk == b'1':d}"
+            f"{replica.view == view:d}{replica.view_pending:d}{accepted:d}{replica.departure:d}"
         )
     return f"{len(view.members)}:" + " ".join(sorted(told))
 
--- a/lilacsill/mesh/simulation/network.py
+++ b/lilacsill/mesh/simulation/network.py
@@ -81,7 +81,7 @@
         self.stalled_until = self._time.now + us
         self._free_at = max(self._free_at, self.stalled_until)
 
-    def waits_us(self) -> int:
+    def oldest_save_age_us(self) -> int:
         return self._time.now - self._queue[0][2] if self._queue else 0
 
     def _synced(self, entry: tuple[Save, Done | None, int]) -> None:
@@ -99,7 +99,11 @@
         ranges = set(save.ranges)
         for key in [k for k in self.items if range_of(*k) in ranges] if ranges else ():
             del self.items[key]
-        for key in [k for k, i in self.items.items() if i.body is None and i.seq <= save.floor] if save.floor else ():
+        for key in (
+            [k for k, i in self.items.items() if i.body is None and i.seq <= save.tombstone_floor]
+            if save.tombstone_floor
+            else ()
+        ):
             del self.items[key]
         for item in save.items:
             self.items[item.kind, item.name] = item
@@ -175,8 +179,8 @@
     def save(self, save: Save, done: Done) -> None:
         self.disk.save(save, self.here(done))
 
-    def disk_waits_us(self) -> int:
-        return self.disk.waits_us()
+    def oldest_save_age_us(self) -> int:
+        return self.disk.oldest_save_age_us()
 
     def here(self, call: Callable[..., Any]) -> Callable[..., None]:
         """Only in this life of the process, and when it is not frozen."""
--- a/lilacsill/mesh/simulation/replacement_day.py
+++ b/lilacsill/mesh/simulation/replacement_day.py
@@ -241,7 +241,7 @@
         views = {s.replica.view for s in stores}
         if len(views) != 1 or len(next(iter(views)).chain) < full:
             raise RuleBroken(f"the chain is not at full strength: {[str(v) for v in views]}: {self.story[-3:]}")
-        if not all(s.replica.whole for s in stores if s.replica.in_chain):
+        if not all(s.replica.complete for s in stores if s.replica.in_chain):
             raise RuleBroken(f"a copy is not whole: {self.story[-3:]}")
 
     def _tell(self, what: str) -> None:
--- a/lilacsill/mesh/simulation/trouble_day.py
+++ b/lilacsill/mesh/simulation/trouble_day.py
@@ -127,7 +127,7 @@
         members = [s for s in stores if s.replica.me in newest.members]
         if len(members) < wanted or any(s.replica.view != newest for s in members):
             raise RuleBroken(f"{len(members)} copies after CatchUpS, {wanted} should be there")
-        if not all(s.replica.whole for s in members):
+        if not all(s.replica.complete for s in members):
             raise RuleBroken("a copy is not whole after CatchUpS")
         if not self.orders.open and len({tuple(s.replica.state.digests) for s in members}) > 1:
             raise RuleBroken("copies differ after CatchUpS")
--- a/lilacsill/mesh/store/digests.py
+++ b/lilacsill/mesh/store/digests.py
@@ -12,15 +12,15 @@
 
 from lilacsill.mesh.runtime.messages import Item
 
-RANGES = 64
+RANGE_COUNT = 64
 _encoder = msgspec.msgpack.Encoder()
 
 
 def range_of(kind: str, name: str) -> int:
-    return xxh3_64_intdigest(f"{kind}|{name}".encode()) % RANGES
+    return xxh3_64_intdigest(f"{kind}|{name}".encode()) % RANGE_COUNT
 
 
-def sum_of(item: Item) -> int:
+def checksum_of(item: Item) -> int:
     """All of it counts. 63 bits: as much as a row holds. Without a record it is as it was before there were records."""
     fields = (item.kind, item.name, item.version, item.seq, item.body)
     whole = fields if item.accepted is None else (*fields, item.accepted)
@@ -31,7 +31,7 @@
     return xxh3_64_intdigest(_encoder.encode(ranges))
 
 
-def differing(mine: Iterable[int], others: Iterable[int]) -> list[int]:
+def differing_ranges(mine: Iterable[int], others: Iterable[int]) -> list[int]:
     """Ranges; all of them where the other tells none."""
     pairs = list(zip(mine, others, strict=False))
-    return [r for r, (a, b) in enumerate(pairs) if a != b] if len(pairs) == RANGES else list(range(RANGES))
+    return [r for r, (a, b) in enumerate(pairs) if a != b] if len(pairs) == RANGE_COUNT else list(range(RANGE_COUNT))
--- a/lilacsill/mesh/store/disk.py
+++ b/lilacsill/mesh/store/disk.py
@@ -26,7 +26,7 @@
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.runtime.reactor import Reactor
 
-from .digests import range_of, sum_of
+from .digests import checksum_of, range_of
 from .environment import Done, Save
 
 FILE = "store.db"
@@ -107,7 +107,7 @@
         self.items = []
         for *row, total in db.execute("select kind, name, version, seq, body, accepted, sum from item"):
             self.items.append(Item(*row))
-            if sum_of(self.items[-1]) != total:
+            if checksum_of(self.items[-1]) != total:
                 raise sqlite3.DatabaseError(f"{row[0]} {row[1]} is not what was written")
         self.facts = dict(db.execute("select name, value from fact"))
         self._sync_folder()
@@ -115,11 +115,11 @@
     @staticmethod
     def _upgrade(db: sqlite3.Connection, held: int) -> None:
         """A file of an earlier format, in one transaction. Format 0 had no sums, format 1 no records."""
-        db.create_function("sum_of", 5, lambda *row: sum_of(Item(*row)), deterministic=True)
+        db.create_function("checksum_of", 5, lambda *row: checksum_of(Item(*row)), deterministic=True)
         db.execute("begin immediate")
         if held == 0:
             db.execute("alter table item add column sum integer")
-            db.execute("update item set sum = sum_of(kind, name, version, seq, body)")
+            db.execute("update item set sum = checksum_of(kind, name, version, seq, body)")
         db.execute("alter table item add column accepted blob")
         db.execute(f"pragma user_version={FORMAT}")
         db.execute("commit")
@@ -150,7 +150,7 @@
         self._thread.join()
         self._db.close()
 
-    def waits_us(self) -> int:
+    def oldest_save_age_us(self) -> int:
         """For how long the oldest save has been out."""
         return self._reactor.now() - self._since if self._since else 0
 
@@ -177,9 +177,9 @@
                 if save.ranges:
                     marks = ", ".join(str(int(r)) for r in save.ranges)
                     db.execute(f"delete from item where range_of(kind, name) in ({marks})")
-                if save.floor:
-                    db.execute("delete from item where body is null and seq <= ?", (save.floor,))
-                db.executemany(INSERT, [(*msgspec.structs.astuple(i), sum_of(i)) for i in save.items])
+                if save.tombstone_floor:
+                    db.execute("delete from item where body is null and seq <= ?", (save.tombstone_floor,))
+                db.executemany(INSERT, [(*msgspec.structs.astuple(i), checksum_of(i)) for i in save.items])
                 db.executemany("insert or replace into fact values (?, ?)", list(save.facts.items()))
             db.execute("commit")
             return True
--- a/lilacsill/mesh/store/environment.py
+++ b/lilacsill/mesh/store/environment.py
@@ -20,7 +20,7 @@
     items: Iterable[Item] = ()
     ranges: Iterable[int] = ()  # in these the items are all that there are
     facts: dict[str, bytes] = {}
-    floor: int = 0  # tombstones up to this number are collected
+    tombstone_floor: int = 0  # tombstones up to this number are collected
 
 
 class Environment(Protocol):
@@ -34,4 +34,4 @@
 
     def save(self, save: Save, done: Done) -> None: ...
 
-    def disk_waits_us(self) -> int: ...
+    def oldest_save_age_us(self) -> int: ...
--- a/lilacsill/mesh/store/fencing.py
+++ b/lilacsill/mesh/store/fencing.py
@@ -45,9 +45,9 @@
         """For operators; empty if `sure`."""
         replica, now = self._replica, self._environment.now()
         number = replica.view.number
-        if not replica.member:
+        if not replica.is_member:
             return f"not a member of view {number}"
-        if replica.blocked:
+        if replica.view_pending:
             return f"has accepted view {number + 1}, which may be in force"
         if not self.held.left_us(replica.view, replica.me, now):
             voters = len(self.held.granted_by(replica.view.members, now))
@@ -79,7 +79,7 @@
     def lease_for(self, m: Heartbeat, answers: bool) -> int:
         """For how long a lease is granted to whoever asks; 0: none. `answers`: it has answered this member of late."""
         replica = self._replica
-        if not replica.member or m.view.number != replica.view.number or m.sender not in replica.view.members:
+        if not replica.is_member or m.view.number != replica.view.number or m.sender not in replica.view.members:
             return 0
         if m.promised > replica.acceptor.promised(replica.view):
             # A vote is under way, and its proposer may be out of reach: as if its question had come here, too.
@@ -88,7 +88,7 @@
         if self._deferred:
             self._accept_deferred()
         # One that does not answer is soon left out: a lease would delay that.
-        if replica.blocked or not m.requests_lease or not answers:
+        if replica.view_pending or not m.requests_lease or not answers:
             return 0
         return self.granted.grant(m.sender, m.promised, self._environment.now())
 
--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -46,7 +46,7 @@
     def follow(self, m: Follow, reply: Replier) -> None:
         """At once if there is news or this member may not speak; else when there is some, or the wait is over."""
         now = self._environment.now()
-        if not self._replica.tail:
+        if not self._replica.is_tail:
             return self._pass_on(m, reply)
         if not self._may_speak() or self._replica.state.seq > m.seq:
             return self._answer(Follower(m, reply, now))
@@ -55,14 +55,14 @@
         self._environment.after(m.wait_ms * 1000, self._waited, follower)
 
     def _may_speak(self) -> bool:
-        return self._replica.tail and self._chain.synced and self._membership.sure()
+        return self._replica.is_tail and self._chain.synced and self._membership.sure()
 
     def _answer(self, follower: Follower) -> None:
         """With what is in force at this moment, if this member may say so."""
         if not self._may_speak():
             return follower.reply(FollowReply(None, self._membership.peers()))
         state, now = self._replica.state, self._environment.now()
-        lacking = state.since(follower.question.seq) if state.seq > follower.question.seq else []
+        lacking = state.items_since(follower.question.seq) if state.seq > follower.question.seq else []
         news = ConfigUpdate(state.seq, for_followers(lacking), told(now, follower.asked_at, now))
         follower.reply(FollowReply(news, self._membership.peers()))
 
--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -51,16 +51,16 @@
         self._replica, self._environment, self._chain = replica, replica.environment, chain
         self._queue: list[_WaitingCall] = []
         self._recent_refusals = RecentRefusals()
-        self.most_bytes = MOST_BYTES
-        self.refused: list[str] = []  # why, the latest last
-        chain.on_saved = self._write
+        self.max_state_bytes = MOST_BYTES
+        self.rejections: list[str] = []  # why, the latest last
+        chain.on_writable = self._write
         replica.on_view.append(self._new_view)
 
     # Calls
 
     def patch(self, m: Patch, reply: Replier) -> None:
         replica = self._replica
-        if not replica.head or not replica.whole:
+        if not replica.is_head or not replica.complete:
             return self._pass_on(replica.view.chain[:1], m, reply)
         from . import validation  # with cerberus and returns: 7 MB that only a head needs
 
@@ -83,7 +83,7 @@
         self._write()
 
     def _rejected(self, why: str, status: int) -> Reply:
-        self.refused = [*self.refused[1 - KEPT_REFUSALS :], f"{status}: {why}"]
+        self.rejections = [*self.rejections[1 - KEPT_REFUSALS :], f"{status}: {why}"]
         return Reply(status, msgspec.json.encode({"Message": why}))
 
     def _if_in_force(self, done: Callable[[bool], None]) -> None:
@@ -93,7 +93,7 @@
     def _write(self) -> None:
         """All calls that wait are checked one behind the other, and go to disk together."""
         replica = self._replica
-        if not self._queue or not self._chain.may_add:
+        if not self._queue or not self._chain.may_append:
             return
         queue, self._queue = self._queue, []
         draft = Draft(replica.state)
@@ -105,8 +105,8 @@
                 reply(answer if ok else UNCLEAR)
 
         if not draft.items:  # old news; but what it found here must be on all disks, too
-            return self._chain.wait(draft.seq, lambda ok: self._if_in_force(done) if ok else done(False))
-        self._chain.add(list(draft.items.values()), draft.seq, done)
+            return self._chain.wait_for_commit(draft.seq, lambda ok: self._if_in_force(done) if ok else done(False))
+        self._chain.replicate(list(draft.items.values()), draft.seq, done)
 
     def _judged(self, draft: Draft, waiting: _WaitingCall) -> Reply:
         """The answer, once all that it rests on is on all disks. A call that is taken changes the draft."""
@@ -116,8 +116,8 @@
         if not validation.is_good(judged):
             return self._refused(waiting.body, judged.failure())
         changed = judged.unwrap()
-        if changed.size > max(self.most_bytes, draft.size):  # what makes it smaller is taken
-            why = f"the state would take {changed.size} bytes, {self.most_bytes} are allowed"
+        if changed.size > max(self.max_state_bytes, draft.size):  # what makes it smaller is taken
+            why = f"the state would take {changed.size} bytes, {self.max_state_bytes} are allowed"
             return self._refused(waiting.body, validation.Rejection(why, validation.TOO_LARGE))
         if changed.items and self._recent_refusals.includes(waiting.body, self._environment.now()):
             return REFUSED_BEFORE
@@ -144,13 +144,13 @@
 
     def read(self, m: Read, reply: Replier) -> None:
         replica = self._replica
-        if not replica.tail:
+        if not replica.is_tail:
             return self._pass_on(replica.view.chain[-1:], m, reply)
         if not self._chain.synced:
             return reply(UNCLEAR)
-        body = replica.state.layout()
+        body = replica.state.to_json()
         self._if_in_force(lambda ok: reply(Reply(200, body) if ok else UNCLEAR))
 
     def confirm(self, m: Confirm, reply: Replier) -> None:
         replica = self._replica
-        reply(Confirmed(replica.member and replica.view.number == m.view_number and not replica.blocked))
+        reply(Confirmed(replica.is_member and replica.view.number == m.view_number and not replica.view_pending))
--- a/lilacsill/mesh/store/membership.py
+++ b/lilacsill/mesh/store/membership.py
@@ -71,7 +71,7 @@
         self.fence = fence
         fence.on_give_up = lambda: self._ask_all(replica.environment.now())
         replica.on_view.append(self._entered)
-        chain.on_learner_filled = self._learner_filled
+        chain.on_learner_synced = self._learner_filled
 
     def start(self) -> None:
         self._beat()
@@ -104,20 +104,20 @@
             replica.me,
             replica.view,
             replica.state.seq,
-            replica.blocked,
+            replica.view_pending,
             self._departure(),
             self._chain.synced,
             self.peers(),
-            replica.whole,
+            replica.complete,
             self.fence.promised,
-            self._environment.disk_waits_us() < SLOW_US,
+            self._environment.oldest_save_age_us() < SLOW_US,
         )
 
     def _departure(self) -> Departure:
         return max(self._replica.departure, Departure.DISK_STALLED if self._stuck() else Departure.NONE)
 
     def _stuck(self) -> bool:
-        return self._environment.disk_waits_us() > STUCK_US
+        return self._environment.oldest_save_age_us() > STUCK_US
 
     def _beat(self) -> None:
         now = self._environment.now()
@@ -146,7 +146,7 @@
                 h.sender, h.view, h.seq, h.view_pending, h.departure, h.synced, h.peers, h.complete, lease_us
             )
         )
-        self._chain.nudge(m.sender.address, m.view.number, m.synced)
+        self._chain.resync(m.sender.address, m.view.number, m.synced)
 
     def _greeted(self, address: str, asked_at: int, m: Message | None) -> None:
         self._asked.discard(address)
@@ -156,7 +156,7 @@
         self._last_seen[m.sender.address] = LastSeen(self._environment.now(), m)
         self._meet(m)
         self.fence.lease_granted(m, asked_at)
-        self._chain.nudge(m.sender.address, m.view.number, m.synced)
+        self._chain.resync(m.sender.address, m.view.number, m.synced)
 
     def _meet(self, m: Heartbeat | HeartbeatReply) -> None:
         now = self._environment.now()
@@ -165,7 +165,7 @@
             self._met.setdefault(address, now)
         for member in m.view.members:
             self._met.setdefault(member.address, now)
-        self._replica.take_view(m)
+        self._replica.adopt_from(m)
 
     def agreed(self, m: ViewChange, reply: Callable[[Message], None]) -> None:
         self._replica.adopt(m.view)
@@ -213,7 +213,7 @@
     def _machine(self, member: Member, in_chain: bool, now: int) -> Machine:
         replica = self._replica
         if member == replica.me:
-            return Machine(member, True, replica.whole, self._departure())
+            return Machine(member, True, replica.complete, self._departure())
         said = self.fresh(member, SUSPECT_US)
         if said is None:
             return Machine(member, self._alive(member, now), None, disk_lost=self._disk_lost(member, now))
@@ -255,7 +255,7 @@
     def _fill(self, now: int) -> None:
         """The tail fills those that lack something, each in its turn."""
         replica = self._replica
-        if not replica.tail or not self._chain.synced:
+        if not replica.is_tail or not self._chain.synced:
             return
         if replica.learner is None and not self._others(now):
             return
@@ -265,7 +265,7 @@
             return
         self._turn_at = now
         at = learners.index(replica.learner) + 1 if replica.learner in learners else 0
-        self._chain.fill(learners[at % len(learners)] if learners else None)
+        self._chain.sync_learner(learners[at % len(learners)] if learners else None)
 
     def _lacks(self, machine: Machine) -> bool:
         seen = self._last_seen.get(machine.member.address)
@@ -287,7 +287,7 @@
         if not replica.in_chain or self._proposal is not None:
             return
         wanted = self.wanted(now)
-        if wanted is None and replica.blocked and replica.acceptor.acceptor_state.accepted is not None:
+        if wanted is None and replica.view_pending and replica.acceptor.acceptor_state.accepted is not None:
             wanted = replica.acceptor.acceptor_state.accepted  # begun by somebody, and not known to have ended
         if wanted is None:
             self._wish = None
--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -31,9 +31,9 @@
 from .frontend import Frontend
 from .membership import Membership
 from .paxos import AcceptorState
-from .replica import NOBODY, Replica
+from .replica import NO_VIEW, Replica
 
-FIRST = "first"  # incarnation of a disk that was empty when the whole system first started
+FIRST_INCARNATION = "first"  # incarnation of a disk that was empty when the whole system first started
 
 
 class Store:
@@ -62,8 +62,8 @@
         self.handlers: dict[type, Callable[[Any, Callable[[Message], None]], None]] = {
             Heartbeat: membership.hello,
             ViewChange: membership.agreed,
-            SummaryRequest: chain.lack,
-            Replicate: chain.passed,
+            SummaryRequest: chain.handle_summary_request,
+            Replicate: chain.handle_replicate,
             Patch: frontend.patch,
             Read: frontend.read,
             Follow: followers.follow,
@@ -104,8 +104,10 @@
             int(facts.get("floor", 0)),
         )
     first = fresh and address in seeds
-    me = Member(address, FIRST if first else stranger)
-    view = View(0, tuple(Member(s, FIRST) for s in sorted(seeds))) if first else NOBODY
+    me = Member(address, FIRST_INCARNATION if first else stranger)
+    view = View(0, tuple(Member(s, FIRST_INCARNATION) for s in sorted(seeds))) if first else NO_VIEW
     replica = Replica(environment, me, view, first, AcceptorState(), (), 0)
-    environment.save(Save(facts={**replica.facts(), "incarnation": me.incarnation.encode(), "seq": b"0"}), lambda: None)
+    environment.save(
+        Save(facts={**replica.view_facts(), "incarnation": me.incarnation.encode(), "seq": b"0"}), lambda: None
+    )
     return replica
--- a/lilacsill/mesh/store/process.py
+++ b/lilacsill/mesh/store/process.py
@@ -51,7 +51,7 @@
         )
         self._disk.items = []
         if settings.disk_mb:
-            store.frontend.most_bytes = (settings.disk_mb << 20) // STATE_PART
+            store.frontend.max_state_bytes = (settings.disk_mb << 20) // STATE_PART
         self._replica = store.replica
         self._handlers: dict[type, Handler] = {**store.handlers, Status: self._status}
         self._desk = RpcServer(reactor, Address(settings.ip, port), self._handlers)
@@ -90,8 +90,8 @@
     def save(self, save: Save, done: Done) -> None:
         self._disk.save(save, done)
 
-    def disk_waits_us(self) -> int:
-        return self._disk.waits_us()
+    def oldest_save_age_us(self) -> int:
+        return self._disk.oldest_save_age_us()
 
     # The end
 
@@ -111,9 +111,9 @@
                         "view": replica.view.number,
                         "members": [m.address for m in replica.view.chain],
                         "suspended": [m.address for m in replica.view.members[len(replica.view.chain) :]],
-                        "head": replica.head,
-                        "tail": replica.tail,
-                        "whole": replica.whole,
+                        "head": replica.is_head,
+                        "tail": replica.is_tail,
+                        "whole": replica.complete,
                         "synced": self._store.chain.synced,
                         "learners": self._store.membership.learners(),
                         "leaving": self._store.membership.why_it_stays(),
@@ -122,10 +122,10 @@
                         "committed": self._store.chain.committed,
                         "digest": f"{replica.state.digest():016x}",
                         "items": len(replica.state.items),
-                        "disk_waits_ms": self._disk.waits_us() // 1000,
+                        "disk_waits_ms": self._disk.oldest_save_age_us() // 1000,
                         "peers": self._store.membership.peers(),
-                        "refused": self._store.frontend.refused,
-                        "mends": self._store.chain.mends,
+                        "refused": self._store.frontend.rejections,
+                        "mends": self._store.chain.repairs,
                         "log": log.tail(),
                     }
                 )
--- a/lilacsill/mesh/store/replica.py
+++ b/lilacsill/mesh/store/replica.py
@@ -17,7 +17,7 @@
 from .paxos import Acceptor, AcceptorState
 from .state import ConfigState
 
-NOBODY = View(-1, ())
+NO_VIEW = View(-1, ())
 
 
 class Replica:
@@ -35,7 +35,7 @@
         floor: int = 0,
     ) -> None:
         self.environment, self.me, self.view = environment, me, view
-        self.whole = whole  # the state is a prefix of this view's; else it must be filled by the member before
+        self.complete = whole  # the state is a prefix of this view's; else it must be filled by the member before
         self.state = ConfigState()  # as it is on this disk
         self.state.apply(items, seq, floor)
         self.acceptor = Acceptor(me, acceptor_state, self)
@@ -48,7 +48,7 @@
     # Who is who
 
     @property
-    def member(self) -> bool:
+    def is_member(self) -> bool:
         """It votes."""
         return self.me in self.view.members
 
@@ -57,38 +57,38 @@
         return self.me in self.view.chain
 
     @property
-    def at(self) -> int:
+    def position(self) -> int:
         """Place in the chain."""
         return self.view.chain.index(self.me)
 
     @property
-    def head(self) -> bool:
+    def is_head(self) -> bool:
         return self.in_chain and self.view.chain[0] == self.me
 
     @property
-    def tail(self) -> bool:
+    def is_tail(self) -> bool:
         return self.in_chain and self.view.chain[-1] == self.me
 
     @property
-    def next(self) -> Member | None:
+    def successor(self) -> Member | None:
         """Down the chain; behind the tail the learner that is being filled."""
         if not self.in_chain:
             return None
-        if self.tail:
+        if self.is_tail:
             return self.learner
-        return self.view.chain[self.at + 1]
+        return self.view.chain[self.position + 1]
 
     @property
-    def blocked(self) -> bool:
+    def view_pending(self) -> bool:
         return self.acceptor.blocked(self.view)
 
     # The disk
 
-    def distrust(self) -> None:
+    def mark_outdated(self) -> None:
         """What this copy holds is older than what was acknowledged: it must not lead, and is to be filled anew."""
         log.warning("this copy is older than the one below it")
-        self.whole = False
-        self.environment.save(Save(facts=self.facts()), lambda: None)
+        self.complete = False
+        self.environment.save(Save(facts=self.view_facts()), lambda: None)
 
     def keep(self, name: str, value: bytes, done: Callable[[], None]) -> None:
         self.environment.save(Save(facts={name: value}), done)
@@ -108,20 +108,20 @@
         log.info("view %d: %s", view.number, view)
         self.view, self.learner = view, None
         if not self.in_chain:
-            self.whole = False  # a learner is compared anew in each view
-        elif not self.head:
+            self.complete = False  # a learner is compared anew in each view
+        elif not self.is_head:
             stood_above = set(before.chain[: before.chain.index(self.me)]) if follows else set()
-            self.whole = self.whole and follows and stood_above.issuperset(view.chain[: self.at])
+            self.complete = self.complete and follows and stood_above.issuperset(view.chain[: self.position])
         self.entered_at = self.environment.now()
-        self.environment.save(Save(facts=self.facts()), lambda: None)  # of the state another save may be under way
+        self.environment.save(Save(facts=self.view_facts()), lambda: None)  # of the state another save may be under way
         for call in self.on_view:
             call()
         return True
 
-    def facts(self) -> dict[str, bytes]:
-        return {"view": msgspec.msgpack.encode(self.view), "whole": b"1" if self.whole else b"0"}
+    def view_facts(self) -> dict[str, bytes]:
+        return {"view": msgspec.msgpack.encode(self.view), "whole": b"1" if self.complete else b"0"}
 
-    def take_view(self, message: Message | None) -> None:
+    def adopt_from(self, message: Message | None) -> None:
         """Any message that carries one."""
         view = getattr(message, "view", None)
         if isinstance(view, View):
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -17,7 +17,7 @@
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.runtime.sequence import Items, Key, dropped_first, in_order, later_than, newest
 
-from .digests import RANGES, digest_of, range_of, sum_of
+from .digests import RANGE_COUNT, checksum_of, digest_of, range_of
 from .route_index import LIMITS, ROUTE, SERVICE, Place, RouteIndex
 
 ITEM = 100  # bytes of an item beyond its body and its record, on disk and in a message
@@ -44,10 +44,10 @@
 
     def __init__(self) -> None:
         self.items: Items = {}
-        self.digests = [0] * RANGES
+        self.digests = [0] * RANGE_COUNT
         self.seq = self.size = 0
         self._index: RouteIndex | None = None  # made when it is asked for: only a head needs one
-        self.floor = 0  # tombstones up to this number are collected
+        self.tombstone_floor = 0  # tombstones up to this number are collected
         self.tombstones = 0
         self._last = 0  # the highest number of an item
         self._ordered = True
@@ -62,9 +62,9 @@
             if held is None or held.seq <= item.seq:
                 self._put(item)
         self.seq = max(self.seq, seq)
-        self.collect(floor)
+        self.collect_tombstones(floor)
 
-    def mend(self, ranges: Iterable[int], items: Iterable[Item], seq: int | None, floor: int = 0) -> None:
+    def replace_ranges(self, ranges: Iterable[int], items: Iterable[Item], seq: int | None, floor: int = 0) -> None:
         """These are all that there are in those ranges; with `seq` the whole state is as of that number."""
         self._index = None
         for at in set(ranges):
@@ -75,28 +75,28 @@
             self._put(item)
         if seq is not None:
             self.seq = seq
-            self.floor = -1  # what it had may be of calls that nobody acknowledged
-            self.collect(floor)
-            self.forget_ranges()
+            self.tombstone_floor = -1  # what it had may be of calls that nobody acknowledged
+            self.collect_tombstones(floor)
+            self.drop_range_index()
 
-    def floor_for(self, items: Iterable[Item]) -> int:
+    def tombstone_floor_after(self, items: Iterable[Item]) -> int:
         """The floor that keeps the bound on tombstones once these changes are made."""
         more = sum(i.body is None for i in items)
         beyond = self.tombstones + more - TOMBSTONES
         if beyond < COLLECTED_AT_ONCE:
-            return self.floor
+            return self.tombstone_floor
         self._sort()
         oldest = [i.seq for i, _ in zip(dropped_first(self.items, self.seq), range(beyond), strict=False)]
-        return max(oldest, default=self.floor)
+        return max(oldest, default=self.tombstone_floor)
 
-    def collect(self, floor: int) -> None:
+    def collect_tombstones(self, floor: int) -> None:
         """Tombstones up to that number are forgotten."""
-        if floor <= self.floor:
+        if floor <= self.tombstone_floor:
             return
-        self.floor = floor
+        self.tombstone_floor = floor
         self._sort()
         for item in list(dropped_first(self.items, floor)):
-            self.digests[range_of(item.kind, item.name)] ^= sum_of(item)
+            self.digests[range_of(item.kind, item.name)] ^= checksum_of(item)
             self._remove((item.kind, item.name))
 
     def _put(self, item: Item) -> None:
@@ -104,13 +104,13 @@
         at = range_of(*key)
         held = self.items.get(key)
         if held is not None:
-            self.digests[at] ^= sum_of(held)
+            self.digests[at] ^= checksum_of(held)
             self._remove(key)
         if item.seq < self._last:
             self._ordered = False
         else:
             self._last = item.seq
-        self.digests[at] ^= sum_of(item)
+        self.digests[at] ^= checksum_of(item)
         self.size += size_of(item)
         if self._index is not None:
             self._index.replace(held, item)
@@ -137,16 +137,16 @@
     def _by_range(self) -> list[set[Key]]:
         """Made in one walk, and kept up by changes until it is forgotten."""
         if self._keys is None:
-            self._keys = [set() for _ in range(RANGES)]
+            self._keys = [set() for _ in range(RANGE_COUNT)]
             for key in self.items:
                 self._keys[range_of(*key)].add(key)
         return self._keys
 
-    def in_range(self, number: int) -> list[Item]:
+    def items_in_range(self, number: int) -> list[Item]:
         """All items of one range of names."""
         return [self.items[key] for key in self._by_range()[number]]
 
-    def forget_ranges(self) -> None:
+    def drop_range_index(self) -> None:
         """No copy is filled for now."""
         self._keys = None
 
@@ -156,7 +156,7 @@
 
     # Reads
 
-    def since(self, seq: int) -> list[Item]:
+    def items_since(self, seq: int) -> list[Item]:
         """What was set or dropped by later calls, in their order; of the whole, what was dropped, too: the one who asks
         may serve others that have yet to drop it."""
         self._sort()
@@ -189,7 +189,7 @@
     def _standing(self, kind: str) -> Iterator[bytes]:
         return (i.body for i in self.items.values() if i.kind == kind and i.body is not None)
 
-    def layout(self) -> bytes:
+    def to_json(self) -> bytes:
         """The configuration whole, laid out as in an operator's first call."""
         hosts: dict[str, list[msgspec.Raw]] = {}
         for body in self._standing(ROUTE):
--- a/tests/control/defects_point_2.py
+++ b/tests/control/defects_point_2.py
@@ -56,11 +56,11 @@
 
 
 def records_stay_at_the_head(patch: Patch) -> None:
-    def passed(self: Chain, m: Replicate, reply: Callable[[Message], None]) -> None:
+    def handle_replicate(self: Chain, m: Replicate, reply: Callable[[Message], None]) -> None:
         real(self, msgspec.structs.replace(m, items=for_followers(m.items)), reply)
 
-    real = Chain.passed
-    patch.setattr(Chain, "passed", passed)
+    real = Chain.handle_replicate
+    patch.setattr(Chain, "handle_replicate", handle_replicate)
 
 
 def records_are_not_on_disk(patch: Patch) -> None:
--- a/tests/control/defects_point_3.py
+++ b/tests/control/defects_point_3.py
@@ -74,7 +74,7 @@
 
 def the_tail_waits_for_its_learner(patch: Patch) -> None:
     def committed(self: Chain) -> int:
-        if self._replica.tail and self._replica.learner is not None:
+        if self._replica.is_tail and self._replica.learner is not None:
             return min(self._acked, self._replica.state.seq)
         return int(real.__get__(self))
 
@@ -98,9 +98,9 @@
 
 def a_learner_counts_as_whole_where_it_joins(patch: Patch) -> None:
     def adopt(self: Replica, view: View) -> bool:
-        filled = self.whole and not self.in_chain
+        filled = self.complete and not self.in_chain
         news = real(self, view)
-        self.whole = self.whole or (news and filled and self.in_chain)
+        self.complete = self.complete or (news and filled and self.in_chain)
         return news
 
     real = Replica.adopt
@@ -109,7 +109,7 @@
 
 def a_stranger_answers_in_its_old_place(patch: Patch) -> None:
     patch.setattr(
-        Chain, "_is_for_me", lambda self, m: m.view_number == self._replica.view.number and not self._replica.head
+        Chain, "_is_for_me", lambda self, m: m.view_number == self._replica.view.number and not self._replica.is_head
     )
 
 
--- a/tests/control/defects_point_4.py
+++ b/tests/control/defects_point_4.py
@@ -13,7 +13,7 @@
 from lilacsill.mesh.runtime.messages import Message, Replicate, Summary
 from lilacsill.mesh.store import chain as chains
 from lilacsill.mesh.store.chain import Chain
-from lilacsill.mesh.store.digests import RANGES
+from lilacsill.mesh.store.digests import RANGE_COUNT
 from lilacsill.mesh.store.disk import Disk
 from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.replica import Replica
@@ -34,7 +34,9 @@
 
 def the_head_gives_out_numbers_unconfirmed(patch: Patch) -> None:
     patch.setattr(
-        Chain, "may_add", property(lambda self: self._replica.head and self._replica.whole and not self.saving)
+        Chain,
+        "may_append",
+        property(lambda self: self._replica.is_head and self._replica.complete and not self.pending_saves),
     )
 
 
@@ -47,7 +49,7 @@
 
 
 def a_fill_begins_anew(patch: Patch) -> None:
-    patch.setattr(chains, "differing", lambda mine, others: list(range(RANGES)))
+    patch.setattr(chains, "differing_ranges", lambda mine, others: list(range(RANGE_COUNT)))
 
 
 def any_piece_makes_a_copy_whole(patch: Patch) -> None:
@@ -61,18 +63,18 @@
 
 
 def a_view_is_saved_without_the_word_whether_the_copy_is_whole(patch: Patch) -> None:
-    def facts(self: Replica) -> dict[str, bytes]:
+    def view_facts(self: Replica) -> dict[str, bytes]:
         made = real(self)
         return {"view": made["view"]} if "whole" in self.environment.disk.facts else made  # type: ignore[attr-defined]
 
-    real = Replica.facts
-    patch.setattr(Replica, "facts", facts)
+    real = Replica.view_facts
+    patch.setattr(Replica, "view_facts", view_facts)
 
 
 def the_number_is_saved_before_the_items(patch: Patch) -> None:
     def save(self: Chain, save: Save, done: Callable[[], None]) -> None:
         self._environment.save(Save(facts=save.facts), lambda: None)
-        real(self, Save(save.items, save.ranges, {}, save.floor), done)
+        real(self, Save(save.items, save.ranges, {}, save.tombstone_floor), done)
 
     real = Chain._save
     patch.setattr(Chain, "_save", save)
--- a/tests/control/long_days.py
+++ b/tests/control/long_days.py
@@ -201,7 +201,7 @@
         Item("route", r["Name"], 9, state.seq + 1 + i, msgspec.json.encode({"Host": "h.example", "Rule": r}))
         for i, r in enumerate(rules)
     ]
-    scene.fleet.stores[head].chain.add(nevers, nevers[-1].seq, lambda ok: None)
+    scene.fleet.stores[head].chain.replicate(nevers, nevers[-1].seq, lambda ok: None)
     scene.run(2 * S)
     for _ in range(5):
         scene.change(2)
@@ -290,7 +290,7 @@
     scene.net.machines[scene.at(0)].disk.sync_us = 100 * MS
     scene.change(1)
     scene.run(20 * MS)
-    while not head.chain.saving:
+    while not head.chain.pending_saves:
         scene.run(MS)
     later = View(head.replica.view.number + 1, scene.view.members[:2])
     for place in (0, 1):
@@ -329,7 +329,7 @@
     replicas = [s.replica for s in scene.fleet.stores.values()]
     if any(r.state.tombstones > 48 or r.state.tombstones < 40 for r in replicas):
         raise RuleBroken(f"tombstones: {[r.state.tombstones for r in replicas]}")
-    if len({r.state.floor for r in replicas}) != 1:
+    if len({r.state.tombstone_floor for r in replicas}) != 1:
         raise RuleBroken("floors differ")
     for address, store in scene.fleet.stores.items():
         disk = scene.net.machines[address].disk
--- a/tests/control/long_days_disk.py
+++ b/tests/control/long_days_disk.py
@@ -15,7 +15,7 @@
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.simulation.store_fleet import RuleBroken
 from lilacsill.mesh.store import disk as disks
-from lilacsill.mesh.store.digests import RANGES
+from lilacsill.mesh.store.digests import RANGE_COUNT
 from lilacsill.mesh.store.disk import FILE, LOG_BYTES, Disk
 from lilacsill.mesh.store.environment import Save
 from lilacsill.net import reactor as watchers
@@ -67,7 +67,7 @@
         reactor.after(300_000, until.append, True)
         while not until:
             reactor.turn()
-        if told or disk.waits_us() < 200_000:
+        if told or disk.oldest_save_age_us() < 200_000:
             raise RuleBroken("what a full disk refused is told as saved")
         disk._db.execute("pragma max_page_count=100000")
         late: list[bool] = []
@@ -185,7 +185,7 @@
             saves.append(Save([changed], facts={"seq": b"%d" % changed.seq}))
         for at in range(0, 1000, 4):
             save_all(reactor, disk, saves[at : at + 4])
-        save_all(reactor, disk, [Save(items(1, 2000), list(range(RANGES)), {"seq": b"3000"})])
+        save_all(reactor, disk, [Save(items(1, 2000), list(range(RANGE_COUNT)), {"seq": b"3000"})])
         dropped = [Item("route", f"r{i}", 3, 3000 + i, None) for i in range(1, 1001)]
         save_all(reactor, disk, [Save(dropped, [], {"seq": b"4000"}), Save([], [], {"floor": b"4000"}, 4000)])
         sizes = {e: (folder / (FILE + e)).stat().st_size for e in ("", "-wal") if (folder / (FILE + e)).exists()}
--- a/tests/control/long_days_scene.py
+++ b/tests/control/long_days_scene.py
@@ -59,7 +59,7 @@
         """At every millisecond: who may give out numbers has all that was acknowledged."""
         for address in self.fleet.up():
             store = self.fleet.stores.get(address)
-            if store is None or not store.chain.may_add or not store.membership.sure():
+            if store is None or not store.chain.may_append or not store.membership.sure():
                 continue
             as_of = (store.replica.state.seq, self.acks)
             if self._judged.get(address) != as_of and self.lacking(store.replica.state):
@@ -71,7 +71,7 @@
     def is_whole(self, address: str) -> bool:
         """In the chain, and known to have all."""
         store = self.fleet.stores[address]
-        return (store.replica.tail or store.replica.next is not None) and store.chain.synced
+        return (store.replica.is_tail or store.replica.successor is not None) and store.chain.synced
 
     def until_whole(self, address: str, within_us: int) -> int:
         """Microseconds until that member is whole."""
@@ -86,8 +86,8 @@
         """After quiet all copies are the same, and nothing that was acknowledged is missing."""
         self.run(us)
         copies = [s.replica for a, s in self.fleet.stores.items() if self.net.machines[a].up]
-        members = [c for c in copies if c.member]
-        if len(members) < 3 or not all(c.whole for c in members):
+        members = [c for c in copies if c.is_member]
+        if len(members) < 3 or not all(c.complete for c in members):
             raise RuleBroken("a member is not whole")
         if len({c.state.digest() for c in members}) != 1 or len({c.state.seq for c in members}) != 1:
             raise RuleBroken("copies differ")
--- a/tests/control/test_point_2_orders.py
+++ b/tests/control/test_point_2_orders.py
@@ -28,7 +28,7 @@
 from lilacsill.mesh.simulation.store_fleet import RuleBroken, put, route
 from lilacsill.mesh.store import validation
 from lilacsill.mesh.store.accepted_changes import MOST_VERSIONS, for_followers
-from lilacsill.mesh.store.digests import RANGES
+from lilacsill.mesh.store.digests import RANGE_COUNT
 from lilacsill.mesh.store.draft import Draft
 from lilacsill.mesh.store.state import ConfigState
 
@@ -105,7 +105,7 @@
         bodies = [body_of(plan) for plan in plans]
         expected = [model.judge(body) for body in bodies]
         assert judged(state, bodies) == expected
-        assert model.layout() == Model.laid_out(msgspec.json.decode(state.layout()))
+        assert model.layout() == Model.laid_out(msgspec.json.decode(state.to_json()))
         state = restarted(state)
 
 
@@ -114,7 +114,7 @@
     if state.seq % 2:
         return state
     copy = ConfigState()
-    copy.mend(range(RANGES), sorted(state.items.values(), key=lambda i: (i.kind, i.name)), state.seq)
+    copy.replace_ranges(range(RANGE_COUNT), sorted(state.items.values(), key=lambda i: (i.kind, i.name)), state.seq)
     assert copy.digests == state.digests and copy.size == state.size
     return copy
 
--- a/tests/control/test_point_3_membership.py
+++ b/tests/control/test_point_3_membership.py
@@ -285,7 +285,7 @@
     machine = fleet.net.machines[chain_of(fleet)[0]]
     replica = Replica(machine, me, View(1, (head,)), True, AcceptorState(), (), 0)
     replica.adopt(View(2, (head, me)))
-    return replica.whole
+    return replica.complete
 
 
 def test_a_learner_that_joins_is_compared_again(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/control/test_point_4_long_days.py
+++ b/tests/control/test_point_4_long_days.py
@@ -138,11 +138,11 @@
         state.apply([Item("route", f"r{seq}", 1, seq, b"{}")], seq)
     state.apply([Item("route", "r5", 2, ROUTES + 1, b"{}")], ROUTES + 1)
     state.apply([Item("route", "r9", 2, ROUTES + 2, None)], ROUTES + 2)
-    assert [i.name for i in state.since(ROUTES)] == ["r5", "r9"]
-    assert [i.name for i in state.since(ROUTES - 1)] == [f"r{ROUTES}", "r5", "r9"]
+    assert [i.name for i in state.items_since(ROUTES)] == ["r5", "r9"]
+    assert [i.name for i in state.items_since(ROUTES - 1)] == [f"r{ROUTES}", "r5", "r9"]
     mended = ConfigState()
-    mended.apply(reversed(state.since(0)), state.seq)  # in no order, as from a disk
-    assert mended.since(ROUTES - 1) == state.since(ROUTES - 1) and mended.digests == state.digests
+    mended.apply(reversed(state.items_since(0)), state.seq)  # in no order, as from a disk
+    assert mended.items_since(ROUTES - 1) == state.items_since(ROUTES - 1) and mended.digests == state.digests
 
 
 def test_ranges_are_kept_while_a_copy_is_filled_and_forgotten_then() -> None:
@@ -151,10 +151,10 @@
     copy.apply([Item("route", "extra", 1, 7, b"{}")], 7)
     for number in range(64):
         state.apply([Item("route", f"new{number}", 1, 300 + number, b"{}")], 300 + number)
-        copy.mend([number], state.in_range(number), state.seq if number == 63 else None)
-    copy.apply(state.since(299), state.seq)
-    state.forget_ranges()
-    assert copy.digests == state.digests and copy.size == state.size and copy.since(0) == state.since(0)
+        copy.replace_ranges([number], state.items_in_range(number), state.seq if number == 63 else None)
+    copy.apply(state.items_since(299), state.seq)
+    state.drop_range_index()
+    assert copy.digests == state.digests and copy.size == state.size and copy.items_since(0) == state.items_since(0)
 
 
 # Planted defects: each is found by a test above
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -50,7 +50,7 @@
 
 
 def a_member_answers_for_those_below(patch: Patch) -> None:
-    def passed(self: Chain, m: Replicate, reply: Replier) -> None:
+    def handle_replicate(self: Chain, m: Replicate, reply: Replier) -> None:
         def at_once(answer: Message) -> None:
             reply(answer)
 
@@ -58,13 +58,13 @@
             at_once(ReplicateReply(True, m.seq))
         real(self, m, lambda answer: None)
 
-    real = Chain.passed
-    patch.setattr(Chain, "passed", passed)
+    real = Chain.handle_replicate
+    patch.setattr(Chain, "handle_replicate", handle_replicate)
 
 
 def reads_need_nobody(patch: Patch) -> None:
     def read(self: Frontend, m: object, reply: Replier) -> None:
-        reply(Reply(200, self._replica.state.layout()))
+        reply(Reply(200, self._replica.state.to_json()))
 
     patch.setattr(Frontend, "read", read)
 
@@ -74,7 +74,7 @@
         reply(Confirmed(True))
 
     patch.setattr(Frontend, "confirm", confirm)
-    patch.setattr(Membership, "sure", lambda self: self._replica.member)
+    patch.setattr(Membership, "sure", lambda self: self._replica.is_member)
 
 
 def followers_need_nobody(patch: Patch) -> None:
@@ -91,10 +91,12 @@
 
     real = Acceptor.prepare
     patch.setattr(Acceptor, "prepare", prepare)
-    patch.setattr(Replica, "member", property(lambda self: same(self) >= 0))
-    patch.setattr(Replica, "at", property(same))
-    patch.setattr(Replica, "head", property(lambda self: same(self) == 0))
-    patch.setattr(Replica, "tail", property(lambda self: self.member and same(self) == len(self.view.members) - 1))
+    patch.setattr(Replica, "is_member", property(lambda self: same(self) >= 0))
+    patch.setattr(Replica, "position", property(same))
+    patch.setattr(Replica, "is_head", property(lambda self: same(self) == 0))
+    patch.setattr(
+        Replica, "is_tail", property(lambda self: self.is_member and same(self) == len(self.view.members) - 1)
+    )
 
 
 def removals_are_forgotten(patch: Patch) -> None:
@@ -108,9 +110,9 @@
 
 def those_left_out_keep_what_they_hold(patch: Patch) -> None:
     def adopt(self: Replica, view: View) -> bool:
-        whole = self.whole
+        complete = self.complete
         news = real(self, view)
-        self.whole = whole
+        self.complete = complete
         return news
 
     real = Replica.adopt
@@ -130,7 +132,7 @@
 
 def anyone_takes_a_call(patch: Patch) -> None:
     def taken(self: Frontend, m: Any, reply: Replier) -> None:
-        if not self._replica.head and self._replica.member:
+        if not self._replica.is_head and self._replica.is_member:
             return reply(Reply(200, b"{}"))
         real(self, m, reply)
 
@@ -156,9 +158,12 @@
     ) -> Replica:
         replica = real(environment, address, seeds, fresh, stranger, items, facts)
         if not facts and not fresh and address in seeds:
-            replica.me = Member(address, node.FIRST)
+            replica.me = Member(address, node.FIRST_INCARNATION)
             replica.acceptor.me = replica.me
-            replica.view, replica.whole = View(0, tuple(Member(s, node.FIRST) for s in sorted(seeds))), True
+            replica.view, replica.complete = (
+                View(0, tuple(Member(s, node.FIRST_INCARNATION) for s in sorted(seeds))),
+                True,
+            )
         return replica
 
     real = node.recall
@@ -212,11 +217,11 @@
 
 
 def parcels_of_an_older_view_are_taken(patch: Patch) -> None:
-    def passed(self: Chain, m: Replicate, reply: Replier) -> None:
+    def handle_replicate(self: Chain, m: Replicate, reply: Replier) -> None:
         real(self, msgspec.structs.replace(m, view_number=self._replica.view.number), reply)
 
-    real = Chain.passed
-    patch.setattr(Chain, "passed", passed)
+    real = Chain.handle_replicate
+    patch.setattr(Chain, "handle_replicate", handle_replicate)
 
 
 def one_piece_makes_a_copy_whole(patch: Patch) -> None:
@@ -228,17 +233,17 @@
 
 
 def digests_are_taken_on_trust(patch: Patch) -> None:
-    patch.setattr(chains, "differing", lambda mine, others: [])
+    patch.setattr(chains, "differing_ranges", lambda mine, others: [])
 
 
 def a_view_is_not_kept(patch: Patch) -> None:
-    def facts(self: Replica) -> dict[str, bytes]:
+    def view_facts(self: Replica) -> dict[str, bytes]:
         if "view" in self.environment.disk.facts:  # type: ignore[attr-defined]
             return {}
         return real(self)
 
-    real = Replica.facts
-    patch.setattr(Replica, "facts", facts)
+    real = Replica.view_facts
+    patch.setattr(Replica, "view_facts", view_facts)
 
 
 def a_next_view_blocks_nobody(patch: Patch) -> None:
@@ -247,9 +252,9 @@
 
 def the_head_counts_on_what_is_not_on_its_disk(patch: Patch) -> None:
     def write(self: Frontend) -> None:
-        saving, self._chain.saving = self._chain.saving, 0
+        saving, self._chain.pending_saves = self._chain.pending_saves, 0
         real(self)
-        self._chain.saving += saving
+        self._chain.pending_saves += saving
 
     real = Frontend._write
     patch.setattr(Frontend, "_write", write)
--- a/tests/mesh/test_chain.py
+++ b/tests/mesh/test_chain.py
@@ -104,14 +104,14 @@
     time.run(time.now + 2 * S)
     assert statuses == [400]
     assert all(s.replica.state.version("route", "r") == 1 for s in fleet.stores.values())
-    assert "nobody" in next(s.frontend.refused[-1] for s in fleet.stores.values() if s.frontend.refused)
+    assert "nobody" in next(s.frontend.rejections[-1] for s in fleet.stores.values() if s.frontend.rejections)
 
 
 def test_a_book_beyond_its_bound_is_refused_and_nothing_is_lost() -> None:
     fleet, operator = begun(8)
     time = fleet.net.time
     for store in fleet.stores.values():
-        store.frontend.most_bytes = store.replica.state.size + 500
+        store.frontend.max_state_bytes = store.replica.state.size + 500
     statuses: list[int] = []
     operator.call(put([route(f"more{i}", 2, f"/{i}/") for i in range(9)]), statuses.append)
     time.run(time.now + S)
@@ -133,7 +133,7 @@
     time.run(time.now + 11 * S)
     assert spoilt.replica.state.items["route", "r7"] == good
     assert spoilt.replica.state.digests == before.replica.state.digests
-    assert "1 ranges" in before.chain.mends[-1]
+    assert "1 ranges" in before.chain.repairs[-1]
 
 
 def test_a_large_mend_goes_down_in_pieces_and_a_view_that_comes_meanwhile_ends_it() -> None:
@@ -148,10 +148,10 @@
     store = fleet.stores[tail]
     while not 0 < len(store.replica.state.items) < 300:  # a piece is there
         time.run(time.now + MS)
-    assert not store.replica.whole and net.machines[tail].disk.facts["whole"] == b"0"
+    assert not store.replica.complete and net.machines[tail].disk.facts["whole"] == b"0"
     net.machines[tail].end(power=True)
     fleet.start(tail)
-    assert not fleet.stores[tail].replica.whole
+    assert not fleet.stores[tail].replica.complete
     time.run(time.now + 5 * S)
     states = [s.replica.state for s in fleet.stores.values()]
     assert all(b.digests == states[0].digests and len(b.items) == 302 for b in states)
@@ -168,7 +168,7 @@
     assert store.replica.view.number > view.number
     answers: list[Message] = []
     late = Item("route", "late", 9, store.replica.state.seq + 1, b"{}")
-    store.chain.passed(Replicate(view.number, late.seq, [late], False, [], True), answers.append)
+    store.chain.handle_replicate(Replicate(view.number, late.seq, [late], False, [], True), answers.append)
     time.run(time.now + S)
     return ("route", "late") in store.replica.state.items
 
--- a/tests/mesh/test_copy.py
+++ b/tests/mesh/test_copy.py
@@ -18,7 +18,7 @@
     config_seq.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
     config_seq.apply([Item("route", "b", 3, 3, None)], 3)
     registry = ConfigCache()
-    registry.take(config_seq.since(0), config_seq.seq)
+    registry.take(config_seq.items_since(0), config_seq.seq)
     items, seq = registry.piece(proxy.seq)
     proxy.apply(items, seq)
     assert proxy.match(b"h.example", b"/b/x") is None and proxy.match(b"h.example", b"/a/x") is not None
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -17,7 +17,7 @@
 
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.store.digests import RANGES, range_of
+from lilacsill.mesh.store.digests import RANGE_COUNT, range_of
 from lilacsill.mesh.store.disk import FILE, Disk, DiskError
 from lilacsill.mesh.store.environment import Save
 from lilacsill.net import reactor as watchers
@@ -55,9 +55,9 @@
     disk = Disk(reactor, str(tmp_path))
     disk.save(Save([item("a", 1), item("b", 2)], facts={"seq": b"2"}), lambda: done.append("first"))
     disk.save(Save([item("a", 3, None)], facts={"seq": b"3"}), lambda: done.append("second"))
-    assert disk.waits_us() >= 0
+    assert disk.oldest_save_age_us() >= 0
     until(reactor, done, 2)
-    assert done == ["first", "second"] and disk.waits_us() == 0
+    assert done == ["first", "second"] and disk.oldest_save_age_us() == 0
     close(disk)
     again = Disk(reactor, str(tmp_path))
     assert {(i.name, i.seq, i.body) for i in again.items} == {("a", 3, None), ("b", 2, b"{}")}
@@ -132,7 +132,7 @@
         with suppress(OSError):
             while True:
                 opened.append(os.open(os.devnull, os.O_RDONLY))
-        return disk._commit([(Save(items, range(RANGES)), lambda: None)])
+        return disk._commit([(Save(items, range(RANGE_COUNT)), lambda: None)])
     finally:
         for descriptor in opened:
             os.close(descriptor)
