--- a/lilacsill/balancing/logic/attempts.py
+++ b/lilacsill/balancing/logic/attempts.py
@@ -7,11 +7,11 @@
 
 from .. import interface as q
 from .concurrency_window import ConcurrencyWindow
-from .context import Core
-from .outcomes import tells_full
+from .context import Context
+from .outcomes import is_overload_rejection
 from .outlier_detection import FAST
 from .peer_reports import PeerReports
-from .records import Request, Server
+from .records import RequestRecord, BackendRecord
 from .sampling import Sampler
 from .tenant_quotas import TenantQuotas
 
@@ -26,101 +26,107 @@
 class AttemptManager:
     """The requests in hand, by id."""
 
-    def __init__(self, core: Core, sampler: Sampler, peers: PeerReports, shares: TenantQuotas) -> None:
-        self.core, self.sampler, self.peers, self.shares = core, sampler, peers, shares
-        self.table, self.health, self.cold = sampler.table, sampler.health, sampler.cold
-        self.requests: dict[int, Request] = {}
+    def __init__(self, core: Context, sampler: Sampler, peers: PeerReports, shares: TenantQuotas) -> None:
+        self.context, self.sampler, self.peers, self.quotas = core, sampler, peers, shares
+        self.table, self.outliers, self.warm_up = sampler.table, sampler.outliers, sampler.warm_up
+        self.requests: dict[int, RequestRecord] = {}
         self.waiting: set[int] = set()  # requests held because all servers are busy
         self.budget, self._beating = RETRY_BURST, False
         self.room: Callable[[], None]  # an attempt has ended; admission sets it
-        self.look_again: Callable[[Server], None]  # asking sets it
-        self.start = ConcurrencyWindow(core.settings.balancer_count)
-        self.advance: Callable[[Request], None]  # what becomes of one whose attempt failed; admission sets it
-
-    def send(self, r: Request, s: Server, load: float) -> None:
-        now, attempt = self.core.now, r.sends
-        r.sends += 1
-        r.out[attempt] = (s, now, load)
+        self.look_again: Callable[[BackendRecord], None]  # asking sets it
+        self.window = ConcurrencyWindow(core.settings.balancer_count)
+        self.advance: Callable[[RequestRecord], None]  # what becomes of one whose attempt failed; admission sets it
+
+    def send(self, r: RequestRecord, s: BackendRecord, load: float) -> None:
+        now, attempt = self.context.now, r.attempt_count
+        r.attempt_count += 1
+        r.in_flight[attempt] = (s, now, load)
         r.may_have_run.append((attempt, s, now))
         r.tried.append(s)
-        s.open[(r.id, attempt)] = s.sent_at = now
-        self.start.sent(now)
-        self.cold.sent(s, now)
+        s.in_flight[(r.id, attempt)] = s.sent_at = now
+        self.window.record_send(now)
+        self.warm_up.record_send(s, now)
         if not self._beating:
-            self.core.beat(self._beats)
-        self.core.actions.append(q.Send(r.id, s.id, max(1, r.deadline - now - self.core.margin)))
+            self.context.repeat_while(self._beats)
+        self.context.actions.append(q.Send(r.id, s.id, max(1, r.deadline - now - self.context.answer_margin_us)))
         if (
-            r.cls.idempotency is not q.Idempotency.NOT_IDEMPOTENT
-            and self.table.typical
-            and self.core.settings.can_hedge
+            r.request_class.idempotency is not q.Idempotency.NOT_IDEMPOTENT
+            and self.table.typical_latency_us
+            and self.context.settings.can_hedge
         ):
-            at = now + int(3 * self.table.typical)
-            if at + self.table.typical < r.aim_at:
-                self.core.later(at, self._overdue, (r, attempt))
+            at = now + int(3 * self.table.typical_latency_us)
+            if at + self.table.typical_latency_us < r.target_at:
+                self.context.call_at(at, self._overdue, (r, attempt))
 
     def _beats(self) -> bool:
-        self._beating = self.start.out > 0
+        self._beating = self.window.in_flight > 0
         # The oldest in hand: is their answer late, or will it never come?
         for r in islice(self.requests.values(), LOOKS):
-            for s, sent, _ in r.out.values():
+            for s, sent, _ in r.in_flight.values():
                 if self._hangs(r, sent):
                     self.look_again(s)
         return self._beating
 
-    def _hangs(self, r: Request, sent: int) -> bool:
+    def _hangs(self, r: RequestRecord, sent: int) -> bool:
         """Whether an attempt is overdue, and another one could still be made in its place."""
-        typical, now = self.table.typical, self.core.now
-        overdue = now - sent > OVERDUE * typical > 0 and now + typical < r.aim_at and not r.done
-        return overdue and r.cls.idempotency is not q.Idempotency.NOT_IDEMPOTENT and self.core.settings.can_cancel
-
-    def missing(self, s: Server, held: float, asked_at: int) -> None:
+        typical, now = self.table.typical_latency_us, self.context.now
+        overdue = now - sent > OVERDUE * typical > 0 and now + typical < r.target_at and not r.is_answered
+        return (
+            overdue
+            and r.request_class.idempotency is not q.Idempotency.NOT_IDEMPOTENT
+            and self.context.settings.can_cancel
+        )
+
+    def missing(self, s: BackendRecord, held: float, asked_at: int) -> None:
         """A server that holds fewer than are out to it has ended one without an answer that could be read.
         That attempt costs nothing any more, and what may be repeated is tried elsewhere."""
-        if held > len(s.open) - SURE or asked_at < s.sent_at + UNDER_WAY_US or not s.open:
+        if held > len(s.in_flight) - SURE or asked_at < s.sent_at + UNDER_WAY_US or not s.in_flight:
             return
-        (number, attempt), sent = next(iter(s.open.items()))
+        (number, attempt), sent = next(iter(s.in_flight.items()))
         r = self.requests.get(number)
         if r is not None and self._hangs(r, sent):
-            self.core.actions.append(q.Cancel(number, attempt))
+            self.context.actions.append(q.Cancel(number, attempt))
 
-    def _overdue(self, what: tuple[Request, int]) -> None:
+    def _overdue(self, what: tuple[RequestRecord, int]) -> None:
         """An attempt takes unusually long: try elsewhere while the aim can still be made."""
         r, attempt = what
-        if r.done or attempt not in r.out or len(r.out) > 1 or self.budget < 1.0:
+        if r.is_answered or attempt not in r.in_flight or len(r.in_flight) > 1 or self.budget < 1.0:
             return
-        pool = self.sampler.pool(r)
-        pair = self.sampler.two(r, pool) if pool and r.sends < self.core.settings.max_attempts else None
+        pool = self.sampler.candidates(r)
+        pair = (
+            self.sampler.draw_pair(r, pool) if pool and r.attempt_count < self.context.settings.max_attempts else None
+        )
         if pair is None:
             return
-        server, load = self.sampler.lighter(r, pair)
-        if server is not r.out[attempt][0]:
+        server, load = self.sampler.choose(r, pair)
+        if server is not r.in_flight[attempt][0]:
             self.budget -= 1.0
             self.send(r, server, load)
 
-    def ended(self, e: q.AttemptEnded) -> None:
-        now, r = self.core.now, self.requests.get(e.request)
-        if r is None or e.attempt not in r.out:
+    def on_attempt_ended(self, e: q.AttemptEnded) -> None:
+        now, r = self.context.now, self.requests.get(e.request)
+        if r is None or e.attempt not in r.in_flight:
             return
-        self.sampler.full.news()
-        s, sent, load = r.out.pop(e.attempt)
-        if s.open.pop((r.id, e.attempt), None) is not None:
-            self.start.ended(now, e.outcome is q.Outcome.OK)
-        self.table.ended(now, s, e, load, timed=sent >= self.core.stood_at)
-        if self.peers.tells and e.outcome is q.Outcome.OK and len(e.report) > self.table.column:
-            self.peers.tell(s, e.report[self.table.column] - 1)
+        self.sampler.saturation.clear()
+        s, sent, load = r.in_flight.pop(e.attempt)
+        if s.in_flight.pop((r.id, e.attempt), None) is not None:
+            self.window.record_end(now, e.outcome is q.Outcome.OK)
+        self.table.record_attempt(now, s, e, load, timed=sent >= self.context.resumed_at)
+        if self.peers.fanout and e.outcome is q.Outcome.OK and len(e.report) > self.table.load_column:
+            self.peers.send_report(s, e.report[self.table.load_column] - 1)
         # A time-out tells against a server only if it has answered nothing since: else it is late, not ill.
         # One that says it is full answers: that is load, and the table has it.
-        full = tells_full(e, self.table.column, self.table.mean)
+        full = is_overload_rejection(e, self.table.load_column, self.table.mean_load)
         if not full and (e.outcome is not q.Outcome.TIMEOUT or s.answered_at <= sent):
-            self.health.ended(s, now, e.outcome, e.latency_us < FAST * self.table.typical)
-        self.shares.learn(len(s.open) + 1, max(0.0, s.others))
+            self.outliers.record_attempt(s, now, e.outcome, e.latency_us < FAST * self.table.typical_latency_us)
+        self.quotas.record_traffic(len(s.in_flight) + 1, max(0.0, s.other_load))
         if e.outcome in q.NEVER_RAN:
             r.may_have_run = [m for m in r.may_have_run if m[0] != e.attempt]
-        if e.is_answered and not r.done:
+        if e.is_answered and not r.is_answered:
             self._drop(r)
-        if r.done and not r.out:
+        if r.is_answered and not r.in_flight:
             self.requests.pop(r.id, None)
-        elif not r.out:
+        elif not r.in_flight:
             # Unpaid repeats at full servers made twenty attempts of a request. A failed connect loads none.
             if e.outcome is not q.Outcome.CONNECT_FAILED:
                 if self.budget < 1.0:
@@ -130,41 +136,41 @@
             self.advance(r)
         self.room()
 
-    def streaming(self, e: q.StreamStarted | q.UploadChanged) -> None:
+    def on_progress(self, e: q.StreamStarted | q.UploadChanged) -> None:
         """While its request is written, and while its answer streams, an attempt is no work for a server."""
         r = self.requests.get(e.request)
-        if r is None or e.attempt not in r.out:
+        if r is None or e.attempt not in r.in_flight:
             return
-        s, now, key = r.out[e.attempt][0], self.core.now, (r.id, e.attempt)
-        if s.open.pop(key, None) is not None:
-            self.start.ended(now, isinstance(e, q.StreamStarted))
+        s, now, key = r.in_flight[e.attempt][0], self.context.now, (r.id, e.attempt)
+        if s.in_flight.pop(key, None) is not None:
+            self.window.record_end(now, isinstance(e, q.StreamStarted))
         if isinstance(e, q.StreamStarted):
-            r.done, s.answered_at = True, now
+            r.is_answered, s.answered_at = True, now
             self._cancel(r, but=e.attempt)
         elif e.complete:
-            self.start.sent(now)
-            s.open[key], r.out[e.attempt] = now, (s, now, r.out[e.attempt][2])
+            self.window.record_send(now)
+            s.in_flight[key], r.in_flight[e.attempt] = now, (s, now, r.in_flight[e.attempt][2])
         self.room()
 
-    def gone(self, e: q.ClientDisconnected) -> None:
+    def on_client_disconnected(self, e: q.ClientDisconnected) -> None:
         r = self.requests.get(e.request)
-        if r is not None and not r.done:
+        if r is not None and not r.is_answered:
             self._drop(r)
 
-    def finish(self, r: Request) -> None:
+    def finish(self, r: RequestRecord) -> None:
         """Give the one final answer."""
-        advice = min(int(ADVICE * self.table.typical), self.core.settings.max_retry_after_us)
-        advice *= self.core.settings.can_advise_retry
-        self.core.actions.append(q.Reject(r.id, advice) if r.may_refuse() else q.Fail(r.id))
+        advice = min(int(ADVICE * self.table.typical_latency_us), self.context.settings.max_retry_after_us)
+        advice *= self.context.settings.can_advise_retry
+        self.context.actions.append(q.Reject(r.id, advice) if r.may_reject() else q.Fail(r.id))
         self._drop(r)
 
-    def _drop(self, r: Request) -> None:
-        r.done = True
+    def _drop(self, r: RequestRecord) -> None:
+        r.is_answered = True
         self.waiting.discard(r.id)
         self._cancel(r)
-        if not r.out:
+        if not r.in_flight:
             self.requests.pop(r.id, None)
 
-    def _cancel(self, r: Request, but: int = -1) -> None:
-        if self.core.settings.can_cancel:
-            self.core.actions.extend(q.Cancel(r.id, a) for a in r.out if a != but)
+    def _cancel(self, r: RequestRecord, but: int = -1) -> None:
+        if self.context.settings.can_cancel:
+            self.context.actions.extend(q.Cancel(r.id, a) for a in r.in_flight if a != but)
--- a/lilacsill/balancing/logic/concurrency_window.py
+++ b/lilacsill/balancing/logic/concurrency_window.py
@@ -14,34 +14,34 @@
     """A window on this balancer's attempts out; open without end once paces are learned."""
 
     def __init__(self, siblings: int) -> None:
-        self.siblings = siblings
-        self.window, self.out = 0.0, 0
-        self.wanted = 0  # answers until the paces count as learned; 0: they are
+        self.balancer_count = siblings
+        self.limit, self.in_flight = 0.0, 0
+        self.answers_needed = 0  # answers until the paces count as learned; 0: they are
         self.answered_at = 0
 
-    def begin(self, now: int, servers: int) -> None:
+    def restart(self, now: int, servers: int) -> None:
         """A list that is new as a whole, or a fleet that answers again."""
-        self.window = max(1.0, FIRST * servers / self.siblings)
-        self.wanted = max(8, int(LEARNED * self.window))
+        self.limit = max(1.0, FIRST * servers / self.balancer_count)
+        self.answers_needed = max(8, int(LEARNED * self.limit))
         self.answered_at = now
 
     def admits(self, now: int, servers: int, typical: float, stood_at: int) -> bool:
         """Whether one more attempt may go out now. `stood_at`: silence before that was the caller's own."""
-        first = max(1.0, FIRST * servers / self.siblings)
+        first = max(1.0, FIRST * servers / self.balancer_count)
         silence = now - max(self.answered_at, stood_at)
-        if not self.wanted and typical and self.out >= first and silence > STALLED * typical:
-            self.begin(now, servers)
-        return not self.wanted or self.out < self.window
+        if not self.answers_needed and typical and self.in_flight >= first and silence > STALLED * typical:
+            self.restart(now, servers)
+        return not self.answers_needed or self.in_flight < self.limit
 
-    def sent(self, now: int) -> None:
-        if not self.out:
+    def record_send(self, now: int) -> None:
+        if not self.in_flight:
             self.answered_at = max(self.answered_at, now)  # silence counts from the first attempt out
-        self.out += 1
+        self.in_flight += 1
 
-    def ended(self, now: int, answered: bool) -> None:
-        self.out -= 1
+    def record_end(self, now: int, answered: bool) -> None:
+        self.in_flight -= 1
         if answered:
             self.answered_at = now
-            if self.wanted:
-                self.wanted -= 1
-                self.window += 1.0
+            if self.answers_needed:
+                self.answers_needed -= 1
+                self.limit += 1.0
--- a/lilacsill/balancing/logic/context.py
+++ b/lilacsill/balancing/logic/context.py
@@ -16,50 +16,50 @@
 BACKLOG = 0.1  # of the time for which a caller stood still it takes to read what has come meanwhile
 
 
-class Core:
+class Context:
     """One event at a time: `begin` it, let the rooms act, take `actions`."""
 
     def __init__(self, settings: Settings, seed: int) -> None:
-        self.settings, self.rng, self.siblings = settings, Random(seed), settings.balancer_count
+        self.settings, self.rng, self.balancer_count = settings, Random(seed), settings.balancer_count
         self.now = 0
-        self.stood_at = self.stood_us = 0  # when the caller went on after standing still, and for how long
-        self.lag_us = 0.0  # how late timers are handed in, smoothed
+        self.resumed_at = self.stall_us = 0  # when the caller went on after standing still, and for how long
+        self.timer_lag_us = 0.0  # how late timers are handed in, smoothed
         self.actions: list[Action] = []
-        self._due = DeadlineQueue()
+        self._deadlines = DeadlineQueue()
         # AttemptManager and waits end two rounds before the client's time is up, or in the first half of the slack:
         # the answer is given in the round after.
-        self.margin = max(0, 2 * settings.tick_us - settings.answer_grace_us // 2)
+        self.answer_margin_us = max(0, 2 * settings.tick_us - settings.answer_grace_us // 2)
 
-    def begin(self, now: int) -> None:
+    def begin_event(self, now: int) -> None:
         # A timer due long ago and handed in only now, or not yet: the caller stood still, and what it
         # measured across that time says nothing of others.
-        if self._due.armed and now - self._due.armed > max(STALL_US, USUAL * self.lag_us):
-            self.stood_at, self.stood_us = now, now - self._due.armed
+        if self._deadlines.armed_at and now - self._deadlines.armed_at > max(STALL_US, USUAL * self.timer_lag_us):
+            self.resumed_at, self.stall_us = now, now - self._deadlines.armed_at
         self.now, self.actions = now, []
 
-    def waited_unread(self) -> bool:
+    def is_reading_backlog(self) -> bool:
         """Whether what is read now has probably waited for the caller to go on."""
-        return self.now - self.stood_at < BACKLOG * self.stood_us
+        return self.now - self.resumed_at < BACKLOG * self.stall_us
 
     def log(self, text: str) -> None:
         self.actions.append(Log(text))
 
-    def later(self, at: int, call: Callable[[Any], None], what: Any) -> None:
-        self._due.add(max(at, self.now + 1), call, what)
-        self._arm()
+    def call_at(self, at: int, call: Callable[[Any], None], what: Any) -> None:
+        self._deadlines.add(max(at, self.now + 1), call, what)
+        self._arm_timer()
 
-    def beat(self, goes_on: Callable[[], bool]) -> None:
+    def repeat_while(self, goes_on: Callable[[], bool]) -> None:
         """Keep a timer due as long as `goes_on`, so that `stood_at` can tell."""
         if goes_on():
-            self.later(self.now + BEAT_US, self.beat, goes_on)
+            self.call_at(self.now + BEAT_US, self.repeat_while, goes_on)
 
-    def _arm(self) -> None:
-        if at := self._due.unnamed():
+    def _arm_timer(self) -> None:
+        if at := self._deadlines.next_to_arm():
             self.actions.append(SetTimer(max(0, at - self.now), at))
 
-    def timer(self, e: TimerFired) -> None:
-        if e.token == self._due.armed:
-            self._due.armed = 0
-            self.lag_us += LAG_GAIN * (self.now - e.token - self.lag_us)
-        self._due.run(self.now)
-        self._arm()
+    def on_timer_fired(self, e: TimerFired) -> None:
+        if e.token == self._deadlines.armed_at:
+            self._deadlines.armed_at = 0
+            self.timer_lag_us += LAG_GAIN * (self.now - e.token - self.timer_lag_us)
+        self._deadlines.run_due(self.now)
+        self._arm_timer()
--- a/lilacsill/balancing/logic/membership.py
+++ b/lilacsill/balancing/logic/membership.py
@@ -3,73 +3,73 @@
 from __future__ import annotations
 
 from ..interface import BackendId, BackendsChanged, BackendState, DiscoveryMode, ListKind, MaintenanceChanged, Watch
-from .context import Core
-from .records import SECOND, Server
+from .context import Context
+from .records import SECOND_US, BackendRecord
 
 # Discovery takes its callers in turn. Forty that all began at once and came back within two seconds kept it
 # full by failing: for 15 s few heard anything. So they spread, and back off to what it can bear.
-CALL_US = SECOND // 10  # of its time that one call may take
-WATCH_MIN_US, WATCH_MAX_US = SECOND // 5, 8 * SECOND  # wait after a failed call, doubled each time
+CALL_US = SECOND_US // 10  # of its time that one call may take
+WATCH_MIN_US, WATCH_MAX_US = SECOND_US // 5, 8 * SECOND_US  # wait after a failed call, doubled each time
 
 
 class Membership:
     """The servers by id; `ready` are those that new work may go to."""
 
-    def __init__(self, core: Core) -> None:
-        self.core = core
-        self.servers: dict[BackendId, Server] = {}
-        self.ready: list[Server] = []
-        self.tags: dict[int, Server] = {}
-        self.out: set[BackendId] = set()  # by operators
-        self.back: dict[BackendId, int] = {}  # when that last changed; who comes back is cold
+    def __init__(self, core: Context) -> None:
+        self.context = core
+        self.backends: dict[BackendId, BackendRecord] = {}
+        self.ready: list[BackendRecord] = []
+        self.by_tag: dict[int, BackendRecord] = {}
+        self.in_maintenance: set[BackendId] = set()  # by operators
+        self.maintenance_changed_at: dict[BackendId, int] = {}  # when that last changed; who comes back is cold
         self.watching = self.watch_planned = False
         self.spread_us = min((core.settings.balancer_count - 1) * CALL_US, WATCH_MAX_US // 2)
         self.watch_wait = self.watch_first = max(WATCH_MIN_US, self.spread_us)
 
-    def changed(self, e: BackendsChanged) -> bool:
+    def on_backends_changed(self, e: BackendsChanged) -> bool:
         """Whether it told of anybody: a failed call does not."""
-        now = self.core.now
+        now = self.context.now
         if e.kind is ListKind.FAILED:
             self.watching = False
-            self._watch_in(int(self.watch_wait * (0.5 + self.core.rng.random())))
+            self._watch_in(int(self.watch_wait * (0.5 + self.context.rng.random())))
             self.watch_wait = min(2 * self.watch_wait, WATCH_MAX_US)
             return False
         if e.kind is not ListKind.CACHED:
             self.watch_wait = self.watch_first
         for b in e.backends:
-            s = self.servers.get(b.id)
+            s = self.backends.get(b.id)
             if s is None:
-                s = self.servers[b.id] = Server(b, now)
-                s.out, s.back_at = b.id in self.out, self.back.get(b.id, 0)
+                s = self.backends[b.id] = BackendRecord(b, now)
+                s.in_maintenance, s.returned_at = b.id in self.in_maintenance, self.maintenance_changed_at.get(b.id, 0)
             elif b.started_at != s.started_at:
                 s.reset(now)  # a new process under the same id
-            s.adopt(b)
+            s.update_from(b)
         if e.kind is not ListKind.DELTA:
             named = {b.id for b in e.backends}
-            for server in self.servers.values():
+            for server in self.backends.values():
                 if server.id not in named:
                     server.state = BackendState.GONE
-        if self.core.settings.discovery is DiscoveryMode.POLL and not self.watching:
+        if self.context.settings.discovery is DiscoveryMode.POLL and not self.watching:
             first = e.kind is ListKind.CACHED and self.spread_us
-            self._watch_in(int(self.spread_us * self.core.rng.random()) if first else 0)
+            self._watch_in(int(self.spread_us * self.context.rng.random()) if first else 0)
         return self._settle()
 
-    def maintained(self, e: MaintenanceChanged) -> bool:
-        if e.in_maintenance != (e.backend in self.out):
-            (self.out.add if e.in_maintenance else self.out.remove)(e.backend)
-            self.back[e.backend] = now = self.core.now
-            s = self.servers.get(e.backend)
+    def on_maintenance_changed(self, e: MaintenanceChanged) -> bool:
+        if e.in_maintenance != (e.backend in self.in_maintenance):
+            (self.in_maintenance.add if e.in_maintenance else self.in_maintenance.remove)(e.backend)
+            self.maintenance_changed_at[e.backend] = now = self.context.now
+            s = self.backends.get(e.backend)
             if s is not None:
-                s.out, s.back_at = e.in_maintenance, now
+                s.in_maintenance, s.returned_at = e.in_maintenance, now
                 s.reset(now)  # what is known is of the process before, and lists tell of the next one late
         return self._settle()
 
     def _settle(self) -> bool:
         """Drop who is gone: ids are ever new. One with attempts or askers out goes when they have ended."""
-        kept = [s for s in self.servers.values() if s.state is not BackendState.GONE or s.open or s.askers]
-        self.servers = {s.id: s for s in kept}
-        self.ready = [s for s in self.servers.values() if s.serves]
-        self.tags = {s.tag: s for s in self.servers.values()}
+        kept = [s for s in self.backends.values() if s.state is not BackendState.GONE or s.in_flight or s.probe_waiters]
+        self.backends = {s.id: s for s in kept}
+        self.ready = [s for s in self.backends.values() if s.accepts_work]
+        self.by_tag = {s.tag: s for s in self.backends.values()}
         return True
 
     def _watch_in(self, us: int) -> None:
@@ -77,10 +77,10 @@
             return self._watch(None)
         if not self.watch_planned:
             self.watch_planned = True
-            self.core.later(self.core.now + us, self._watch, None)
+            self.context.call_at(self.context.now + us, self._watch, None)
 
     def _watch(self, _: None) -> None:
         self.watch_planned = False
         if not self.watching:
             self.watching = True
-            self.core.actions.append(Watch())
+            self.context.actions.append(Watch())
--- a/lilacsill/balancing/logic/sampling.py
+++ b/lilacsill/balancing/logic/sampling.py
@@ -11,7 +11,7 @@
 from .membership import Membership
 from .outlier_detection import OutlierDetector
 from .peer_reports import peers_told
-from .records import Request, Server
+from .records import RequestRecord, BackendRecord
 from .saturation import SaturationCache
 from .warm_up_budget import WarmUpBudget
 
@@ -31,151 +31,167 @@
     """Two uniform samples among the servers that are fit, compared by band."""
 
     def __init__(self, members: Membership, table: LoadTable, health: OutlierDetector, cold: WarmUpBudget) -> None:
-        self.core, self.members, self.table = members.core, members, table
-        settings, classes = self.core.settings, self.core.settings.classes
-        self.health, self.cold, self.tells = health, cold, peers_told(settings, table.column)
-        self.bearable = {c.name: min(d.latency_target_us for d in classes if d.value >= c.value) for c in classes}
-        self.among(settings.balancer_count)
+        self.context, self.members, self.table = members.context, members, table
+        settings, classes = self.context.settings, self.context.settings.classes
+        self.outliers, self.warm_up, self.peer_fanout = health, cold, peers_told(settings, table.load_column)
+        self.strictest_target_us = {
+            c.name: min(d.latency_target_us for d in classes if d.value >= c.value) for c in classes
+        }
+        self.set_balancer_count(settings.balancer_count)
         # LoadProber both samples of each request must be cheap, and there must be something to learn by it.
-        self.asks = settings.can_probe and table.column >= 0 and 2 * settings.prices.probe <= PROBE_SPEND
+        self.asks = settings.can_probe and table.load_column >= 0 and 2 * settings.prices.probe <= PROBE_SPEND
         self.ask_us = int(ASK_SHARE * min(c.latency_target_us for c in settings.classes))
         # So young an entry is known, and no free pass is needed to learn of it.
-        self.known_us = self.ask_us if self.asks else FORGET_US if self.tells else -1
-        self.full, self.homes = SaturationCache(), AffinityMap()
+        self.known_us = self.ask_us if self.asks else FORGET_US if self.peer_fanout else -1
+        self.saturation, self.affinity = SaturationCache(), AffinityMap()
         self.picks_left = 0  # picks that the cutoffs still serve
 
-    def among(self, siblings: int) -> None:
-        self.idle = IDLE / siblings
+    def set_balancer_count(self, siblings: int) -> None:
+        self.unpredicted_load = IDLE / siblings
 
-    def pool(self, r: Request) -> list[Server]:
-        if not r.may_have_run or r.cls.idempotency is Idempotency.IDEMPOTENT:
+    def candidates(self, r: RequestRecord) -> list[BackendRecord]:
+        if not r.may_have_run or r.request_class.idempotency is Idempotency.IDEMPOTENT:
             return self.members.ready
-        return [s for s in self.members.ready if self.may_go(r, s)]
+        return [s for s in self.members.ready if self.may_run_on(r, s)]
 
     def late(self) -> bool:
         """Whether the caller's core is full: its timers come late by more than an echo may take."""
-        return self.core.lag_us > self.ask_us
+        return self.context.timer_lag_us > self.ask_us
 
     def asks_now(self) -> bool:
         """Whether an echo can come in time. To a late caller none does, and what asking costs is the first
         thing to leave out."""
         return self.asks and not self.late()
 
-    def may_go(self, r: Request, s: Server) -> bool:
+    def may_run_on(self, r: RequestRecord, s: BackendRecord) -> bool:
         """Rules 2 and 3: asked again when an echo is in, for lists and windows change while it is awaited."""
-        if not s.serves or not r.may_have_run or r.cls.idempotency is Idempotency.IDEMPOTENT:
-            return s.serves
+        if not s.accepts_work or not r.may_have_run or r.request_class.idempotency is Idempotency.IDEMPOTENT:
+            return s.accepts_work
         _, first, sent = r.may_have_run[0]
-        until = sent + r.cls.dedup_window_us - 2 * self.core.settings.tick_us
-        if r.cls.idempotency is Idempotency.NOT_IDEMPOTENT or self.core.now >= until:
+        until = sent + r.request_class.dedup_window_us - 2 * self.context.settings.tick_us
+        if r.request_class.idempotency is Idempotency.NOT_IDEMPOTENT or self.context.now >= until:
             return False
-        same = s.zone == first.zone if r.cls.dedup_scope is DedupScope.ZONE else s.cell == first.cell
-        return same or r.cls.dedup_scope is DedupScope.ALL
+        same = s.zone == first.zone if r.request_class.dedup_scope is DedupScope.ZONE else s.cell == first.cell
+        return same or r.request_class.dedup_scope is DedupScope.ALL
 
-    def admits(self, r: Request, s: Server) -> bool:
+    def admits(self, r: RequestRecord, s: BackendRecord) -> bool:
         # Where peers tell every answer, a server of which nothing is heard hangs: balancers that each found
         # out by themselves lost a tenth of all requests. Some still try it; of cold ones less is heard.
-        now = self.core.now
-        silence = (now - s.news_at) * r.luck * self.cold.warmth(s, now) if self.tells else 0
-        if silence > 2 * max(FRESH_US, self.core.now - self.table.news_at):
+        now = self.context.now
+        silence = (
+            (now - s.updated_at) * r.uniform_draw * self.warm_up.capacity_fraction(s, now) if self.peer_fanout else 0
+        )
+        if silence > 2 * max(FRESH_US, self.context.now - self.table.median_updated_at):
             return False
         if (
-            s.told.expires_at_us > now
-            and s.told.observed_at_us > s.answered_at
-            and (s.told.ejected or r.luck > LOOKED_AT)
+            s.peer_health.expires_at_us > now
+            and s.peer_health.observed_at_us > s.answered_at
+            and (s.peer_health.ejected or r.uniform_draw > LOOKED_AT)
         ):
             return False  # others found it ill; what it has answered here since goes first
-        return self.cold.admits(s, now, r.luck) and self.health.admits(s, now, self.table.typical)
+        return self.warm_up.admits(s, now, r.uniform_draw) and self.outliers.admits(
+            s, now, self.table.typical_latency_us
+        )
 
-    def two(self, r: Request, pool: list[Server]) -> tuple[Server, Server] | None:
+    def draw_pair(self, r: RequestRecord, pool: list[BackendRecord]) -> tuple[BackendRecord, BackendRecord] | None:
         """Two uniform samples with replacement among the servers that are fit for this request."""
-        now, limit = self.core.now, self.limit(r)
+        now, limit = self.context.now, self.time_limit(r)
         # Only where time is short: entries grow old and may be asked about again without any news.
-        if self.late() and self.full.holds(r, now, limit):
+        if self.late() and self.saturation.covers(r, now, limit):
             return None
-        pair = self._draw(r, pool, limit, r.aim_at - now)
+        pair = self._draw(r, pool, limit, r.target_at - now)
         if pair is None:
-            by_luck = self.tells > 0 or any(self.cold.warmth(s, now) < 1.0 for s in pool)
+            by_luck = self.peer_fanout > 0 or any(self.warm_up.capacity_fraction(s, now) < 1.0 for s in pool)
             busy = any(self.admits(r, s) for s in pool[:DRAWS])
-            self.full.found(r, now, limit, busy, self.core.lag_us, by_luck)
+            self.saturation.record(r, now, limit, busy, self.context.timer_lag_us, by_luck)
         return pair
 
-    def _draw(self, r: Request, pool: list[Server], limit: float, left: int) -> tuple[Server, Server] | None:
-        random, n = self.core.rng.random, len(pool)
-        self._index()
-        fit: list[Server] = []
-        homes = (s for s in self.homes.of(r.key) if self.may_go(r, s))  # uniform over the keys
+    def _draw(
+        self, r: RequestRecord, pool: list[BackendRecord], limit: float, left: int
+    ) -> tuple[BackendRecord, BackendRecord] | None:
+        random, n = self.context.rng.random, len(pool)
+        self._refresh()
+        fit: list[BackendRecord] = []
+        homes = (
+            s for s in self.affinity.backends_for(r.affinity_key) if self.may_run_on(r, s)
+        )  # uniform over the keys
         drawn = (pool[int(random() * n)] for _ in range(max(2, min(DRAWS, n // 2))))  # over those that fit
         for s in chain(homes, drawn):
-            if s not in r.tried and self.admits(r, s) and self.hopeful(r, s, limit, left):
+            if s not in r.tried and self.admits(r, s) and self.is_feasible(r, s, limit, left):
                 fit.append(s)
                 if len(fit) == 2:
                     return fit[0], fit[1]
         if n <= DRAWS:
             fit = [s for s in pool if self.admits(r, s)]
             fit = [s for s in fit if s not in r.tried] or fit
-            fit = [s for s in fit if self.hopeful(r, s, limit, left)]
+            fit = [s for s in fit if self.is_feasible(r, s, limit, left)]
         if not fit:
             return None
         return fit[int(random() * len(fit))], fit[int(random() * len(fit))]
 
-    def _index(self) -> None:
+    def _refresh(self) -> None:
         """Look at all entries: their mean and cutoffs, which then serve for some picks in a large fleet."""
         self.picks_left -= 1
         if self.picks_left >= 0:
             return
-        now, n = self.core.now, len(self.members.ready)
+        now, n = self.context.now, len(self.members.ready)
         self.picks_left = n // REINDEX
-        self.health.look(self.members.ready, now, self.table.typical, self.core.stood_at)
-        self.cold.look(self.members.ready, now, self.table.pace)
-        self.table.look(self.members.ready, now, self.core.stood_at)
+        self.outliers.refresh(self.members.ready, now, self.table.typical_latency_us, self.context.resumed_at)
+        self.warm_up.refresh(self.members.ready, now, self.table.service_time_us)
+        self.table.refresh(self.members.ready, now, self.context.resumed_at)
         for s in self.members.ready:
-            s.warmth = self.cold.warmth(s, now)
-            s.pace = self.table.pace_of(s, now, s.warmth)
-        self.table.cuts = cutoffs([self._rank(s) for s in self.members.ready]) if n else []
+            s.capacity_fraction = self.warm_up.capacity_fraction(s, now)
+            s.service_time_us = self.table.predicted_service_time(s, now, s.capacity_fraction)
+        self.table.band_cutoffs = cutoffs([self._rank(s) for s in self.members.ready]) if n else []
 
-    def limit(self, r: Request) -> float:
+    def time_limit(self, r: RequestRecord) -> float:
         """The longest predicted time to an answer with which a server may still be sampled."""
-        if not self.table.pace:
+        if not self.table.service_time_us:
             return float("inf")
         # A class that can wait longer must not crowd the servers beyond what one worth as much can bear.
-        share = GIVE_WAY if r.gives_way else HEADROOM
-        return min(r.aim_at - self.core.now, self.bearable[r.cls.name]) * share
+        share = GIVE_WAY if r.low_priority else HEADROOM
+        return min(r.target_at - self.context.now, self.strictest_target_us[r.request_class.name]) * share
 
-    def hopeful(self, r: Request, s: Server, limit: float, left: int, asked: bool = False) -> bool:
+    def is_feasible(self, r: RequestRecord, s: BackendRecord, limit: float, left: int, asked: bool = False) -> bool:
         """Whether a server may be sampled, by its predicted time and what it holds of ours. `asked`: its
         entry is as good as it gets."""
         # Heavy requests that not even an idle server could answer in time took a third of the fleet. While
         # most servers hold nothing they displace little, and hints are rough: then they may try.
-        workable = r.size <= 1.0 or r.size * s.pace * min(1.0, self.table.mean) <= left
-        if self.core.now - s.heard_at <= self.known_us:
+        workable = (
+            r.relative_cost <= 1.0 or r.relative_cost * s.service_time_us * min(1.0, self.table.mean_load) <= left
+        )
+        if self.context.now - s.reported_at <= self.known_us:
             # Known, not guessed: no pass here, but one that holds nothing is fit.
-            held = s.own(self.core.now) + self.table.others(s, self.core.now)
+            held = s.own_load(self.context.now) + self.table.other_load(s, self.context.now)
             # Nor is it refused for what comes after the aim but keeps part of its worth.
-            late = 0.0 if r.gives_way else r.cls.late_value * (r.deadline - r.aim_at)
-            return workable if held < 1.0 else (held + r.size) * s.pace <= limit + HEADROOM * late
-        own, few = s.own(self.core.now), self.idle >= 1.0
+            late = 0.0 if r.low_priority else r.request_class.late_value * (r.deadline - r.target_at)
+            return workable if held < 1.0 else (held + r.relative_cost) * s.service_time_us <= limit + HEADROOM * late
+        own, few = s.own_load(self.context.now), self.unpredicted_load >= 1.0
         if not asked and self.asks_now():
             return workable  # refused on what it says, not on what it was once taken for
         # A balancer among few knows too little to refuse by a guess: a server that holds next to nothing of
         # ours may be tried. Forty with a pass each sent a slow fleet too much for seconds: there the guess
         # decides, but for cold servers, which have a budget. Failed attempts count as held, or are for ever.
-        if own < 1.0 and (few or s.warmth < 1.0):
+        if own < 1.0 and (few or s.capacity_fraction < 1.0):
             return workable
-        if few and not s.open and self.core.now - max(s.heard_at, s.sent_at) > SHUN_US:
+        if few and not s.in_flight and self.context.now - max(s.reported_at, s.sent_at) > SHUN_US:
             return workable  # nobody else would ever correct the entry
-        predicted = (own + self.table.others(s, self.core.now) + r.size) * s.pace
-        return predicted <= limit or (own < self.idle and predicted <= (left if few else GUESSED * left))
+        predicted = (own + self.table.other_load(s, self.context.now) + r.relative_cost) * s.service_time_us
+        return predicted <= limit or (own < self.unpredicted_load and predicted <= (left if few else GUESSED * left))
 
-    def _rank(self, s: Server) -> float:
+    def _rank(self, s: BackendRecord) -> float:
         """What the bands are made of."""
         # A random fraction, or small counts tie: with half the servers idle the median itself is idle.
-        held = s.own(self.core.now) + self.table.others(s, self.core.now) + s.bounced.at(self.core.now)
-        return (held + self.core.rng.random()) * s.pace
-
-    def lighter(self, r: Request, pair: tuple[Server, Server]) -> tuple[Server, float]:
+        held = (
+            s.own_load(self.context.now)
+            + self.table.other_load(s, self.context.now)
+            + s.immediate_failures.value_at(self.context.now)
+        )
+        return (held + self.context.rng.random()) * s.service_time_us
+
+    def choose(self, r: RequestRecord, pair: tuple[BackendRecord, BackendRecord]) -> tuple[BackendRecord, float]:
         """The sample in the lower band, and what it will hold with this request."""
         one, other = pair
-        rng = None if r.key else self.core.rng
-        s = one if lower_band(rng, self.table.cuts, self._rank(one), self._rank(other)) else other
-        return s, s.own(self.core.now) + self.table.others(s, self.core.now) + r.size
+        rng = None if r.affinity_key else self.context.rng
+        s = one if lower_band(rng, self.table.band_cutoffs, self._rank(one), self._rank(other)) else other
+        return s, s.own_load(self.context.now) + self.table.other_load(s, self.context.now) + r.relative_cost
--- a/lilacsill/balancing/mechanisms/deadline_queue.py
+++ b/lilacsill/balancing/mechanisms/deadline_queue.py
@@ -12,22 +12,22 @@
 
     def __init__(self) -> None:
         self._count = 0
-        self._due: list[tuple[int, int, Callable[[Any], None], Any]] = []
-        self.armed = 0  # the time that was last named; 0: none
+        self._entries: list[tuple[int, int, Callable[[Any], None], Any]] = []
+        self.armed_at = 0  # the time that was last named; 0: none
 
     def add(self, at: int, call: Callable[[Any], None], what: Any) -> None:
         self._count += 1
-        heappush(self._due, (at, self._count, call, what))
+        heappush(self._entries, (at, self._count, call, what))
 
-    def unnamed(self) -> int:
+    def next_to_arm(self) -> int:
         """The earliest time, if it is earlier than the one last named, which it becomes; else 0."""
-        if not self._due or (self.armed and self._due[0][0] >= self.armed):
+        if not self._entries or (self.armed_at and self._entries[0][0] >= self.armed_at):
             return 0
-        self.armed = self._due[0][0]
-        return self.armed
+        self.armed_at = self._entries[0][0]
+        return self.armed_at
 
-    def run(self, now: int) -> None:
+    def run_due(self, now: int) -> None:
         """Call all that is due, and what falls due by that."""
-        while self._due and self._due[0][0] <= now:
-            _, _, call, what = heappop(self._due)
+        while self._entries and self._entries[0][0] <= now:
+            _, _, call, what = heappop(self._entries)
             call(what)
--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_judgements.py
@@ -222,7 +222,7 @@
 def test_a_backend_that_several_found_ill_gets_nothing_until_it_answers_here_or_the_word_ends() -> None:
     d = Drive(servers=8)
     d.serve(60)
-    victim = next(iter(d.balancer.members.servers))
+    victim = next(iter(d.balancer.members.backends))
     seen = d.now + 1
     d.wait(MS)
     d.event(PeerHealthChanged(victim, True, seen, d.now + 2 * SECOND))
@@ -245,7 +245,7 @@
     for said in (False, True):
         d = Drive(servers=4)
         d.serve(60)
-        victim = next(iter(d.balancer.members.servers))
+        victim = next(iter(d.balancer.members.backends))
         d.wait(MS)
         got = 0
         for _ in range(400):
@@ -261,10 +261,10 @@
 def test_a_part_of_nothing_sends_nothing_cold_and_its_end_is_its_own() -> None:
     for cold_part, then, expected in ((0.0, 0.0, 0), (0.0, 1.0, 1), (1.0, 1.0, 1)):
         d = Drive(servers=4)
-        cold = d.balancer.sampler.cold
-        cold.whole, cold.credit, cold.at = 1e-6, 0.0, d.now
+        cold = d.balancer.sampler.warm_up
+        cold.fleet_rate, cold.credit, cold.credited_at = 1e-6, 0.0, d.now
         d.event(FleetChanged(4, cold_part, d.now + SECOND, then))
-        assert cold._earned(d.now + 3 * SECOND) == expected
+        assert cold._credit_at(d.now + 3 * SECOND) == expected
 
 
 def test_a_word_that_is_not_renewed_ends_by_itself() -> None:
@@ -281,4 +281,4 @@
         if said:
             d.event(PeerHealthChanged(send.backend, False, d.now + 1, d.now + SECOND))
         d.end(send, Outcome.ERROR)
-        assert (d.balancer.members.servers[send.backend].out_until > d.now) is said
+        assert (d.balancer.members.backends[send.backend].ejected_until > d.now) is said
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -24,8 +24,8 @@
     Send,
 )
 from lilacsill.balancing.logic.concurrency_window import ConcurrencyWindow
-from lilacsill.balancing.logic.outcomes import AT_ONCE, LEAVES_WORK, tells_full
-from lilacsill.balancing.logic.records import Request
+from lilacsill.balancing.logic.outcomes import FAILED_IMMEDIATELY, MAY_STILL_RUN, is_overload_rejection
+from lilacsill.balancing.logic.records import RequestRecord
 from lilacsill.balancing.mechanisms.decay import DecayingWeight
 from lilacsill.balancing.mechanisms.majority import VOTES, usual
 from lilacsill.emulator.lab.module import here
@@ -68,49 +68,51 @@
     return str(sends[0].backend)
 
 
-@pytest.mark.parametrize("outcome", sorted(set(Outcome) - LEAVES_WORK - {Outcome.OK}, key=str))
+@pytest.mark.parametrize("outcome", sorted(set(Outcome) - MAY_STILL_RUN - {Outcome.OK}, key=str))
 def test_what_surely_does_not_run_leaves_no_work_behind(outcome: Outcome) -> None:
     d = asking(servers=1)
     name = fail(d, outcome)
-    server = d.balancer.members.servers[name]
-    assert server.own(d.now) == len(server.open)
+    server = d.balancer.members.backends[name]
+    assert server.own_load(d.now) == len(server.in_flight)
 
 
 @pytest.mark.parametrize("outcome", [Outcome.TIMEOUT, Outcome.RESET, Outcome.CANCELLED])
 def test_what_may_still_run_weighs_until_a_later_report_counts_it(outcome: Outcome) -> None:
     d = asking(servers=1)
-    server = d.balancer.members.servers[fail(d, outcome)]
-    assert server.own(d.now) - len(server.open) == pytest.approx(1.0)
-    asked = server.asked_at
-    server.asked_at = d.now - 1  # a probe from before the attempt ended may not count it
+    server = d.balancer.members.backends[fail(d, outcome)]
+    assert server.own_load(d.now) - len(server.in_flight) == pytest.approx(1.0)
+    asked = server.probe_sent_at
+    server.probe_sent_at = d.now - 1  # a probe from before the attempt ended may not count it
     d.event(ProbeEnded("s0", Outcome.OK, 2 * MS, (0.0, 0.0, 0.0)))
-    assert server.own(d.now) - len(server.open) == pytest.approx(1.0), asked
+    assert server.own_load(d.now) - len(server.in_flight) == pytest.approx(1.0), asked
     d.wait(MS)
-    server.asked_at = d.now
+    server.probe_sent_at = d.now
     d.event(ProbeEnded("s0", Outcome.OK, 2 * MS, (0.0, 0.0, 0.0)))
-    assert server.own(d.now) == len(server.open)
+    assert server.own_load(d.now) == len(server.in_flight)
 
 
 def test_an_answer_of_the_server_counts_too() -> None:
     d = asking(servers=1)
-    server = d.balancer.members.servers[fail(d, Outcome.TIMEOUT)]
+    server = d.balancer.members.backends[fail(d, Outcome.TIMEOUT)]
     fail(d, Outcome.OK, (3.0, 2.0, 1.0))
-    assert server.own(d.now) == len(server.open) and server.others == pytest.approx(2.0 - len(server.open))
+    assert server.own_load(d.now) == len(server.in_flight) and server.other_load == pytest.approx(
+        2.0 - len(server.in_flight)
+    )
 
 
-@pytest.mark.parametrize("outcome", sorted(AT_ONCE, key=str))
+@pytest.mark.parametrize("outcome", sorted(FAILED_IMMEDIATELY, key=str))
 def test_a_server_that_ends_all_at_once_looks_heavy_whatever_it_reports(outcome: Outcome) -> None:
     d = asking(servers=2)
     name = fail(d, outcome, (0.0, 0.0, 0.0))
-    bad = d.balancer.members.servers[name]
+    bad = d.balancer.members.backends[name]
     good = next(s for s in d.balancer.members.ready if s is not bad)
     for s in (bad, good):
-        d.balancer.table.holds(d.now, s, 0.0, d.now)
+        d.balancer.table.record_report(d.now, s, 0.0, d.now)
     rank = d.balancer.sampler._rank
     assert min(rank(bad) for _ in range(50)) > max(rank(good) for _ in range(50))
-    fail_again = bad.bounced.at(d.now)
-    bad.bounced.clear()
-    assert fail_again == 1.0 and bad.bounced.at(d.now) == 0.0
+    fail_again = bad.immediate_failures.value_at(d.now)
+    bad.immediate_failures.clear()
+    assert fail_again == 1.0 and bad.immediate_failures.value_at(d.now) == 0.0
 
 
 def test_fullness_told_by_a_server_that_answers_is_load_and_no_illness() -> None:
@@ -121,7 +123,7 @@
         ended += 1
         sends = only(d.end(sends[0], Outcome.REJECTED, report=(9.0, 8.0, 1.0)) + d.wait(60 * MS), Send)
     assert ended == 4
-    assert d.balancer.members.servers["s0"].out_until == 0
+    assert d.balancer.members.backends["s0"].ejected_until == 0
 
 
 def test_one_that_turns_away_and_reports_nothing_held_is_ill() -> None:
@@ -130,7 +132,7 @@
         _, actions = d.request()
         for s in only(actions, Send) + only(d.wait(5 * MS), Send):
             d.end(s, Outcome.REJECTED if s.backend == "s0" else Outcome.OK, report=(0.0, 0.0, 0.0))
-    assert d.balancer.members.servers["s0"].out_until > 0
+    assert d.balancer.members.backends["s0"].ejected_until > 0
 
 
 @given(st.lists(st.integers(0, 10 * SECOND), max_size=20), st.integers(1, SECOND))
@@ -138,20 +140,20 @@
     f, now = DecayingWeight(), 0
     for wait in waits:
         now += wait
-        before = f.at(now)
-        assert 0.0 <= f.at(now + half) <= before
+        before = f.value_at(now)
+        assert 0.0 <= f.value_at(now + half) <= before
         f.add(now, half)
-        assert f.at(now) == pytest.approx(before + 1.0)
-        assert f.at(now + half) == pytest.approx((before + 1.0) / 2)
+        assert f.value_at(now) == pytest.approx(before + 1.0)
+        assert f.value_at(now + half) == pytest.approx((before + 1.0) / 2)
     f.clear()
-    assert f.at(now) == 0.0
+    assert f.value_at(now) == 0.0
 
 
 @given(st.floats(0, 100), st.floats(0, 100))
 def test_full_is_what_holds_at_least_what_the_others_hold(held: float, mean: float) -> None:
     e = AttemptEnded(1, 0, "a", Outcome.REJECTED, 1, False, (held,))
-    assert tells_full(e, 0, mean) == (held >= max(1.5, mean))
-    assert not tells_full(e, -1, mean) and not tells_full(e, 1, mean)
+    assert is_overload_rejection(e, 0, mean) == (held >= max(1.5, mean))
+    assert not is_overload_rejection(e, -1, mean) and not is_overload_rejection(e, 1, mean)
 
 
 def test_no_request_is_refused_by_an_entry_that_nobody_has_asked_about() -> None:
@@ -159,7 +161,7 @@
     d.held = {}
     d.serve(20)
     for s in d.balancer.members.ready:
-        d.balancer.table.holds(d.now, s, 50.0)
+        d.balancer.table.record_report(d.now, s, 50.0)
     d.wait(100 * MS)
     _, actions = d.request()
     assert {p.backend for p in only(actions, Probe)} and not only(actions, Reject)
@@ -168,10 +170,10 @@
 def test_where_nothing_can_be_asked_an_idle_server_is_tried_again_within_a_bound() -> None:
     d = Drive(servers=1, report_fields=REPORTS)
     d.serve(20)
-    server = d.balancer.members.servers["s0"]
-    d.balancer.table.holds(d.now, server, 0.0)
+    server = d.balancer.members.backends["s0"]
+    d.balancer.table.record_report(d.now, server, 0.0)
     for _ in range(40):
-        server.ghosts.add(d.now, 100 * SECOND)
+        server.abandoned.add(d.now, 100 * SECOND)
     assert not only(d.request()[1], Send)  # believed full
     sent = only(d.wait(200 * MS), Send)
     assert not sent
@@ -183,14 +185,14 @@
 def test_one_on_trial_that_refuses_a_probe_is_out_again_without_an_attempt() -> None:
     d = asking(servers=2)
     name = fail(d, Outcome.CONNECT_FAILED)
-    server = d.balancer.members.servers[name]
-    first = server.out_until
+    server = d.balancer.members.backends[name]
+    first = server.ejected_until
     assert first > d.now
     d.wait(first - d.now + MS)
     d.event(ProbeEnded(name, Outcome.TIMEOUT, 50 * MS))  # silence proves nothing
-    assert server.out_until == first
+    assert server.ejected_until == first
     d.event(ProbeEnded(name, Outcome.CONNECT_FAILED, MS))
-    assert server.out_until > d.now and server.out_us > 500 * MS
+    assert server.ejected_until > d.now and server.ejection_us > 500 * MS
 
 
 # The slow start, and standing still
@@ -204,26 +206,26 @@
 
 def test_answers_open_the_window_and_then_it_is_gone() -> None:
     s = ConcurrencyWindow(siblings=2)
-    s.begin(0, 4)
+    s.restart(0, 4)
     now = 0
-    while s.wanted:
+    while s.answers_needed:
         while s.admits(now, 4, 0.0, 0):
-            s.sent(now)
-        window = s.window
-        s.ended(now, answered=True)
-        assert s.window == window + 1.0
+            s.record_send(now)
+        window = s.limit
+        s.record_end(now, answered=True)
+        assert s.limit == window + 1.0
         now += MS
     assert s.admits(now, 4, 10 * MS, 0)
 
 
 def test_a_fleet_that_answers_nothing_closes_the_window_and_a_caller_that_stood_still_does_not() -> None:
     s = ConcurrencyWindow(siblings=1)
-    s.begin(0, 2)
+    s.restart(0, 2)
     for _ in range(40):
-        s.sent(0)
-        s.ended(0, answered=True)
+        s.record_send(0)
+        s.record_end(0, answered=True)
     for _ in range(50):
-        s.sent(0)
+        s.record_send(0)
     late = SECOND
     assert s.admits(late, 2, 10 * MS, stood_at=late - MS)  # the silence was the caller's own
     assert not s.admits(late, 2, 10 * MS, stood_at=0)
@@ -239,16 +241,16 @@
 def test_what_was_out_while_the_caller_stood_still_teaches_no_pace() -> None:
     d = Drive(servers=4)
     d.serve(60, 10 * MS)
-    typical, pace = d.balancer.table.typical, d.balancer.table.pace
+    typical, pace = d.balancer.table.typical_latency_us, d.balancer.table.service_time_us
     sends = [s for _ in range(4) for s in only(d.request()[1], Send)]
     d.now += 300 * MS  # no timer is handed in
     for s in sends:
         d.end(s, Outcome.OK, 300 * MS)
-    assert (d.balancer.table.typical, d.balancer.table.pace) == (typical, pace)
+    assert (d.balancer.table.typical_latency_us, d.balancer.table.service_time_us) == (typical, pace)
     for s in only(d.request()[1], Send):  # one sent afterwards does
         d.wait(20 * MS)
         d.end(s, Outcome.OK, 20 * MS)
-    assert d.balancer.table.typical > typical
+    assert d.balancer.table.typical_latency_us > typical
 
 
 # The hard cases, played
@@ -274,7 +276,7 @@
     for name in ("cold_rush", "pause", "all_new"):
         for agent in play(name).agents:
             assert not agent.tries and not agent.balancer.attempts.requests
-            assert agent.balancer.attempts.start.out == 0
+            assert agent.balancer.attempts.window.in_flight == 0
 
 
 def test_answers_that_never_come_are_not_waited_for_where_they_may_be_repeated() -> None:
@@ -337,7 +339,7 @@
     assert len(told) == 1
 
 
-def arrived(d: Drive, patience_us: int) -> Request:
+def arrived(d: Drive, patience_us: int) -> RequestRecord:
     d.requests += 1
     d.event(RequestArrived(d.requests, 0, patience_us))
     return d.balancer.attempts.requests[d.requests]
@@ -346,14 +348,14 @@
 def test_less_patience_than_usual_tells_of_a_client_that_has_waited_already() -> None:
     # hand+drain: a quarter of all answers went to repeats whose aim had passed, and first tries were refused.
     d = Drive()
-    assert not any(arrived(d, 290 * MS).gives_way for _ in range(20))
-    assert arrived(d, 170 * MS).gives_way
-    assert not arrived(d, 290 * MS).gives_way and not arrived(d, 400 * MS).gives_way
+    assert not any(arrived(d, 290 * MS).low_priority for _ in range(20))
+    assert arrived(d, 170 * MS).low_priority
+    assert not arrived(d, 290 * MS).low_priority and not arrived(d, 400 * MS).low_priority
 
 
 def test_where_no_patience_is_usual_nobody_gives_way_for_it() -> None:
     d = Drive()
-    assert not any(arrived(d, (300 + n * 37 % 100) * MS).gives_way for n in range(200))
+    assert not any(arrived(d, (300 + n * 37 % 100) * MS).low_priority for n in range(200))
 
 
 @given(st.lists(st.integers(0, 5), max_size=300))
--- a/tests/test_cold_servers.py
+++ b/tests/test_cold_servers.py
@@ -7,7 +7,7 @@
     Outcome,
     Send,
 )
-from lilacsill.balancing.logic.warm_up_budget import SAFE
+from lilacsill.balancing.logic.warm_up_budget import FLEET_SHARE
 from tests.helpers import MS, SECOND, Drive, only
 
 
@@ -76,7 +76,7 @@
     # and little was served because they did nothing.
     for outcome in (Outcome.OK, Outcome.REJECTED):
         fleet = Cold(per_s=40, outcome=outcome)
-        assert 0.7 <= fleet.part <= SAFE * 2.5  # of what they surely can do; 2.5 pushes them over
+        assert 0.7 <= fleet.part <= FLEET_SHARE * 2.5  # of what they surely can do; 2.5 pushes them over
         assert fleet.worst < 2.5
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -20,8 +20,8 @@
     SendPeerMessage,
 )
 from lilacsill.balancing.logic.attempts import RETRY_BURST, RETRY_SHARE
-from lilacsill.balancing.logic.peer_reports import NOTE
-from lilacsill.balancing.logic.records import Request, Server
+from lilacsill.balancing.logic.peer_reports import REPORT
+from lilacsill.balancing.logic.records import RequestRecord, BackendRecord
 from tests.helpers import MS, SECOND, Drive, only
 
 
@@ -57,9 +57,9 @@
     _, actions = d.request()
     send = only(actions, Send)[0]
     d.end(send, Outcome.TIMEOUT)
-    server = d.balancer.members.servers[send.backend]
-    first = server.own(d.now) - len(server.open)
-    later = server.own(d.now + 10 * SECOND) - len(server.open)
+    server = d.balancer.members.backends[send.backend]
+    first = server.own_load(d.now) - len(server.in_flight)
+    later = server.own_load(d.now + 10 * SECOND) - len(server.in_flight)
     assert first == 1.0 and 0.0 < later < 0.2
 
 
@@ -71,9 +71,9 @@
     d.wait(100 * MS)
     d.end(only(quick, Send)[0], Outcome.OK, 100 * MS)
     d.wait(200 * MS)
-    before = d.balancer.members.servers["s0"].streak
+    before = d.balancer.members.backends["s0"].consecutive_failures
     d.end(only(slow, Send)[0], Outcome.TIMEOUT, 300 * MS)
-    assert d.balancer.members.servers["s0"].streak == before == 0
+    assert d.balancer.members.backends["s0"].consecutive_failures == before == 0
 
 
 def test_crowded_server_is_shed_well_before_the_aim_is_lost() -> None:
@@ -115,17 +115,17 @@
     d = Drive(servers=320)
     d.serve(10)
     looks, draws = [], []
-    look, admits = d.balancer.table.look, d.balancer.sampler.admits
+    look, admits = d.balancer.table.refresh, d.balancer.sampler.admits
 
-    def looked(servers: list[Server], now: int, stood_at: int) -> None:
+    def looked(servers: list[BackendRecord], now: int, stood_at: int) -> None:
         looks.append(now)
         look(servers, now, stood_at)
 
-    def drawn(r: Request, s: Server) -> bool:
+    def drawn(r: RequestRecord, s: BackendRecord) -> bool:
         draws.append(s)
         return admits(r, s)
 
-    d.balancer.table.look = looked  # type: ignore[method-assign]
+    d.balancer.table.refresh = looked  # type: ignore[method-assign]
     d.balancer.sampler.admits = drawn  # type: ignore[method-assign]
     sends = [s for _ in range(160) for s in only(d.request()[1], Send)]
     assert len(sends) == 160 and len(looks) <= 2 and len(draws) <= 3 * 160
@@ -207,9 +207,9 @@
     other = Drive(servers=4, seed=3, report_fields=("inflight",), can_message_peers=True, balancer_count=5)
     for junk in (b"", b"\xff" * len(told[0].payload), told[0].payload + b"\0"):
         other.event(PeerMessageReceived(2, junk))
-    assert not any(s.heard_at for s in other.balancer.members.servers.values())
+    assert not any(s.reported_at for s in other.balancer.members.backends.values())
     other.event(PeerMessageReceived(2, told[0].payload))
-    assert [s.others for s in other.balancer.members.servers.values() if s.heard_at] == [8.0]
+    assert [s.other_load for s in other.balancer.members.backends.values() if s.reported_at] == [8.0]
 
 
 def test_a_peer_is_believed_about_listed_servers_only() -> None:
@@ -227,8 +227,8 @@
     d = Drive(servers=1, balancer_count=400, report_fields=("inflight",))
     for _ in range(300):
         d.end(only(d.request()[1], Send)[0], Outcome.OK, 400 * MS, report=(10.0,))
-        d.balancer.members.servers["s0"].others = 0.0  # what it is taken to hold at the next send
-    assert d.balancer.table.pace < 80 * MS
+        d.balancer.members.backends["s0"].other_load = 0.0  # what it is taken to hold at the next send
+    assert d.balancer.table.service_time_us < 80 * MS
 
 
 def test_a_reported_service_time_tells_slow_servers_apart() -> None:
@@ -240,17 +240,17 @@
         d.end(send, Outcome.OK, 100 * MS, report=(200.0 if slow else 50.0, 1.0))
         d.wait(100 * MS)
     d.request()
-    assert d.balancer.members.servers["s0"].service == 200.0
-    assert d.balancer.members.servers["s0"].pace > d.balancer.members.servers["s1"].pace
+    assert d.balancer.members.backends["s0"].reported_service_ms == 200.0
+    assert d.balancer.members.backends["s0"].service_time_us > d.balancer.members.backends["s1"].service_time_us
 
 
 def test_a_server_that_peers_fall_silent_about_is_drawn_rarely() -> None:
     # bajio big-2: each of 351 balancers found ten hung servers by losing a request to each.
     d = Drive(servers=12, report_fields=("inflight",), can_message_peers=True, balancer_count=300)
-    tags = {s.id: tag for tag, s in d.balancer.members.tags.items()}
+    tags = {s.id: tag for tag, s in d.balancer.members.by_tag.items()}
     for _ in range(20):
         for b in d.backends[1:]:
-            d.event(PeerMessageReceived(1, NOTE.pack(tags[b.id], 1, 0)))
+            d.event(PeerMessageReceived(1, REPORT.pack(tags[b.id], 1, 0)))
         d.wait(SECOND)
     sent = []
     for _ in range(600):
@@ -258,7 +258,7 @@
             sent.append(s.backend)
             d.end(s, Outcome.OK, MS)  # answers open the slow start; they bring no report
     assert 1 <= sent.count("s0") <= 25 and len(sent) == 600  # an even share is 50
-    d.event(PeerMessageReceived(1, NOTE.pack(tags["s0"], 1, 0)))
+    d.event(PeerMessageReceived(1, REPORT.pack(tags["s0"], 1, 0)))
     sent = [s.backend for _ in range(600) for s in only(d.request()[1], Send)]
     assert sent.count("s0") >= 30
 
@@ -271,7 +271,7 @@
         for _ in range(30):
             d.end(only(d.request()[1], Send)[0], Outcome.OK, 100 * MS, report=(1.0,))
             d.wait(100 * MS)
-        d.event(PeerMessageReceived(1, NOTE.pack(next(iter(d.balancer.members.tags)), 6, 0)))
+        d.event(PeerMessageReceived(1, REPORT.pack(next(iter(d.balancer.members.by_tag)), 6, 0)))
         actions = d.event(RequestArrived(900, 0, 4 * SECOND, is_retry=retry))
         assert bool(only(actions, Send)) is not retry
 
@@ -285,11 +285,11 @@
         d.list(Backend(f"new{i}"), Backend(f"new{i - 1}", BackendState.GONE))
     d.list(Backend("s0", BackendState.GONE))
     # The last one, and the one whose attempt is out.
-    assert set(d.balancer.members.servers) == {"s0", "new49"} and len(d.balancer.members.tags) == 2
+    assert set(d.balancer.members.backends) == {"s0", "new49"} and len(d.balancer.members.by_tag) == 2
     d.end(send, Outcome.OK)
     d.event(ProbeEnded("s0", Outcome.TIMEOUT, 50 * MS))
     d.list()
-    assert set(d.balancer.members.servers) == {"new49"} and len(d.balancer.members.tags) == 1
+    assert set(d.balancer.members.backends) == {"new49"} and len(d.balancer.members.by_tag) == 1
 
 
 def test_attempts_that_clients_leave_do_not_pile_up_as_load() -> None:
@@ -305,7 +305,7 @@
             d.event(ClientDisconnected(number))
             d.end(send, Outcome.CANCELLED, 2 * MS)
         d.wait(5 * MS)
-    assert sent == 300 and all(s.own(d.now) < 5.0 for s in d.balancer.members.servers.values())
+    assert sent == 300 and all(s.own_load(d.now) < 5.0 for s in d.balancer.members.backends.values())
 
 
 def test_a_request_that_finds_all_busy_waits_a_little_for_a_place() -> None:
--- a/tests/test_fleet_bounds.py
+++ b/tests/test_fleet_bounds.py
@@ -18,7 +18,7 @@
     Settings,
     Watch,
 )
-from lilacsill.balancing.logic.records import Server
+from lilacsill.balancing.logic.records import BackendRecord
 from lilacsill.balancing.logic.warm_up_budget import WarmUpBudget
 
 from .helpers import MS, SAFE, SECOND, Drive, only
@@ -67,7 +67,7 @@
         d.serve(40)
         send = only(d.request()[1], Send)[0]
         d.end(send, Outcome.ERROR, took_us)
-        assert (d.balancer.members.servers[send.backend].out_until > d.now) is out
+        assert (d.balancer.members.backends[send.backend].ejected_until > d.now) is out
 
 
 def test_in_a_large_fleet_nobody_has_a_free_pass_to_a_full_server() -> None:
@@ -92,7 +92,7 @@
     for _ in range(200):
         for s in only(d.request()[1] + d.wait(SECOND), Send):
             d.end(s, Outcome.OK, 400 * MS)
-    assert 30 * MS <= d.balancer.table.pace <= 130 * MS
+    assert 30 * MS <= d.balancer.table.service_time_us <= 130 * MS
 
 
 @given(st.integers(1, 60), st.floats(2.0, 4.0), st.lists(st.floats(0.1, 0.99), min_size=2, max_size=12))
@@ -111,15 +111,16 @@
     )
     now = 100 * SECOND
     servers = [
-        Server(Backend(f"s{i}", started_at=int(now - (w - 0.1) / 0.9 * 20 * SECOND)), now) for i, w in enumerate(warm)
+        BackendRecord(Backend(f"s{i}", started_at=int(now - (w - 0.1) / 0.9 * 20 * SECOND)), now)
+        for i, w in enumerate(warm)
     ]
     budgets = [WarmUpBudget(settings, Random(i)) for i in range(siblings)]
     for b in budgets:
         b.credit = 1.0  # at worst each has one held back
-        b.whole = 1e-12
-        b.look(servers, now, pace)
-    all_send = sum(1 + b.whole * b.part * window for b in budgets)
-    pushes_over = multiple * sum(budgets[0].warmth(s, now) for s in servers) / pace * window
+        b.fleet_rate = 1e-12
+        b.refresh(servers, now, pace)
+    all_send = sum(1 + b.fleet_rate * b.share * window for b in budgets)
+    pushes_over = multiple * sum(budgets[0].capacity_fraction(s, now) for s in servers) / pace * window
     if siblings < 0.4 * pushes_over:  # of more agents than that no bound that each keeps alone can hold
         assert all_send <= pushes_over * 1.001
     if siblings <= 2:
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 
 from lilacsill.balancing.interface import Backend, Outcome, RequestArrived, Send
-from lilacsill.balancing.logic.affinity import HOMES, KEYS, AffinityMap
-from lilacsill.balancing.logic.records import Server
+from lilacsill.balancing.logic.affinity import BACKENDS_PER_KEY, MAX_KEYS, AffinityMap
+from lilacsill.balancing.logic.records import BackendRecord
 from tests.helpers import MS, SECOND, Drive, only
 
 ids = st.lists(st.text("0123456789abcdef", min_size=4, max_size=12), min_size=1, max_size=40, unique=True)
@@ -19,12 +19,12 @@
 
 def homes(names: list[str]) -> AffinityMap:
     found = AffinityMap()
-    found.listed([Server(Backend(n), 0) for n in names])
+    found.set_backends([BackendRecord(Backend(n), 0) for n in names])
     return found
 
 
 def names(found: AffinityMap, key: int) -> list[str]:
-    return [str(s.id) for s in found.of(key)]
+    return [str(s.id) for s in found.backends_for(key)]
 
 
 @given(ids, keys, st.randoms(use_true_random=False))
@@ -33,7 +33,7 @@
     rng.shuffle(shuffled)
     found = names(homes(known), key)
     assert found == names(homes(shuffled), key)
-    assert len(found) == len(set(found)) == min(HOMES, len(known))
+    assert len(found) == len(set(found)) == min(BACKENDS_PER_KEY, len(known))
 
 
 @given(ids.filter(lambda known: len(known) > 1), keys, st.data())
@@ -53,11 +53,11 @@
 
 def test_no_key_has_no_home_and_what_is_remembered_is_bounded() -> None:
     found = homes(["a", "b", "c", "d"])
-    assert found.of(0) == ()
-    first = found.of(1)
-    for key in range(1, 2 * KEYS):
-        found.of(key)
-    assert len(found._homes) == KEYS and found.of(1) == first
+    assert found.backends_for(0) == ()
+    first = found.backends_for(1)
+    for key in range(1, 2 * MAX_KEYS):
+        found.backends_for(key)
+    assert len(found._homes) == MAX_KEYS and found.backends_for(1) == first
 
 
 def keyed_send(d: Drive, key: int) -> Send:
@@ -95,7 +95,7 @@
     d = Drive(servers=2, balancer_count=1)
     d.serve(80)
     sends = [s for _ in range(4) for s in only(d.request()[1], Send)]
-    table, s = d.balancer.table, d.balancer.members.servers[sends[0].backend]
-    before = table.pace_of(s, d.now, 1.0)
+    table, s = d.balancer.table, d.balancer.members.backends[sends[0].backend]
+    before = table.predicted_service_time(s, d.now, 1.0)
     d.wait(200 * MS)  # ten times what they take
-    assert table.pace_of(s, d.now, 1.0) > 1.5 * before
+    assert table.predicted_service_time(s, d.now, 1.0) > 1.5 * before
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -20,10 +20,10 @@
     Send,
     TimerFired,
 )
-from lilacsill.balancing.logic.context import Core
-from lilacsill.balancing.logic.records import Request
+from lilacsill.balancing.logic.context import Context
+from lilacsill.balancing.logic.records import RequestRecord
 from lilacsill.balancing.logic.sampling import Sampler
-from lilacsill.balancing.logic.saturation import FULL_US, SaturationCache
+from lilacsill.balancing.logic.saturation import SATURATED_US, SaturationCache
 
 from .helpers import MS, SAFE, SECOND, Drive, only
 
@@ -61,8 +61,8 @@
     yield Caller()
 
 
-def core(caller: Caller) -> Core:
-    return caller.balancer.core
+def core(caller: Caller) -> Context:
+    return caller.balancer.context
 
 
 def test_no_echo_is_asked_for_that_cannot_come_in_time(caller: Caller) -> None:
@@ -87,14 +87,14 @@
 def test_one_that_is_as_late_as_usual_has_not_stood_still(caller: Caller) -> None:
     caller.busy()
     caller.turns(1, 60 * MS)
-    first = core(caller).stood_at
+    first = core(caller).resumed_at
     assert first == caller.now  # never late before: it stood still
     caller.turns(20, 60 * MS)
-    usual = core(caller).stood_at
+    usual = core(caller).resumed_at
     caller.turns(5, 60 * MS)
-    assert core(caller).stood_at == usual and not core(caller).waited_unread()
+    assert core(caller).resumed_at == usual and not core(caller).is_reading_backlog()
     caller.turns(1, SECOND)
-    assert core(caller).stood_at == caller.now
+    assert core(caller).resumed_at == caller.now
 
 
 def test_a_late_caller_refuses_by_its_entries_and_comes_to_an_end(caller: Caller) -> None:
@@ -102,9 +102,9 @@
     caller.busy()
     caller.turns(20, 60 * MS)
     for s in caller.balancer.members.ready:
-        s.others, s.heard_at = 500.0, caller.now - 100 * MS
+        s.other_load, s.reported_at = 500.0, caller.now - 100 * MS
         for _ in range(3):
-            s.ghosts.add(caller.now, SECOND)
+            s.abandoned.add(caller.now, SECOND)
     caller.balancer.sampler.picks_left = 0
     _, actions = caller.request()
     assert not only(actions, Send) and not only(actions, Probe)
@@ -114,11 +114,11 @@
     out = caller.busy()
     caller.turns(20, 60 * MS)
     for s in caller.balancer.members.ready:
-        s.others, s.heard_at = 500.0, caller.now
+        s.other_load, s.reported_at = 500.0, caller.now
     looks: list[int] = []
     draw = Sampler._draw
 
-    def counted(self: Sampler, r: Request, *rest: object) -> object:
+    def counted(self: Sampler, r: RequestRecord, *rest: object) -> object:
         looks.append(r.id)
         return draw(self, r, *rest)  # type: ignore[arg-type]
 
@@ -133,14 +133,14 @@
     caller.end(out, Outcome.OK)
     caller.request()
     assert len(looks) == 2
-    caller.now += core(caller).settings.tick_us + max(FULL_US, int(core(caller).lag_us))
+    caller.now += core(caller).settings.tick_us + max(SATURATED_US, int(core(caller).timer_lag_us))
     caller.request()
     assert len(looks) == 3
 
 
 def test_one_that_is_in_time_looks_for_each(caller: Caller, monkeypatch: pytest.MonkeyPatch) -> None:
     _, looks = full_and_late(caller, monkeypatch)
-    core(caller).lag_us = 0.0
+    core(caller).timer_lag_us = 0.0
     for _ in range(20):
         caller.request()
     assert len(looks) >= 20
@@ -152,12 +152,12 @@
     def __init__(self, limit: float, left: int, size: float, luck: float, sends: int) -> None:
         cls = RequestClass("c", left, SECOND)
         self.limit = limit
-        self.request = Request(RequestArrived(1, 0, left), cls, 0, luck, size)
-        self.request.sends = sends
+        self.request = RequestRecord(RequestArrived(1, 0, left), cls, 0, luck, size)
+        self.request.attempt_count = sends
 
     def met(self, time: float, room: int, capacity: float, warmth: float) -> bool:
         r = self.request
-        return self.limit > time and r.aim_at > room and r.size < capacity and r.luck < warmth
+        return self.limit > time and r.target_at > room and r.relative_cost < capacity and r.uniform_draw < warmth
 
 
 DEMANDS = st.builds(
@@ -178,9 +178,9 @@
     full = SaturationCache()
     for d in demands:
         met = d.met(time, room, capacity, warmth)
-        if full.holds(d.request, 0, d.limit):
+        if full.covers(d.request, 0, d.limit):
             assert not met
         elif not met:
-            full.found(d.request, 0, d.limit, True, 0.0, True)
-    full.news()
-    assert not any(full.holds(d.request, 0, d.limit) for d in demands)
+            full.record(d.request, 0, d.limit, True, 0.0, True)
+    full.clear()
+    assert not any(full.covers(d.request, 0, d.limit) for d in demands)
--- a/tests/test_maintenance.py
+++ b/tests/test_maintenance.py
@@ -83,28 +83,28 @@
 
 def test_one_that_comes_back_is_cold_until_it_must_be_warm_whatever_lists_say() -> None:
     d = Drive(servers=2, warm_up_start_fraction=0.2, warm_up_us=20 * SECOND)
-    cold, s = d.balancer.sampler.cold, d.balancer.members.servers["s0"]
-    assert cold.warmth(s, d.now) == 1.0
+    cold, s = d.balancer.sampler.warm_up, d.balancer.members.backends["s0"]
+    assert cold.capacity_fraction(s, d.now) == 1.0
     d.event(MaintenanceChanged("s0", True))
     d.now += 3 * SECOND
     d.event(MaintenanceChanged("s0", False))
-    assert cold.warmth(s, d.now) == 0.2
+    assert cold.capacity_fraction(s, d.now) == 0.2
     # Discovery has not heard of the restart: to it the process is as old as ever.
     d.event(BackendsChanged(ListKind.FULL, list(d.backends)))
-    assert cold.warmth(d.balancer.members.servers["s0"], d.now) == 0.2
+    assert cold.capacity_fraction(d.balancer.members.backends["s0"], d.now) == 0.2
     d.event(BackendsChanged(ListKind.FULL, d.backends[1:]))
     d.event(BackendsChanged(ListKind.FULL, list(d.backends)))
-    assert cold.warmth(d.balancer.members.servers["s0"], d.now) == 0.2
+    assert cold.capacity_fraction(d.balancer.members.backends["s0"], d.now) == 0.2
     d.now += 20 * SECOND
-    assert cold.warmth(d.balancer.members.servers["s0"], d.now) == 1.0
+    assert cold.capacity_fraction(d.balancer.members.backends["s0"], d.now) == 1.0
 
 
 def test_old_evidence_of_illness_and_old_load_are_dropped() -> None:
     d = Drive(servers=2)
-    s = d.balancer.members.servers["s0"]
-    d.balancer.sampler.health.exclude(s, d.now, Outcome.RESET.value)
-    s.others, s.heard_at = 9.0, d.now
+    s = d.balancer.members.backends["s0"]
+    d.balancer.sampler.outliers.eject(s, d.now, Outcome.RESET.value)
+    s.other_load, s.reported_at = 9.0, d.now
     d.event(MaintenanceChanged("s0", True))
     d.event(MaintenanceChanged("s0", False))
-    assert not s.out_until and not s.heard_at and not s.others
+    assert not s.ejected_until and not s.reported_at and not s.other_load
     assert "s0" in sends(d, 20)
--- a/tests/test_streams_module.py
+++ b/tests/test_streams_module.py
@@ -31,21 +31,21 @@
         d.event(StreamStarted(s.request, 0))
     later = [a for a in d.log[begin:] if isinstance(a, Send)]
     assert len(later) >= 6
-    assert sum(len(s.open) for s in d.balancer.members.servers.values()) == len(later)
+    assert sum(len(s.in_flight) for s in d.balancer.members.backends.values()) == len(later)
     for s in first:
         d.event(AttemptEnded(s.request, 0, s.backend, Outcome.OK, 20 * MS, True))
     assert all(s.request not in d.balancer.attempts.requests for s in first)
-    assert d.balancer.attempts.start.out == sum(len(s.open) for s in d.balancer.members.servers.values())
+    assert d.balancer.attempts.window.in_flight == sum(len(s.in_flight) for s in d.balancer.members.backends.values())
 
 
 def test_a_request_that_is_being_written_is_not_late() -> None:
     d = Drive(servers=1)
     (send,) = ask(d, 1)
-    s = d.balancer.members.servers[send.backend]
+    s = d.balancer.members.backends[send.backend]
     d.event(UploadChanged(send.request, 0, False))
-    assert not s.open and d.balancer.attempts.start.out == 0
+    assert not s.in_flight and d.balancer.attempts.window.in_flight == 0
     d.now += SECOND
     d.event(UploadChanged(send.request, 0, True))
-    assert list(s.open.values()) == [d.now] and d.balancer.attempts.start.out == 1
+    assert list(s.in_flight.values()) == [d.now] and d.balancer.attempts.window.in_flight == 1
     d.event(AttemptEnded(send.request, 0, send.backend, Outcome.OK, 20 * MS, True))
-    assert not s.open and d.balancer.attempts.start.out == 0 and s.latency == 20 * MS
+    assert not s.in_flight and d.balancer.attempts.window.in_flight == 0 and s.mean_latency_us == 20 * MS
