--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -11,19 +11,19 @@
 import msgspec
 from httptools import HttpRequestParser, HttpResponseParser
 
-from lilacsill.mesh.runtime.link import Listener
-from lilacsill.mesh.runtime.messages import Item, Endpoint
-from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Message, Reader
-from lilacsill.net import reactor as watchers
-from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.control_api import OfferServer
 from lilacsill.mesh.proxy.far import BackendGateway
+from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.inbound import Clients
 from lilacsill.mesh.proxy.life import Beat, Life
 from lilacsill.mesh.proxy.routes import Routes
+from lilacsill.mesh.runtime.link import Listener
+from lilacsill.mesh.runtime.messages import Endpoint, Item
+from lilacsill.mesh.runtime.reactor import Reactor
+from lilacsill.net import reactor as watchers
 
 LOOPBACK = "127.0.0.1"
 PATIENCE_US = 5_000_000  # a test that takes longer has failed
@@ -58,7 +58,7 @@
 class BackendConnection(Connection):
     def __init__(self, backend: Backend) -> None:
         super().__init__()
-        self._backend, self._reader = backend, Reader(HttpRequestParser, 1 << 20, keep_lines=True)
+        self._backend, self._reader = backend, Reader(HttpRequestParser, 1 << 20, keep_header_lines=True)
         self._before: Message | None = None
 
     def on_data(self, data: bytes) -> None:
@@ -153,7 +153,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self._reader = Reader(HttpResponseParser, 1 << 24, keep_lines=True)
+        self._reader = Reader(HttpResponseParser, 1 << 24, keep_header_lines=True)
         self.answers: list[Message] = []
         self.over = self.cut = False
         self.reads = True
