--- a/lilacsill/agent/admin/door.py
+++ b/lilacsill/agent/admin/door.py
@@ -11,9 +11,10 @@
 from httptools import HttpRequestParser
 
 from lilacsill.address import Address
-from ..descriptors import Spare
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Reader, encode_response
+
+from ..descriptors import Spare
 from ..inbound.accept import AcceptLoop, listen
 from .calls import JSON, Call, Refused, read_call
 
--- a/lilacsill/agent/admission/__init__.py
+++ b/lilacsill/agent/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Who may connect: the ledger of descriptors, the table of addresses and the policy. No I/O."""
+"""Admission of downstream connections: the account of descriptors, the table of addresses and the policy. No I/O."""
--- a/lilacsill/agent/admission/connections.py
+++ b/lilacsill/agent/admission/connections.py
@@ -1,114 +1,142 @@
-"""The downstream connections by state, so that who makes way is found without a look at all of them."""
+"""Downstream connections by state, so that candidates for eviction are found without a search of all of them."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Iterator
 
 from .addresses import AddressEntry, AddressTable
-from .policy import Rank, Standing, State, rank
-from .settings import Timeouts
+from .policy import ConnectionState, ConnectionView, EvictionRank, eviction_rank
+from .settings import ConnectionTimeouts
 
-CROWD_LOOKS = 32  # of a crowd: some of it have a request in hand
-LOOKS = 8  # candidates offered from each state and standing; the shell may find some unfit
+MAX_GROUP_CANDIDATES = 32  # offered from a group over its share, some of which have a request in flight
+MAX_STATE_CANDIDATES = 8  # offered from each state, known and not; the server may find some of them busy
 
 
-class Record:
+class ConnectionRecord:
     """One connection as the policy sees it. Times are microseconds of the caller's clock."""
 
-    __slots__ = ("entry", "known", "state", "since", "opened_at", "closing", "crowd", "received")
+    __slots__ = ("address", "known", "state", "state_since", "opened_at", "closing", "group", "received")
 
-    def __init__(self, entry: AddressEntry, known: bool, now: int) -> None:
-        self.entry, self.known = entry, known
-        self.state = State.SILENT
-        self.since = self.opened_at = now  # in this state since
+    def __init__(self, address: AddressEntry, known: bool, now: int) -> None:
+        self.address, self.known = address, known
+        self.state = ConnectionState.SILENT
+        self.state_since = self.opened_at = now
         self.closing = False  # no longer counted as open
-        self.received = 0  # bytes of the body that is coming
-        self.crowd = 0  # who pays for it (crowds.py)
+        self.received = 0  # bytes of the body that is being received
+        self.group = 0  # the group that pays for it (groups.py)
 
 
 class ConnectionTable:
-    """Records by state and standing, in the order in which they came into the state."""
+    """Records by state and by whether the client is known, in the order in which they entered the state."""
 
-    def __init__(self, addresses: AddressTable, timeouts: Timeouts) -> None:
+    def __init__(self, addresses: AddressTable, timeouts: ConnectionTimeouts) -> None:
         self._addresses, self._timeouts = addresses, timeouts
-        self._by: dict[tuple[State, bool], dict[Record, None]] = {
-            (s, known): {} for s in State for known in (False, True)
+        self._by_state: dict[tuple[ConnectionState, bool], dict[ConnectionRecord, None]] = {
+            (state, known): {} for state in ConnectionState for known in (False, True)
         }
 
-    def count(self, *states: State) -> int:
-        return sum(len(self._by[s, known]) for s in states for known in (False, True))
+    def count(self, *states: ConnectionState) -> int:
+        """Return the number of connections in these states."""
+        return sum(len(self._by_state[state, known]) for state in states for known in (False, True))
 
-    def add(self, r: Record) -> None:
-        self._by[r.state, r.known][r] = None
+    def add(self, record: ConnectionRecord) -> None:
+        """Add a connection."""
+        self._by_state[record.state, record.known][record] = None
 
-    def remove(self, r: Record) -> None:
-        self._by[r.state, r.known].pop(r, None)
+    def remove(self, record: ConnectionRecord) -> None:
+        """Remove a connection, if it is there."""
+        self._by_state[record.state, record.known].pop(record, None)
 
-    def move(self, r: Record, state: State, now: int) -> None:
-        """The record enters a state."""
-        self.remove(r)
+    def set_state(self, record: ConnectionRecord, state: ConnectionState, now: int) -> None:
+        """Move a connection to a state."""
+        self.remove(record)
         # A first request that never ends is timed from the start of its connection.
-        r.since = r.opened_at if (r.state, state) == (State.SILENT, State.READING) else now
-        r.state = state
-        self.add(r)
-
-    def set_known(self, r: Record, known: bool) -> None:
-        self.remove(r)
-        r.known = known
-        self.add(r)
-
-    def all(self) -> Iterator[Record]:
-        for records in self._by.values():
+        is_first_request = (record.state, state) == (ConnectionState.SILENT, ConnectionState.READING)
+        record.state_since = record.opened_at if is_first_request else now
+        record.state = state
+        self.add(record)
+
+    def set_known(self, record: ConnectionRecord, known: bool) -> None:
+        """Set whether the client of a connection is known."""
+        self.remove(record)
+        record.known = known
+        self.add(record)
+
+    def all(self) -> Iterator[ConnectionRecord]:
+        """Yield all connections."""
+        for records in self._by_state.values():
             yield from records
 
-    def standing(self, r: Record, now: int, over: bool = False) -> Standing:
-        # Only silence in full tells of ill will; from a known client it needs as long as idleness.
-        return Standing(
-            r.state,
-            r.known,
-            over or r.entry.identity in self._addresses.over_cap,
-            now - r.since > self._timeouts.idle_min_us,
+    def view(self, record: ConnectionRecord, now: int, over_share: bool = False) -> ConnectionView:
+        """Return what the policy needs to rank a connection.
+
+        Args:
+            record: The connection.
+            now: The time in microseconds.
+            over_share: Whether its group exceeds its share.
+        """
+        return ConnectionView(
+            record.state,
+            record.known,
+            over_share or record.address.identity in self._addresses.over_cap,
+            now - record.state_since > self._timeouts.idle_min_us,
         )
 
-    def candidates(self, for_known: bool, now: int, crowd: Iterable[Record] = ()) -> list[tuple[Rank, Record]]:
-        """Who may make way, first the one that should. Bounded: the oldest few of each state and standing, of a crowd
-        over its part, and those of addresses over their cap."""
-        found: list[tuple[Rank, int, Record]] = []
-        for r, _ in zip(crowd, range(CROWD_LOOKS), strict=False):
-            at = rank(self.standing(r, now, over=True), for_known)
-            if at is not None:
-                found.append((at, r.since, r))
-        for (_, known), records in self._by.items():
+    def eviction_candidates(
+        self, for_known: bool, now: int, over_share: Iterable[ConnectionRecord] = ()
+    ) -> list[tuple[EvictionRank, ConnectionRecord]]:
+        """Return connections that may be evicted, in the order in which they should be.
+
+        The list is bounded: the oldest few of a group over its share, the oldest few of each state, and those of
+        addresses over their cap.
+
+        Args:
+            for_known: Whether a known client needs the room.
+            now: The time in microseconds.
+            over_share: The connections of a group that exceeds its share, longest in it first.
+        """
+        found: list[tuple[EvictionRank, int, ConnectionRecord]] = []
+        for record, _ in zip(over_share, range(MAX_GROUP_CANDIDATES), strict=False):
+            rank = eviction_rank(self.view(record, now, over_share=True), for_known)
+            if rank is not None:
+                found.append((rank, record.state_since, record))
+        for (_, known), records in self._by_state.items():
             if known and not for_known:
                 continue
-            for r, _ in zip(records, range(LOOKS), strict=False):
-                at = rank(self.standing(r, now), for_known)
-                if at is not None:
-                    found.append((at, r.since, r))
+            for record, _ in zip(records, range(MAX_STATE_CANDIDATES), strict=False):
+                rank = eviction_rank(self.view(record, now), for_known)
+                if rank is not None:
+                    found.append((rank, record.state_since, record))
         if self._addresses.over_cap:
-            over = self._addresses.over_cap
-            found += [
-                (Rank.OVER_CAP, r.since, r)
-                for r in self.all()
-                if r.entry.identity in over and rank(self.standing(r, now), for_known) is Rank.OVER_CAP
-            ]
-        found.sort(key=lambda f: f[:2])
-        return [(at, r) for at, _, r in found]
-
-    def expired(self, now: int) -> list[Record]:
-        """Those that have stayed in their state for longer than it allows."""
-        t = self._timeouts
-        allowed = {
-            State.SILENT: t.silent_us,
-            State.READING: t.reading_us,
-            State.LINGERING: t.lingering_us,
-            State.IDLE: t.idle_us,
-            State.BODY: t.body_us,
-        }
+            found += self._over_cap_candidates(for_known, now)
+        found.sort(key=lambda candidate: candidate[:2])
+        return [(rank, record) for rank, _, record in found]
+
+    def _over_cap_candidates(self, for_known: bool, now: int) -> list[tuple[EvictionRank, int, ConnectionRecord]]:
+        over_cap = self._addresses.over_cap
         return [
-            r
-            for (state, _), records in self._by.items()
-            if state in allowed
-            for r in records
-            if now - r.since > allowed[state] + (t.body_byte_us * r.received if state is State.BODY else 0)
+            (EvictionRank.OVER_CAP, record.state_since, record)
+            for record in self.all()
+            if record.address.identity in over_cap
+            and eviction_rank(self.view(record, now), for_known) is EvictionRank.OVER_CAP
         ]
+
+    def expired(self, now: int) -> list[ConnectionRecord]:
+        """Return the connections that have stayed in their state for longer than its time-out."""
+        timeouts = self._timeouts
+        allowed_us = {
+            ConnectionState.SILENT: timeouts.silent_us,
+            ConnectionState.READING: timeouts.reading_us,
+            ConnectionState.LINGERING: timeouts.lingering_us,
+            ConnectionState.IDLE: timeouts.idle_us,
+            ConnectionState.BODY: timeouts.body_us,
+        }
+        expired: list[ConnectionRecord] = []
+        for (state, _), records in self._by_state.items():
+            if state not in allowed_us:
+                continue
+            byte_us = timeouts.body_byte_us if state is ConnectionState.BODY else 0
+            for record in records:
+                if now - record.state_since > allowed_us[state] + byte_us * record.received:
+                    expired.append(record)
+        return expired
--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -10,19 +10,19 @@
 from functools import partial
 from typing import Any
 
+from lilacsill.address import Address
 from lilacsill.balancing import interface as q
 from lilacsill.balancing.logic import Balancer
-
-from lilacsill.address import Address
 from lilacsill.clock import Clock
+from lilacsill.http1.message import Headers, Message
+from lilacsill.timers import Timer
+
 from .discovery.listing import Listing
 from .discovery.watch import Discovery
-from lilacsill.http1.message import Headers, Message
 from .inbound.validation import DownstreamRequest
 from .observers import Both, Observer
 from .outbound.attempts import Backends, Exchange
 from .outbound.terms import Result, UpstreamRequest
-from lilacsill.timers import Timer
 from .watermarks import Sink
 
 log = logging.getLogger(__name__)
--- a/lilacsill/agent/config.py
+++ b/lilacsill/agent/config.py
@@ -8,11 +8,11 @@
 from pathlib import Path
 from typing import Any
 
+from lilacsill.address import Address, parse_address
 from lilacsill.balancing.interface import Settings
 from lilacsill.balancing.settings import SettingsError, settings_from
-
-from lilacsill.address import Address, parse_address
 from lilacsill.clock import Clock
+
 from .discovery.listing import Listing, ListingParser
 
 
--- a/lilacsill/agent/discovery/listing.py
+++ b/lilacsill/agent/discovery/listing.py
@@ -5,9 +5,8 @@
 from dataclasses import dataclass
 from typing import Any
 
-from lilacsill.balancing.interface import Backend, State
-
 from lilacsill.address import Address, parse_address
+from lilacsill.balancing.interface import Backend, State
 from lilacsill.clock import Clock
 
 STATES = {"SERVING": State.READY, "DRAINING": State.DRAINING, "DELETED": State.GONE}
--- a/lilacsill/agent/discovery/watch.py
+++ b/lilacsill/agent/discovery/watch.py
@@ -12,10 +12,11 @@
 
 from lilacsill.address import Address
 from lilacsill.clock import Clock
-from ..descriptors import EXHAUSTED
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Reader, InvalidMessageError, encode_request
+from lilacsill.http1.message import InvalidMessageError, Reader, encode_request
 from lilacsill.net.connecting import connect
+
+from ..descriptors import EXHAUSTED
 from .listing import Listing, ListingParser
 
 log = logging.getLogger(__name__)
--- a/lilacsill/agent/inbound/answering.py
+++ b/lilacsill/agent/inbound/answering.py
@@ -5,7 +5,8 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from lilacsill.http1.message import Headers, Message, encode_response_head, encode_chunk
+from lilacsill.http1.message import Headers, Message, encode_chunk, encode_response_head
+
 from ..watermarks import Watermarks
 
 
--- a/lilacsill/agent/inbound/downstream.py
+++ b/lilacsill/agent/inbound/downstream.py
@@ -7,10 +7,11 @@
 
 from httptools import HttpRequestParser
 
-from ..admission.connections import Record
-from ..admission.policy import State
 from lilacsill.http1.connection import Connection
-from lilacsill.http1.message import Headers, Message, Reader, InvalidMessageError, encode_response, origin_form
+from lilacsill.http1.message import Headers, InvalidMessageError, Message, Reader, encode_response, origin_form
+
+from ..admission.connections import ConnectionRecord
+from ..admission.policy import ConnectionState
 from ..watermarks import Sink, Watermarks
 from .answering import AnswerStream
 from .upload import Upload
@@ -56,7 +57,7 @@
     @property
     def healthy(self) -> bool: ...
 
-    def entered(self, connection: DownstreamConnection, state: State) -> None:
+    def entered(self, connection: DownstreamConnection, state: ConnectionState) -> None:
         """The connection stands differently from now on."""
 
     def keeps_alive(self, connection: DownstreamConnection) -> bool:
@@ -72,7 +73,7 @@
 class DownstreamConnection(Connection):
     """A connection of the application; one request at a time."""
 
-    def __init__(self, owner: ConnectionOwner, record: Record) -> None:
+    def __init__(self, owner: ConnectionOwner, record: ConnectionRecord) -> None:
         super().__init__()
         self._owner = owner
         self.record = record  # what admission knows of it
@@ -109,13 +110,13 @@
         """Whether it can be closed now with no request taken and no answer cut short."""
         if not self.open:
             return False
-        if self.record.state is State.LINGERING:
+        if self.record.state is ConnectionState.LINGERING:
             return self._call is None and self.written
         return self._call is None and self.written and self.nothing_to_read()
 
     def expire(self) -> None:
         """It has stayed as it is for too long."""
-        if self.record.state is State.LINGERING or self.discarding:
+        if self.record.state is ConnectionState.LINGERING or self.discarding:
             self.drop()
         elif self._upload is not None and self.stream is not None and self.stream.paused:
             pass  # others have not taken what has come, and the client must wait for them
@@ -153,9 +154,9 @@
                 self._release()
         elif current is not None:
             # On the wire, framing too: it is most of a body in small chunks.
-            begun = self.record.state is State.BODY
+            begun = self.record.state is ConnectionState.BODY
             self.record.received = self.record.received + len(data) if begun else current.received
-            self._owner.entered(self, State.BODY if self._reader.in_body else State.READING)
+            self._owner.entered(self, ConnectionState.BODY if self._reader.in_body else ConnectionState.READING)
             self._continue(current)
             if self._reader.in_body and not self._keeps(current):
                 self._take(current, REST_US + REST_BYTE_US * (BODY_LIMIT if current.length is None else current.length))
@@ -184,7 +185,7 @@
         upload.received(request.take_body())
         if whole:
             self._ahead = len(whole) > 1 or self._reader.current is not None or self._reader.error is not None
-            self._owner.entered(self, State.IN_FLIGHT)
+            self._owner.entered(self, ConnectionState.IN_FLIGHT)
             upload.finished()
 
     def pause_body(self) -> None:
@@ -265,7 +266,7 @@
             self._upload.received(call.body)
             call.body = b""
         else:
-            self._owner.entered(self, State.IN_FLIGHT)
+            self._owner.entered(self, ConnectionState.IN_FLIGHT)
         self._owner.handler.handle(call)
 
     # What goes out
@@ -300,7 +301,7 @@
     def streamed(self) -> None:
         self._answering = self._request = None
         self._release()
-        self._owner.entered(self, State.IDLE)
+        self._owner.entered(self, ConnectionState.IDLE)
         if self._last or self._owner.draining:
             self.close()
         elif self._ahead:
@@ -321,7 +322,7 @@
         if last:
             headers = [*headers, ("Connection", "close")]
         self.send(encode_response(status, headers, body, request.method == b"HEAD"))
-        self._owner.entered(self, State.IDLE)
+        self._owner.entered(self, ConnectionState.IDLE)
         if last:
             self.close()
 
@@ -335,6 +336,6 @@
             return
         self.send(encode_response(status, [("Connection", "close"), *headers], body))
         self.discarding = True
-        self._owner.entered(self, State.LINGERING)
+        self._owner.entered(self, ConnectionState.LINGERING)
         assert self.stream is not None
         self.stream.half_close()
--- a/lilacsill/agent/inbound/server.py
+++ b/lilacsill/agent/inbound/server.py
@@ -9,10 +9,11 @@
 from typing import Protocol
 
 from lilacsill.address import Address
-from ..admission.connections import Record
-from ..admission.gate import Admitted, Gate
-from ..admission.policy import State
 from lilacsill.clock import Clock
+
+from ..admission.connections import ConnectionRecord
+from ..admission.controller import AdmissionController, Admitted
+from ..admission.policy import ConnectionState
 from ..descriptors import Spare
 from ..watermarks import Watermarks
 from .accept import AcceptLoop, inherited, listen
@@ -41,7 +42,7 @@
         validator: Validator,
         most_advice_s: float,
         handler: RequestHandler,
-        gate: Gate,
+        gate: AdmissionController,
         clock: Clock,
         spare: Spare,
         upstreams: IdleUpstreams,
@@ -60,14 +61,14 @@
         self._sweeping: asyncio.TimerHandle | None = None
         self._timing = False
         self._most_advice_s = most_advice_s  # 0: a refusal carries none
-        self.connections: dict[Record, DownstreamConnection] = {}
+        self.connections: dict[ConnectionRecord, DownstreamConnection] = {}
         self.open_request_ids: set[bytes] = set()  # of the requests in hand
         self.leave = Leave(self._close_idle)
         self.succeeded = False  # another process of the agent accepts, and this one no more
         self.refusals = Refusals(refusing)
         self._accepting: AcceptLoop | None = None
 
-    def make_connection(self, record: Record) -> DownstreamConnection:
+    def make_connection(self, record: ConnectionRecord) -> DownstreamConnection:
         return DownstreamConnection(self, record)
 
     def listen(self, address: Address, shared: bool = False, descriptor: int | None = None) -> int:
@@ -102,13 +103,13 @@
             self._timing = True
             due = self._loop.time() + TICK_S
             self._loop.call_at(due, self._tick, due)
-        decision = self.gate.arrived(host, self._clock.now(), self._fit, self._upstreams.has_idle)
+        decision = self.gate.admit(host, self._clock.now(), self._fit, self._upstreams.has_idle)
         if not isinstance(decision, Admitted):
             self.refusals.refuse(sock, min(decision.retry_after_s, self._most_advice_s), may_wait=not tight)
             return
-        if decision.replaces is not None:
-            self.connections[decision.replaces].drop()
-        if decision.borrows:
+        if decision.evicted is not None:
+            self.connections[decision.evicted].drop()
+        if decision.closes_idle_upstream:
             self._upstreams.close_longest_idle()
         sock.setblocking(False)
         connection = self.make_connection(decision.record)
@@ -124,15 +125,15 @@
     def _tick(self, due: float) -> None:
         """How late this comes is how far the loop is behind. Timed only while connections arrive."""
         self._timing = False
-        self.gate.lagged(self._clock.now(), int((self._loop.time() - due) * 1e6))
+        self.gate.record_lag(self._clock.now(), int((self._loop.time() - due) * 1e6))
 
-    def _fit(self, record: Record) -> bool:
+    def _fit(self, record: ConnectionRecord) -> bool:
         """Whether this connection can be closed now without harm."""
         return self.connections[record].may_make_way
 
     def make_way_for_upstream(self) -> bool:
         """Close a connection here so that one to a backend can be opened."""
-        record = self.gate.yield_to_upstream(self._clock.now(), self._fit)
+        record = self.gate.evict_for_upstream(self._clock.now(), self._fit)
         if record is None:
             return False
         self.connections[record].drop()
@@ -140,30 +141,30 @@
 
     def short_of_descriptors(self, what: str, needs: int = 0) -> None:
         """The kernel had none for this; the next sweep frees so many."""
-        self.gate.exhausted(self._clock.now(), what, needs)
+        self.gate.descriptors_exhausted(self._clock.now(), what, needs)
 
     # The life of a connection
 
-    def entered(self, connection: DownstreamConnection, state: State) -> None:
-        self.gate.entered(connection.record, state, self._clock.now())
+    def entered(self, connection: DownstreamConnection, state: ConnectionState) -> None:
+        self.gate.state_changed(connection.record, state, self._clock.now())
 
     def keeps_alive(self, connection: DownstreamConnection) -> bool:
         return self.gate.keeps_alive(connection.record)
 
     def served(self, connection: DownstreamConnection) -> None:
-        self.gate.served(connection.record, self._clock.now())
+        self.gate.request_served(connection.record, self._clock.now())
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
         if self.connections.pop(connection.record, None) is not None:
-            self.gate.closed(connection.record)
+            self.gate.connection_closed(connection.record)
 
     def _sweep(self) -> None:
         """Close or answer what has stayed as it is for too long, and see to the limit of descriptors."""
         self._sweeping = self._loop.call_later(self._sweep_s, self._sweep)
         self._spare.regain()
         now = self._clock.now()
-        self.gate.look(now, self._limit())
-        while (record := self.gate.over_budget(now, self._fit)) is not None:
+        self.gate.poll(now, self._limit())
+        while (record := self.gate.evict_over_limit(now, self._fit)) is not None:
             self.connections[record].drop()
         for record in self.gate.connections.expired(now):
             self.connections[record].expire()
@@ -210,5 +211,5 @@
 
     def _close_idle(self) -> None:
         rested = self._clock.now() - RESTED_US
-        for connection in [c for c in self.connections.values() if c.record.since <= rested and c.idle]:
+        for connection in [c for c in self.connections.values() if c.record.state_since <= rested and c.idle]:
             connection.close()
--- a/lilacsill/agent/inbound/validation.py
+++ b/lilacsill/agent/inbound/validation.py
@@ -9,8 +9,8 @@
 from zlib import crc32
 
 from lilacsill.balancing.interface import Effect, RequestClass, Tenant
+from lilacsill.http1.message import Headers, InvalidMessageError, Message
 
-from lilacsill.http1.message import Headers, Message, InvalidMessageError
 from ..watermarks import Sink
 from .upload import Upload
 
--- a/lilacsill/agent/operator/sections.py
+++ b/lilacsill/agent/operator/sections.py
@@ -12,6 +12,7 @@
 import msgspec
 
 from lilacsill.address import parse_address
+
 from ..admission.settings import AdmissionSettings, parse_network
 
 Count = Annotated[int, msgspec.Meta(ge=0, le=1_000_000)]
--- a/lilacsill/agent/outbound/attempts.py
+++ b/lilacsill/agent/outbound/attempts.py
@@ -7,13 +7,13 @@
 from collections.abc import Callable
 
 from lilacsill.balancing.interface import Backend, BackendId, Outcome, State
-
 from lilacsill.clock import Clock
-from ..descriptors import EXHAUSTED
-from ..discovery.listing import Listing, Member
 from lilacsill.http1.message import Message, encode_chunk, encode_request, encode_request_head
 from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.timers import Timer
+
+from ..descriptors import EXHAUSTED
+from ..discovery.listing import Listing, Member
 from ..watermarks import Sink
 from .pool import Pool, UpstreamConnection
 from .terms import Begin, Result, Upload, UpstreamRequest, parse_report
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -9,16 +9,16 @@
 from httptools import HttpResponseParser
 
 from lilacsill.balancing.interface import BackendId
-
-from ..admission.ledger import Ledger, Side
 from lilacsill.clock import Clock
-from ..descriptors import EXHAUSTED
-from ..discovery.listing import Member
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Message, Reader
 from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.timers import Timer
 
+from ..admission.descriptor_account import DescriptorAccount, Side
+from ..descriptors import EXHAUSTED
+from ..discovery.listing import Member
+
 IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection; then it is retired here
 SETTLE_US = 2_000  # not used again till then: bytes that do not belong to an answer come right behind it
 ANSWER_BYTES = 40 * 1024 * 1024  # they come with 32 MB; one that claims more is spoilt
@@ -106,23 +106,28 @@
 class Reservation:
     """A descriptor taken for one connection that is about to be opened."""
 
-    def __init__(self, ledger: Ledger) -> None:
+    def __init__(self, ledger: DescriptorAccount) -> None:
         self._ledger = ledger
-        ledger.take(Side.UPSTREAM)
+        ledger.acquire(Side.UPSTREAM)
         self.used = False  # by a connection, whose end gives the descriptor back
 
     def release(self, *_: object) -> None:
         """Whatever became of the opening, also where it never began."""
         if not self.used:
             self.used = True
-            self._ledger.freed(Side.UPSTREAM)
+            self._ledger.release(Side.UPSTREAM)
 
 
 class Pool:
     """The connections to all backends."""
 
     def __init__(
-        self, clock: Clock, connect_timeout_us: int, conn_idle_us: int, ledger: Ledger, settle_us: int = SETTLE_US
+        self,
+        clock: Clock,
+        connect_timeout_us: int,
+        conn_idle_us: int,
+        ledger: DescriptorAccount,
+        settle_us: int = SETTLE_US,
     ) -> None:
         self._clock = clock
         self._connect_s = connect_timeout_us / 1e6
@@ -136,7 +141,7 @@
     def reserve(self, known: bool) -> Reservation | None:
         """Take a descriptor for one more connection, which `open` then uses; the longest idle one makes way, or
         a client between two requests where the clients hold more than their floor. None: there is none."""
-        if not self._ledger.room_for_attempt(known) and not self._make_way():
+        if not self._ledger.has_room_for_attempt(known) and not self._make_way():
             return None
         return Reservation(self._ledger)
 
@@ -186,9 +191,9 @@
     def lost(self, connection: UpstreamConnection) -> None:
         """Its descriptor is free."""
         if connection.making_way:
-            self._ledger.closed()
+            self._ledger.finish_closing()
         else:
-            self._ledger.freed(Side.UPSTREAM)
+            self._ledger.release(Side.UPSTREAM)
 
     def take(self, member: Member) -> UpstreamConnection | None:
         """The idle connection used last, if there is one that can be trusted."""
--- a/lilacsill/agent/outbound/terms.py
+++ b/lilacsill/agent/outbound/terms.py
@@ -7,8 +7,8 @@
 from typing import Protocol
 
 from lilacsill.balancing.interface import Outcome
-
 from lilacsill.http1.message import Message
+
 from ..watermarks import Sink
 
 
--- a/lilacsill/agent/peers/channel.py
+++ b/lilacsill/agent/peers/channel.py
@@ -10,8 +10,9 @@
 from typing import Any
 
 from lilacsill.address import Address
-from ..agent import Agent
 from lilacsill.clock import Clock
+
+from ..agent import Agent
 from ..config import Config, ConfigError
 from ..operator.sections import PeersSection
 from .datagram import fleet_id
--- a/lilacsill/agent/peers/feed.py
+++ b/lilacsill/agent/peers/feed.py
@@ -8,8 +8,8 @@
 from collections.abc import Callable
 
 from lilacsill.balancing import interface as q
-
 from lilacsill.clock import Clock
+
 from ..discovery.listing import Listing
 from ..inbound.validation import DownstreamRequest
 from .counts import ATTEMPTS, CROSSINGS, REFUSALS, REQUESTS
--- a/lilacsill/agent/peers/shell.py
+++ b/lilacsill/agent/peers/shell.py
@@ -11,6 +11,7 @@
 from lilacsill.address import Address
 from lilacsill.clock import Clock
 from lilacsill.timers import Timer
+
 from .datagram import MOST_BYTES
 from .fleet import Fleet
 
--- a/lilacsill/agent/peers/telling.py
+++ b/lilacsill/agent/peers/telling.py
@@ -13,6 +13,7 @@
 from prometheus_client import CollectorRegistry, Counter, Gauge, write_to_textfile
 
 from lilacsill.clock import Clock
+
 from ..config import ConfigError
 from ..operator.sections import PeersSection
 from .fleet import BUDGETS, Fleet
--- a/lilacsill/agent/recorder/ring.py
+++ b/lilacsill/agent/recorder/ring.py
@@ -11,8 +11,8 @@
 from typing import BinaryIO
 
 from lilacsill.balancing.interface import BackendId, Outcome, ServerBelief, Settings
-
 from lilacsill.clock import Clock
+
 from ..discovery.listing import Listing
 from ..inbound.validation import DownstreamRequest
 from . import format as form
--- a/lilacsill/agent/recovery/room.py
+++ b/lilacsill/agent/recovery/room.py
@@ -11,8 +11,8 @@
 from typing import Any
 
 from lilacsill.balancing import interface as q
-
 from lilacsill.clock import Clock
+
 from ..config import Config
 from ..discovery.listing import Listing
 from ..inbound.validation import DownstreamRequest
--- a/lilacsill/agent/run.py
+++ b/lilacsill/agent/run.py
@@ -13,13 +13,13 @@
 
 from lilacsill.balancing.interface import Discovery as DiscoveryMode
 from lilacsill.balancing.logic import Balancer
+from lilacsill.clock import Clock
 
 from . import descriptors
-from .admission.gate import Gate
-from .admission.ledger import Ledger
-from .admission.settings import AdmissionSettings, Budget, Timeouts
+from .admission.controller import AdmissionController
+from .admission.descriptor_account import DescriptorAccount
+from .admission.settings import AdmissionSettings, ConnectionTimeouts, DescriptorBudget
 from .agent import Agent
-from lilacsill.clock import Clock
 from .config import Config, ConfigError, load_again
 from .descriptors import EXHAUSTED, SharedLimit, Spare
 from .discovery.watch import Discovery
@@ -65,14 +65,14 @@
 
     agent: Agent
     server: Server
-    gate: Gate
+    gate: AdmissionController
     spare: Spare
     limit: SharedLimit
 
 
-def check_reserve(admission: AdmissionSettings, budget: Budget) -> None:
+def check_reserve(admission: AdmissionSettings, budget: DescriptorBudget) -> None:
     """A reserve must leave strangers something. Raises ConfigError."""
-    most = Ledger(budget).shared // 2
+    most = DescriptorAccount(budget).shared // 2
     if admission.reserve > most:
         raise ConfigError(
             f"[admission] reserve: {admission.reserve} is above {most}, half of the descriptors that "
@@ -80,31 +80,31 @@
         )
 
 
-def budget_for(config: Config) -> Budget:
+def budget_for(config: Config) -> DescriptorBudget:
     """By what the process holds now; the listener comes on top, and the operators' door where there is one."""
     base = descriptors.held() + 1 + config.peers_allowed  # the listener, and the socket between agents
     if config.admin is not None:
         from .admin.door import DESCRIPTORS
 
         base += DESCRIPTORS
-    return Budget(descriptors.limit(config.sockets), base)
+    return DescriptorBudget(descriptors.limit(config.sockets), base)
 
 
 def assemble(
     config: Config,
     clock: Clock,
-    timeouts: Timeouts | None = None,
+    timeouts: ConnectionTimeouts | None = None,
     settle_us: int = SETTLE_US,
     sweep_s: float = SWEEP_S,
     admission: AdmissionSettings | None = None,
-    budget: Budget | None = None,
+    budget: DescriptorBudget | None = None,
 ) -> Parts:
     """The parts, wired; nothing has started yet."""
     settings, admission = config.settings, admission or AdmissionSettings()
     budget = budget or budget_for(config)
     check_reserve(admission, budget)
-    ledger = Ledger(budget)
-    gate = Gate(ledger, admission, timeouts or Timeouts(), config.seed, log.warning)
+    ledger = DescriptorAccount(budget)
+    gate = AdmissionController(ledger, admission, timeouts or ConnectionTimeouts(), config.seed, log.warning)
     spare = Spare()
     pool = Pool(clock, config.connect_timeout_us, config.conn_idle_us, ledger, settle_us)
     backends = Backends(clock, settings.report_fields, pool)
@@ -123,7 +123,7 @@
     marks = Watermarks(budget_of(config.memory_mb, 1 if config.listen_fd is None else 2))
     validator = RequestValidator(settings.classes, settings.tenants)
     most_advice_s = settings.max_retry_after_us / 1e6 if settings.retry_after else 0.0
-    server = Server(validator, most_advice_s, agent, gate, clock, spare, pool, limit, budget.refusing, marks, sweep_s)
+    server = Server(validator, most_advice_s, agent, gate, clock, spare, pool, limit, budget.refusals, marks, sweep_s)
     pool.downstream_makes_way = server.make_way_for_upstream
     pool.short_of_descriptors = server.short_of_descriptors
     discovery.short_of_descriptors = server.short_of_descriptors
@@ -273,7 +273,7 @@
     changes nothing of its own; the other one still counts."""
 
     def __init__(
-        self, parts: Parts, clock: Clock, options: Options, budget: Budget, peers: Channel | None = None
+        self, parts: Parts, clock: Clock, options: Options, budget: DescriptorBudget, peers: Channel | None = None
     ) -> None:
         self._parts, self._clock, self._budget, self._peers = parts, clock, budget, peers
         self._path, self._operator = options.operator_path, options.operator
@@ -317,7 +317,7 @@
         check_reserve(admission, self._budget)
         later = needs_restart(self._operator, new)
         self._operator = new
-        self._parts.gate.change(admission)
+        self._parts.gate.apply_settings(admission)
         log.info("operator file read again%s", f"; a restart is needed for {', '.join(later)}" if later else "")
 
 
--- a/lilacsill/hosted/worker/front.py
+++ b/lilacsill/hosted/worker/front.py
@@ -8,8 +8,8 @@
 from time import perf_counter_ns
 from typing import TYPE_CHECKING
 
-from lilacsill.agent.admission.connections import Record
-from lilacsill.agent.admission.gate import Gate
+from lilacsill.agent.admission.connections import ConnectionRecord
+from lilacsill.agent.admission.controller import AdmissionController
 from ...clock import Clock
 from lilacsill.agent.descriptors import Spare
 from ...http1.message import Headers, Message, InvalidMessageError
@@ -52,7 +52,7 @@
 
     stream: TurnStream | None
 
-    def __init__(self, server: HostedServer, record: Record) -> None:
+    def __init__(self, server: HostedServer, record: ConnectionRecord) -> None:
         super().__init__(server, record)
         self._server = server
         self.tenant = ANONYMOUS
@@ -101,7 +101,7 @@
         self,
         tenancy: Tenancy,
         most_advice_s: float,
-        gate: Gate,
+        gate: AdmissionController,
         clock: Clock,
         spare: Spare,
         upstreams: IdleUpstreams,
@@ -117,7 +117,7 @@
         self._pumping = False
         self._read_us = 0.0  # by `worked`, of the accept that is under way
 
-    def make_connection(self, record: Record) -> DownstreamConnection:
+    def make_connection(self, record: ConnectionRecord) -> DownstreamConnection:
         return HostedConnection(self, record)
 
     def keeps_alive(self, connection: DownstreamConnection) -> bool:
@@ -232,7 +232,7 @@
                 self._tenancy.refused(held.uid, over.cause)
                 raise InvalidMessageError(429, f"too many: {over.cause}")
             connection.tenant = connection.turn = held.uid
-            self._server.gate.pays(connection.record, held.uid, held.weight)
+            self._server.gate.assign_group(connection.record, held.uid, held.weight)
         call = pool.validator.validate(request, respond)
         # Two tenants may use one id or key; a server that drops repeats must not take the one for the other.
         scope = held.name.encode() + b"~"
--- a/lilacsill/hosted/worker/pools.py
+++ b/lilacsill/hosted/worker/pools.py
@@ -12,7 +12,7 @@
 from lilacsill.balancing.settings import settings_from
 
 from ...address import parse_address
-from lilacsill.agent.admission.ledger import Ledger
+from lilacsill.agent.admission.descriptor_account import DescriptorAccount
 from lilacsill.agent.agent import Agent
 from ...clock import Clock
 from lilacsill.agent.discovery.listing import Listing, ListingParser
@@ -33,7 +33,7 @@
         self,
         pool: Pool,
         clock: Clock,
-        ledger: Ledger,
+        ledger: DescriptorAccount,
         seed: int,
         workers: int,
         me: int,
--- a/lilacsill/hosted/worker/process.py
+++ b/lilacsill/hosted/worker/process.py
@@ -19,9 +19,9 @@
 
 from lilacsill.agent import descriptors
 from ...address import parse_address
-from lilacsill.agent.admission.gate import Gate
-from lilacsill.agent.admission.ledger import Ledger
-from lilacsill.agent.admission.settings import AdmissionSettings, Budget, Timeouts
+from lilacsill.agent.admission.controller import AdmissionController
+from lilacsill.agent.admission.descriptor_account import DescriptorAccount
+from lilacsill.agent.admission.settings import AdmissionSettings, DescriptorBudget, ConnectionTimeouts
 from ...clock import Clock
 from lilacsill.agent.descriptors import Spare
 from lilacsill.agent.inbound.leave import DrainTimes
@@ -76,12 +76,12 @@
     def __init__(self, config: WorkerConfig, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._config, self._reader, self._writer = config, reader, writer
         self._clock = Clock()
-        budget = Budget(descriptors.limit(config.sockets), descriptors.held() + 1)
-        self._ledger = Ledger(budget)
+        budget = DescriptorBudget(descriptors.limit(config.sockets), descriptors.held() + 1)
+        self._ledger = DescriptorAccount(budget)
         admission = AdmissionSettings()
         if config.operator is not None:
             admission = load_operator(config.operator).admission.settings()
-        gate = Gate(self._ledger, admission, Timeouts(), config.seed, log.warning)
+        gate = AdmissionController(self._ledger, admission, ConnectionTimeouts(), config.seed, log.warning)
         self._tenancy = Tenancy(
             self._clock, time.time, config.workers, self._make_pool, lambda uid: self._tell(Drained(uid))
         )
@@ -93,7 +93,7 @@
             Spare(),
             self,
             lambda: descriptors.limit(config.sockets),
-            budget.refusing,
+            budget.refusals,
             Watermarks(BODIES),
         )
         self._cpu_s = time.process_time()
--- a/tests/backends.py
+++ b/tests/backends.py
@@ -10,7 +10,7 @@
 from lilacsill.balancing.interface import Outcome
 from lilacsill.agent.outbound.attempts import Backends
 from lilacsill.agent.outbound.terms import Result, UpstreamRequest
-from lilacsill.agent.admission.ledger import Ledger
+from lilacsill.agent.admission.descriptor_account import DescriptorAccount
 from lilacsill.clock import Clock
 from lilacsill.agent.discovery.listing import Listing, ListingParser
 from lilacsill.agent.outbound.pool import Pool
@@ -28,7 +28,7 @@
 def backends(
     port: int, idle_us: int = 60_000_000, connect_us: int = 10_000_000, most: int = 9, settle_us: int = 0
 ) -> Backends:
-    made = Backends(CLOCK, FIELDS, Pool(CLOCK, connect_us, idle_us, Ledger(shared(2 * most)), settle_us))
+    made = Backends(CLOCK, FIELDS, Pool(CLOCK, connect_us, idle_us, DescriptorAccount(shared(2 * most)), settle_us))
     made.apply(listing(port))
     return made
 
--- a/tests/hosted/test_turns.py
+++ b/tests/hosted/test_turns.py
@@ -276,18 +276,18 @@
 def test_who_holds_all_descriptors_makes_way_for_another_tenant() -> None:
     async def run() -> None:
         async with world(sockets=descriptors.held() + 90) as w:
-            w.worker._server.gate.change(AdmissionSettings(keep_alive=1000))
+            w.worker._server.gate.apply_settings(AdmissionSettings(keep_alive=1000))
             loud = [await w.client()]
             while await w.served(loud[-1], LOUD) == 200 and not loud[0].told_of_close():
                 loud.append(await w.client())
-            full = w.worker._server.gate.crowds.held(LOUD)
+            full = w.worker._server.gate.groups.size(LOUD)
             # Both addresses are one, and none of these has been idle for long: by them nobody would make way.
             quiet = []
             for _ in range(3):
                 quiet.append(await w.client())
                 assert await w.served(quiet[-1], QUIET) == 200
-            crowds = w.worker._server.gate.crowds
-            assert crowds.held(QUIET) == 3 and crowds.held(LOUD) <= full - 2
+            crowds = w.worker._server.gate.groups
+            assert crowds.size(QUIET) == 3 and crowds.size(LOUD) <= full - 2
 
     asyncio.run(run())
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -15,7 +15,7 @@
 from typing import Any, ClassVar
 
 from lilacsill.address import Address
-from lilacsill.agent.admission.settings import AdmissionSettings, Budget, Timeouts
+from lilacsill.agent.admission.settings import AdmissionSettings, DescriptorBudget, ConnectionTimeouts
 from lilacsill.agent.agent import Agent
 from lilacsill.clock import Clock
 from lilacsill.agent.config import Config, load
@@ -234,10 +234,10 @@
     }
 
 
-def shared(descriptors: int, refusing: int = 0) -> Budget:
+def shared(descriptors: int, refusing: int = 0) -> DescriptorBudget:
     """So many for clients and backends together, and nothing else held."""
     transit = 16
-    return Budget(descriptors + transit + refusing, 0, apart=0, refusing=refusing, transit=transit)
+    return DescriptorBudget(descriptors + transit + refusing, 0, set_apart=0, refusals=refusing, closing=transit)
 
 
 @dataclass
@@ -293,8 +293,8 @@
 async def world(
     folder: Path,
     backends: int = 1,
-    budget: Budget | None = None,
-    times: Timeouts | None = None,
+    budget: DescriptorBudget | None = None,
+    times: ConnectionTimeouts | None = None,
     sweep_s: float = SWEEP_S,
     admission: AdmissionSettings | None = None,
     host: str = "127.0.0.1",
--- a/tests/streams/test_streams.py
+++ b/tests/streams/test_streams.py
@@ -9,9 +9,9 @@
 import pytest
 
 from lilacsill.agent.admission.addresses import AddressTable
-from lilacsill.agent.admission.connections import ConnectionTable, Record
-from lilacsill.agent.admission.policy import State
-from lilacsill.agent.admission.settings import AdmissionSettings, Timeouts
+from lilacsill.agent.admission.connections import ConnectionTable, ConnectionRecord
+from lilacsill.agent.admission.policy import ConnectionState
+from lilacsill.agent.admission.settings import AdmissionSettings, ConnectionTimeouts
 from lilacsill.http1.message import origin_form
 from lilacsill.agent.inbound import downstream
 from lilacsill.agent.inbound.leave import DrainTimes
@@ -251,18 +251,18 @@
         assert (await client.read()).status == 408
         assert w.server.marks.streams == 0 and w.agent.in_hand == 0
 
-    played(tmp_path, play, times=Timeouts(body_us=50_000, body_byte_us=0), sweep_s=0.01)
+    played(tmp_path, play, times=ConnectionTimeouts(body_us=50_000, body_byte_us=0), sweep_s=0.01)
 
 
 def test_a_body_has_time_by_the_bytes_that_came_and_a_head_has_not() -> None:
-    times = Timeouts(reading_us=100, body_us=50, body_byte_us=10)
+    times = ConnectionTimeouts(reading_us=100, body_us=50, body_byte_us=10)
     addresses = AddressTable(AdmissionSettings())
     table = ConnectionTable(addresses, times)
-    record = Record(addresses.find("a", 0), False, 0)
+    record = ConnectionRecord(addresses.entry_for("a", 0), False, 0)
     table.add(record)
-    table.move(record, State.READING, 60)
+    table.set_state(record, ConnectionState.READING, 60)
     assert not table.expired(100) and table.expired(101) == [record]  # counted from the connection's start
-    table.move(record, State.BODY, 100)
+    table.set_state(record, ConnectionState.BODY, 100)
     for received, until in ((0, 150), (5, 200), (100, 1150)):
         record.received = received
         assert not table.expired(until) and table.expired(until + 1) == [record]
@@ -277,7 +277,7 @@
         record = None
         while record is None:
             await asyncio.sleep(0)
-            record = next((r for r in w.server.connections if r.state is State.BODY), None)
+            record = next((r for r in w.server.connections if r.state is ConnectionState.BODY), None)
         for _ in range(60):
             await client.write(piece)
         while record.received < 60 * len(piece):
--- a/tests/test_admission_policy.py
+++ b/tests/test_admission_policy.py
@@ -1,4 +1,4 @@
-"""Admission without I/O: the policy as a table, the ledger and the addresses on a virtual clock."""
+"""Admission without I/O: the policy as a table, the account of descriptors and the addresses on a virtual clock."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 import pytest
 
 from lilacsill.agent.admission.addresses import AddressTable
-from lilacsill.agent.admission.ledger import Ledger, Side
+from lilacsill.agent.admission.descriptor_account import DescriptorAccount, Side
 from lilacsill.agent.admission.policy import (
     Arrival,
-    Rank,
-    Reason,
-    Standing,
-    State,
+    EvictionRank,
+    RefusalReason,
+    ConnectionView,
+    ConnectionState,
     Verdict,
     decide,
     keeps_alive,
-    rank,
+    eviction_rank,
 )
-from lilacsill.agent.admission.settings import AdmissionSettings, Budget, identity, parse_network
-from lilacsill.agent.admission.storm import CALM_US, Episode
+from lilacsill.agent.admission.settings import AdmissionSettings, DescriptorBudget, client_identity, parse_network
+from lilacsill.agent.admission.episode import CALM_US, Episode
 
 SECOND, HOUR = 1_000_000, 3_600_000_000
 ROOM = Arrival(
@@ -41,143 +41,147 @@
     "arrival, verdict",
     [
         (ROOM, Verdict.ADMIT),
-        (replace(ROOM, below_cap=False), Reason.ADDRESS_CAP),
-        (replace(ROOM, below_cap=False, known=True), Reason.ADDRESS_CAP),
-        (replace(ROOM, within_rate=False), Reason.ADDRESS_RATE),
+        (replace(ROOM, below_cap=False), RefusalReason.ADDRESS_CAP),
+        (replace(ROOM, below_cap=False, known=True), RefusalReason.ADDRESS_CAP),
+        (replace(ROOM, within_rate=False), RefusalReason.ADDRESS_RATE),
         (replace(ROOM, within_rate=False, known=True), Verdict.ADMIT),
-        (replace(ROOM, busy=True), Reason.BUSY),
+        (replace(ROOM, busy=True), RefusalReason.BUSY),
         (replace(ROOM, busy=True, known=True), Verdict.ADMIT),
-        (replace(ROOM, unused_reserve=5), Reason.FULL),
+        (replace(ROOM, unused_reserve=5), RefusalReason.FULL),
         (replace(ROOM, unused_reserve=4), Verdict.ADMIT),
         (replace(ROOM, unused_reserve=5, known=True), Verdict.ADMIT),
-        (FULL, Reason.FULL),
-        (replace(FULL, known=True), Reason.FULL),
-        (replace(FULL, victim=Rank.OVER_CAP), Verdict.REPLACE),
-        (replace(FULL, victim=Rank.SILENT), Verdict.REPLACE),
-        (replace(FULL, victim=Rank.SILENT, upstream_lends=True), Verdict.REPLACE),
-        (replace(FULL, victim=Rank.IDLE, upstream_lends=True), Verdict.BORROW),
-        (replace(FULL, victim=Rank.IDLE), Verdict.REPLACE),
-        (replace(FULL, victim=Rank.IDLE, may_close=False), Reason.FULL),
+        (FULL, RefusalReason.FULL),
+        (replace(FULL, known=True), RefusalReason.FULL),
+        (replace(FULL, victim=EvictionRank.OVER_CAP), Verdict.REPLACE),
+        (replace(FULL, victim=EvictionRank.SILENT), Verdict.REPLACE),
+        (replace(FULL, victim=EvictionRank.SILENT, upstream_lends=True), Verdict.REPLACE),
+        (replace(FULL, victim=EvictionRank.IDLE, upstream_lends=True), Verdict.BORROW),
+        (replace(FULL, victim=EvictionRank.IDLE), Verdict.REPLACE),
+        (replace(FULL, victim=EvictionRank.IDLE, may_close=False), RefusalReason.FULL),
         (replace(FULL, upstream_lends=True), Verdict.BORROW),
-        (replace(FULL, upstream_lends=True, may_close=False), Reason.FULL),
-        (replace(FULL, upstream_lends=True, open=11), Reason.FULL),
-        (replace(FULL, upstream_lends=True, unused_reserve=1), Reason.FULL),
+        (replace(FULL, upstream_lends=True, may_close=False), RefusalReason.FULL),
+        (replace(FULL, upstream_lends=True, open=11), RefusalReason.FULL),
+        (replace(FULL, upstream_lends=True, unused_reserve=1), RefusalReason.FULL),
         (replace(FULL, upstream_lends=True, unused_reserve=1, known=True), Verdict.BORROW),
-        (replace(FULL, open=12, victim=Rank.READING, known=True), Verdict.REPLACE),
+        (replace(FULL, open=12, victim=EvictionRank.READING, known=True), Verdict.REPLACE),
     ],
 )
-def test_what_becomes_of_a_new_connection(arrival: Arrival, verdict: Verdict | Reason) -> None:
+def test_what_becomes_of_a_new_connection(arrival: Arrival, verdict: Verdict | RefusalReason) -> None:
     decided, reason = decide(arrival)
     assert (reason or decided) is verdict
     assert (decided is Verdict.REFUSE) == (reason is not None)
 
 
-@pytest.mark.parametrize("state", State)
+@pytest.mark.parametrize("state", ConnectionState)
 @pytest.mark.parametrize("known", [False, True])
 @pytest.mark.parametrize("over_cap", [False, True])
 @pytest.mark.parametrize("long", [False, True])
-def test_who_never_makes_way(state: State, known: bool, over_cap: bool, long: bool) -> None:
-    c = Standing(state, known, over_cap, long)
-    if state is State.IN_FLIGHT:
-        assert rank(c, True) is None and rank(c, False) is None
+def test_who_never_makes_way(state: ConnectionState, known: bool, over_cap: bool, long: bool) -> None:
+    c = ConnectionView(state, known, over_cap, long)
+    if state is ConnectionState.IN_FLIGHT:
+        assert eviction_rank(c, True) is None and eviction_rank(c, False) is None
     if known:
-        assert rank(c, False) is None
+        assert eviction_rank(c, False) is None
 
 
-STRANGER = Standing(State.SILENT, known=False, over_cap=False, long=False)
+STRANGER = ConnectionView(ConnectionState.SILENT, known=False, over_cap=False, long_in_state=False)
 
 
 @pytest.mark.parametrize(
     "standing, for_stranger, for_known",
     [
-        (replace(STRANGER, over_cap=True), Rank.OVER_CAP, Rank.OVER_CAP),
-        (replace(STRANGER, state=State.IDLE, over_cap=True), Rank.OVER_CAP, Rank.OVER_CAP),
-        (replace(STRANGER, state=State.READING, over_cap=True), None, Rank.READING),
-        (STRANGER, Rank.SILENT, Rank.SILENT),
-        (replace(STRANGER, state=State.LINGERING), None, None),
-        (replace(STRANGER, state=State.LINGERING, long=True), Rank.LINGERING, Rank.LINGERING),
-        (replace(STRANGER, state=State.IDLE, long=True), Rank.IDLE, Rank.IDLE),
-        (replace(STRANGER, state=State.IDLE), None, Rank.BETWEEN),
-        (replace(STRANGER, state=State.READING), None, Rank.READING),
+        (replace(STRANGER, over_cap=True), EvictionRank.OVER_CAP, EvictionRank.OVER_CAP),
+        (replace(STRANGER, state=ConnectionState.IDLE, over_cap=True), EvictionRank.OVER_CAP, EvictionRank.OVER_CAP),
+        (replace(STRANGER, state=ConnectionState.READING, over_cap=True), None, EvictionRank.READING),
+        (STRANGER, EvictionRank.SILENT, EvictionRank.SILENT),
+        (replace(STRANGER, state=ConnectionState.LINGERING), None, None),
+        (
+            replace(STRANGER, state=ConnectionState.LINGERING, long_in_state=True),
+            EvictionRank.LINGERING,
+            EvictionRank.LINGERING,
+        ),
+        (replace(STRANGER, state=ConnectionState.IDLE, long_in_state=True), EvictionRank.IDLE, EvictionRank.IDLE),
+        (replace(STRANGER, state=ConnectionState.IDLE), None, EvictionRank.BETWEEN),
+        (replace(STRANGER, state=ConnectionState.READING), None, EvictionRank.READING),
         (replace(STRANGER, known=True), None, None),
-        (replace(STRANGER, known=True, long=True), None, Rank.KNOWN_SILENT),
-        (replace(STRANGER, known=True, state=State.IDLE, long=True), None, Rank.KNOWN_IDLE),
-        (replace(STRANGER, known=True, state=State.READING, long=True), None, None),
+        (replace(STRANGER, known=True, long_in_state=True), None, EvictionRank.KNOWN_SILENT),
+        (replace(STRANGER, known=True, state=ConnectionState.IDLE, long_in_state=True), None, EvictionRank.KNOWN_IDLE),
+        (replace(STRANGER, known=True, state=ConnectionState.READING, long_in_state=True), None, None),
     ],
 )
 def test_in_which_order_connections_make_way(
-    standing: Standing, for_stranger: Rank | None, for_known: Rank | None
+    standing: ConnectionView, for_stranger: EvictionRank | None, for_known: EvictionRank | None
 ) -> None:
-    assert (rank(standing, False), rank(standing, True)) == (for_stranger, for_known)
+    assert (eviction_rank(standing, False), eviction_rank(standing, True)) == (for_stranger, for_known)
 
 
 def test_answers_close_beyond_the_bound_but_not_for_known_clients() -> None:
     assert keeps_alive(False, 85, 85) and not keeps_alive(False, 86, 85) and keeps_alive(True, 1000, 85)
 
 
-# The ledger
+# The account
 
-BUDGET = Budget(limit=128, base=8)  # 91 shared: 45 of clients and 27 of backends are never lent
+BUDGET = DescriptorBudget(limit=128, base=8)  # 91 shared: 45 of clients and 27 of backends are never lent
 
 
-def fill(ledger: Ledger, side: Side) -> int:
-    while ledger.room(side):
-        ledger.take(side)
-    return ledger.open(side)
+def fill(account: DescriptorAccount, side: Side) -> int:
+    while account.has_room(side):
+        account.acquire(side)
+    return account.open_count(side)
 
 
 @pytest.mark.parametrize("side", Side)
 def test_each_side_borrows_all_but_the_others_floor(side: Side) -> None:
-    ledger = Ledger(BUDGET)
-    assert fill(ledger, side) == ledger.shared - ledger.floor(side.other)
-    assert ledger.lends(side) and not ledger.lends(side.other)
-    assert fill(ledger, side.other) == ledger.floor(side.other)
-    assert sum(ledger.open(s) for s in Side) == ledger.shared
+    account = DescriptorAccount(BUDGET)
+    assert fill(account, side) == account.shared - account.floor(side.other)
+    assert account.can_lend(side) and not account.can_lend(side.other)
+    assert fill(account, side.other) == account.floor(side.other)
+    assert sum(account.open_count(s) for s in Side) == account.shared
 
 
 def test_the_unused_reserve_is_not_lent_to_backends() -> None:
-    ledger = Ledger(BUDGET, reserve=20)
+    account = DescriptorAccount(BUDGET, reserve=20)
     for _ in range(40):
-        ledger.take(Side.DOWNSTREAM)
-    assert fill(ledger, Side.UPSTREAM) == ledger.shared - 60
-    ledger.take(Side.DOWNSTREAM, known=True)
-    assert ledger.unused_reserve == 19 and not ledger.room(Side.UPSTREAM)
+        account.acquire(Side.DOWNSTREAM)
+    assert fill(account, Side.UPSTREAM) == account.shared - 60
+    account.acquire(Side.DOWNSTREAM, known=True)
+    assert account.unused_reserve == 19 and not account.has_room(Side.UPSTREAM)
 
 
 def test_what_makes_way_is_counted_until_the_kernel_frees_it() -> None:
-    ledger = Ledger(BUDGET)
-    fill(ledger, Side.DOWNSTREAM)
-    for _ in range(BUDGET.transit):
-        assert ledger.may_close
-        ledger.start_closing(Side.DOWNSTREAM)
-        ledger.take(Side.DOWNSTREAM)
-    assert not ledger.may_close and ledger.closing == BUDGET.transit
-    ledger.closed()
-    assert ledger.may_close
+    account = DescriptorAccount(BUDGET)
+    fill(account, Side.DOWNSTREAM)
+    for _ in range(BUDGET.closing):
+        assert account.may_close
+        account.start_closing(Side.DOWNSTREAM)
+        account.acquire(Side.DOWNSTREAM)
+    assert not account.may_close and account.closing == BUDGET.closing
+    account.finish_closing()
+    assert account.may_close
 
 
 def test_an_exhausted_ledger_counts_on_what_is_held_and_regains_the_rest_in_steps() -> None:
-    ledger = Ledger(BUDGET)
+    account = DescriptorAccount(BUDGET)
     for _ in range(10):
-        ledger.take(Side.DOWNSTREAM)
-    ledger.exhausted()
-    assert ledger.shared == 10 and not ledger.room(Side.DOWNSTREAM)
-    ledger.exhausted(needs=1)
-    assert ledger.overdraft == 1
+        account.acquire(Side.DOWNSTREAM)
+    account.lower_limit()
+    assert account.shared == 10 and not account.has_room(Side.DOWNSTREAM)
+    account.lower_limit(needs=1)
+    assert account.excess == 1
     steps = 0
-    while not ledger.regain():
+    while not account.raise_limit():
         steps += 1
-        assert ledger.limit <= BUDGET.limit
-    assert steps > 5 and ledger.limit == BUDGET.limit
+        assert account.limit <= BUDGET.limit
+    assert steps > 5 and account.limit == BUDGET.limit
 
 
 def test_a_limit_lowered_below_what_is_held_is_an_overdraft() -> None:
-    ledger = Ledger(BUDGET)
-    held = fill(ledger, Side.DOWNSTREAM)
-    ledger.set_limit(60)
-    assert ledger.overdraft == held - ledger.shared and not ledger.room(Side.UPSTREAM)
-    ledger.set_limit(128)
-    assert not ledger.overdraft
+    account = DescriptorAccount(BUDGET)
+    held = fill(account, Side.DOWNSTREAM)
+    account.set_limit(60)
+    assert account.excess == held - account.shared and not account.has_room(Side.UPSTREAM)
+    account.set_limit(128)
+    assert not account.excess
 
 
 # Addresses, on a virtual clock
@@ -197,7 +201,7 @@
     ],
 )
 def test_one_client_has_one_identity(host: str, name: str) -> None:
-    assert identity(host) == name
+    assert client_identity(host) == name
 
 
 @pytest.mark.parametrize(
@@ -215,7 +219,7 @@
 )
 def test_the_list_of_known_clients(host: str, networks: list[str], known: bool) -> None:
     settings = AdmissionSettings(known=tuple(map(parse_network, networks)))
-    assert settings.names(identity(host)) is known
+    assert settings.lists(client_identity(host)) is known
 
 
 @pytest.mark.parametrize("text", ["", "10.4.0.1/16", "10.4.0.0/33", "host", "2001:db8::1"])
@@ -229,11 +233,11 @@
 
 def serve(table: AddressTable, host: str, now: int, storm: bool = False) -> bool:
     """One connection that is served. Returns whether it was known when it came."""
-    entry = table.find(host, now)
+    entry = table.entry_for(host, now)
     known = table.is_known(entry, now)
-    table.opened(entry)
-    table.served(entry, now, storm)
-    table.closed(entry)
+    table.connection_opened(entry)
+    table.request_served(entry, now, storm)
+    table.connection_closed(entry)
     return known
 
 
@@ -252,7 +256,7 @@
     serve(table, "10.0.0.1", 0)  # known before
     serve(table, "10.0.0.1", 6 * SECOND)
     serve(table, "10.0.0.2", 7 * SECOND)  # of the storm, and a little ahead of it
-    table.storm_began()
+    table.restart_learning()
     for at in range(8, 60):
         assert serve(table, "10.0.0.1", at * SECOND, storm=True)
         assert not serve(table, "10.0.0.2", at * SECOND, storm=True)
@@ -265,29 +269,29 @@
     table = AddressTable(LEARNING)
     serve(table, "10.0.0.1", 0)
     serve(table, "10.0.0.1", 6 * SECOND)
-    held = table.find("held", 6 * SECOND)
-    table.opened(held)
+    held = table.entry_for("held", 6 * SECOND)
+    table.connection_opened(held)
     for i in range(10_000):
         serve(table, f"172.16.{i // 256}.{i % 256}", 7 * SECOND, storm=True)
         assert len(table) <= 2 * LEARNING.addresses + 1
-    assert table.find("held", 8 * SECOND) is held and serve(table, "10.0.0.1", 9 * SECOND)
+    assert table.entry_for("held", 8 * SECOND) is held and serve(table, "10.0.0.1", 9 * SECOND)
 
 
 def test_the_rate_of_new_connections_by_address() -> None:
     table = AddressTable(AdmissionSettings(new_per_s=2.0, new_burst=3))
-    spent = [table.spend(table.find("a", 0), 0) for _ in range(5)]
+    spent = [table.take_token(table.entry_for("a", 0), 0) for _ in range(5)]
     assert spent == [True, True, True, False, False]
-    assert table.spend(table.find("b", 0), 0)
-    assert [table.spend(table.find("a", SECOND), SECOND) for _ in range(3)] == [True, True, False]
+    assert table.take_token(table.entry_for("b", 0), 0)
+    assert [table.take_token(table.entry_for("a", SECOND), SECOND) for _ in range(3)] == [True, True, False]
     # Hours later it has one burst, not hours of it.
-    assert sum(table.spend(table.find("a", 9 * HOUR), 9 * HOUR) for _ in range(10)) == 3
+    assert sum(table.take_token(table.entry_for("a", 9 * HOUR), 9 * HOUR) for _ in range(10)) == 3
 
 
 def test_a_storm_is_two_lines() -> None:
     episode = Episode("storm")
-    lines = [episode.note(i * 1000, "refused") for i in range(5000)]
+    lines = [episode.record(i * 1000, "refused") for i in range(5000)]
     assert lines[0] == "storm begins: refused" and not any(lines[1:])
-    assert episode.look(5 * SECOND) is None
-    over = episode.look(5 * SECOND + CALM_US)
+    assert episode.poll(5 * SECOND) is None
+    over = episode.poll(5 * SECOND + CALM_US)
     assert over == "storm over after 5.0 s: 5000 × refused"
-    assert not episode.on and episode.look(HOUR) is None and episode.note(HOUR, "refused") is not None
+    assert not episode.is_active and episode.poll(HOUR) is None and episode.record(HOUR, "refused") is not None
--- a/tests/test_admission_storm.py
+++ b/tests/test_admission_storm.py
@@ -11,8 +11,8 @@
 
 import pytest
 
-from lilacsill.agent.admission.policy import State
-from lilacsill.agent.admission.settings import AdmissionSettings, Timeouts, parse_network
+from lilacsill.agent.admission.policy import ConnectionState
+from lilacsill.agent.admission.settings import AdmissionSettings, ConnectionTimeouts, parse_network
 from tests.loopback import UNSAFE, Peer, Running, config_doc, member, post, shared, world
 from tests.storm import answer, connect, outcome, request, send, storm, strangers, visit
 
@@ -22,7 +22,7 @@
 OPERATOR = '[admission]\nknown = ["127.9.0.0/16"]\nreserve = 12\n'
 # 8 for clients and 10 for backends are never lent, and 2 of each are the reserve.
 TWENTY = replace(shared(20, refusing=2), downstream_floor_share=0.4, upstream_floor_share=0.5)
-NEVER = Timeouts(silent_us=10**12, reading_us=10**12)
+NEVER = ConnectionTimeouts(silent_us=10**12, reading_us=10**12)
 
 
 class Scene:
@@ -98,7 +98,7 @@
                 held.append(sock)
             refused = [asyncio.create_task(answer(s)) for s in held]
             taken = [await w.request() for _ in range(8)]
-            assert w.server.gate.connections.count(State.IN_FLIGHT) == 8
+            assert w.server.gate.connections.count(ConnectionState.IN_FLIGHT) == 8
             client = await w.ask(post(Request_Id="known"), KNOWN)
             await (got := await w.request()).answer()
             assert got.headers["request-id"] == "known" and (await client.read()).status == 200
@@ -121,14 +121,14 @@
             for byte in (b"P", b"O", b"S"):
                 for sock in slow:
                     await send(sock, byte)
-            while table.count(State.READING) < 8:
+            while table.count(ConnectionState.READING) < 8:
                 await asyncio.sleep(0)
             assert await visit(w.port, strangers(1)[0]) in ("503", "closed")
             clients = [await w.ask(post(Request_Id=f"k{i}"), KNOWN) for i in range(5)]
             for _ in clients:
                 await (await w.request()).answer()
             assert [(await c.read()).status for c in clients] == [200] * 5
-            assert table.count(State.READING) == 5  # two were let in by the reserve
+            assert table.count(ConnectionState.READING) == 5  # two were let in by the reserve
             for sock in slow:
                 sock.close()
 
@@ -285,7 +285,7 @@
             held = await w.ask(post())
             got = await w.request()
             (record,) = w.server.connections
-            assert record.entry.identity == "127.0.0.1"
+            assert record.address.identity == "127.0.0.1"
             assert await visit(w.port, "127.0.0.1") == "503"
             await got.answer()
             assert (await held.read()).status == 200
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,27 +9,27 @@
 
 import pytest
 
-from lilacsill.agent.admission.ledger import Side
-from lilacsill.agent.admission.settings import Timeouts
+from lilacsill.agent.admission.descriptor_account import Side
+from lilacsill.agent.admission.settings import ConnectionTimeouts
 from lilacsill.net.connecting import new_socket
 from tests.loopback import post, shared, world
 
-NEVER = Timeouts(silent_us=10**12, reading_us=10**12)
+NEVER = ConnectionTimeouts(silent_us=10**12, reading_us=10**12)
 
 
 def test_an_idle_connection_to_a_backend_makes_way_for_a_client(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=1, budget=shared(4), times=NEVER) as w:
-            ledger = w.server.gate.ledger
+            ledger = w.server.gate.descriptors
             clients = [await w.ask(post(Request_Id=f"r{i}")) for i in range(2)]
             got = [await w.request() for _ in clients]
-            assert ledger.open(Side.UPSTREAM) == 2
+            assert ledger.open_count(Side.UPSTREAM) == 2
             await got[0].answer()
             assert (await clients[0].read()).status == 200
             third = await w.client()
             await third.write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
             assert (await third.read()).status == 200
-            assert ledger.open(Side.UPSTREAM) == 1 and ledger.open(Side.DOWNSTREAM) == 3
+            assert ledger.open_count(Side.UPSTREAM) == 1 and ledger.open_count(Side.DOWNSTREAM) == 3
             await got[1].answer()
             assert (await clients[1].read()).status == 200
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 
 import pytest
-from lilacsill.agent.admission.settings import Timeouts
+from lilacsill.agent.admission.settings import ConnectionTimeouts
 from tests.loopback import KEYED, UNSAFE, Conversation, Message, Peer, config_doc, member, post, shared, world
 
 CHUNKED = post(drop=("Content-Length",), body=b"", Transfer_Encoding="chunked")
@@ -162,7 +162,7 @@
 
 BEGUN = b"POST /api HT"
 HOUR_US = 3_600_000_000
-SOON = Timeouts(silent_us=0, reading_us=0, lingering_us=0, idle_min_us=0)
+SOON = ConnectionTimeouts(silent_us=0, reading_us=0, lingering_us=0, idle_min_us=0)
 
 
 @pytest.mark.parametrize(
