--- a/lilacsill/mesh/proxy/forwarding.py
+++ b/lilacsill/mesh/proxy/forwarding.py
@@ -11,18 +11,19 @@
 from random import Random
 from typing import Protocol
 
-from lilacsill.balancing.mechanisms.majority import usual
-from lilacsill.mesh.runtime.messages import Answer, Unanswered, Headers, Offer, Piece, Declined
-from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.address import Address
+from lilacsill.balancing.mechanisms.majority import usual
 from lilacsill.http1.message import Message as HttpMessage
+from lilacsill.mesh.runtime.messages import BodyChunk, Headers, NoResponse, Offer, Rejected, Response
+from lilacsill.mesh.runtime.reactor import Reactor
 
 from .backend import passed_on
 from .budget import Budget
 from .far import PILE, BackendGateway
+from .graceful_shutdown import GracefulShutdown
 from .routes import Route, Routes
 from .table import Stand, Table
-from .transports import LocalExchange, Exchange, ExchangeLinks
+from .transports import Exchange, ExchangeLinks, LocalExchange
 
 KEEP = 128 * 1024  # of a request's body
 DECLINES_MOST = 6  # offers that are declined before a request is refused
@@ -72,6 +73,7 @@
         self.proxies = 1
         self.sure: Callable[[], bool] = lambda: False
         self.in_hand: set[Forwarding] = set()
+        self.shutdown: GracefulShutdown | None = None  # from SIGTERM on
         self._attempts = 0
         self.patience: dict[str, list[int]] = {}  # of each route's clients, for `usual`
         self._took: dict[str, tuple[float, int]] = {}  # by route: mean ms at a backend, answers that it is made of
@@ -114,11 +116,30 @@
             else:
                 client.answer(503, [(b"Retry-After", b"0.2")], b"the configuration is not known\n")
             return None
+        if self.shutdown is not None and not self._can_finish(self.shutdown, request, route):
+            client.answer(503, [self.retry_after(route)], b"this proxy shuts down\n")
+            return None
         forwarding = Forwarding(self, request, route, client, whole)
         self.in_hand.add(forwarding)
         forwarding.begin()
         return forwarding
 
+    def _can_finish(self, shutdown: GracefulShutdown, request: HttpMessage, route: Route) -> bool:
+        time_left_us = min(client_patience_us(request), route.timeout_us)
+        usual_us = self.usual_ms(route.name) * 1000 or None
+        return shutdown.can_finish(self.reactor.now(), time_left_us, route.aim_us, usual_us)
+
+    def retry_after(self, route: Route) -> tuple[bytes, bytes]:
+        """The header that tells a refused client when to come back: a part of the route's target, with jitter."""
+        back_s = BACK_PART * route.aim_us / 1e6 * (0.75 + 0.5 * self.rng.random())
+        return b"Retry-After", b"%.3f" % back_s
+
+
+def client_patience_us(request: HttpMessage) -> int:
+    """How long the client waits for its answer, by the request's `Time-Left-Ms`."""
+    time_left = request.fields.get(b"time-left-ms", b"")
+    return int(time_left) * 1000 if time_left.isdigit() and len(time_left) < 10 else PATIENCE_US
+
 
 class Forwarding:
     """One request."""
@@ -128,8 +149,7 @@
         self._service = route.service(forwarder.rng)
         self._table = forwarder.table(self._service)
         now = forwarder.reactor.now()
-        told = request.fields.get(b"time-left-ms", b"")
-        patience_us = int(told) * 1000 if told.isdigit() and len(told) < 10 else PATIENCE_US
+        patience_us = client_patience_us(request)
         self._began = now
         self._until = now + min(patience_us, route.timeout_us)
         # One that comes back has lost part of its time to the aim already: it has less left than is usual on its route.
@@ -195,7 +215,7 @@
         else:
             self._exchange = forwarder.links.to(Address(stand.endpoint.host, stand.endpoint.port), offer, self)
 
-    def _attempt_over(self, told: Declined | Answer | Unanswered | None) -> Stand:
+    def _attempt_over(self, told: Rejected | Response | NoResponse | None) -> Stand:
         stand, self._stand, self._exchange = self._stand, None, None
         assert stand is not None
         load = told.load if told is not None else None
@@ -204,20 +224,20 @@
 
     # Outcomes of exchanges
 
-    def on_outcome(self, message: Declined | Answer | Unanswered | Piece) -> None:
+    def on_outcome(self, message: Rejected | Response | NoResponse | BodyChunk) -> None:
         """Of the exchange that is under way."""
         if self.over:
             return
-        if isinstance(message, Declined):
+        if isinstance(message, Rejected):
             stand = self._attempt_over(message)
             self._tried.append(stand)
             self._declines += 1
-            if message.why in ("life", "leaving", "unreachable"):
+            if message.reason in ("life", "leaving", "unreachable"):
                 self._table.unreachable(stand, self._forwarder.reactor.now())
             self._next()
-        elif isinstance(message, Answer):
+        elif isinstance(message, Response):
             self._answered(message)
-        elif isinstance(message, Unanswered):
+        elif isinstance(message, NoResponse):
             if self._streaming:
                 return self._cut()
             self._failed.append(self._attempt_over(message))
@@ -257,7 +277,7 @@
         else:
             self._kept, self._body = False, b""
         if self._exchange is not None:
-            self._exchange.piece(Piece(data, last))
+            self._exchange.piece(BodyChunk(data, last))
 
     @property
     def unsent(self) -> int:
@@ -269,7 +289,7 @@
         if self._exchange is not None:
             self._exchange.hold(False)
 
-    def _answered(self, m: Answer) -> None:
+    def _answered(self, m: Response) -> None:
         """The backend's answer, or the head of a long one. What is not passed on is abandoned whole."""
         exchange = self._exchange
         stand = self._attempt_over(m)
@@ -284,18 +304,21 @@
             self._arrivals += 1
             # Where all of a service fails, what it calls does: a repeat would only ask that for more.
             again = self._table.ill() < ILL_ALL and self._may_repeat()
-        if (again or m.not_run) and not m.whole and exchange is not None:
+        if (again or m.not_run) and not m.body_complete and exchange is not None:
             exchange.cancel()
         if again:
             return self._next()
         if m.not_run:
             return self._refuse()
-        if m.whole:
+        if m.body_complete:
             if m.status < 300:
-                self._forwarder.took(self._route.name, m.took_ms)
+                self._forwarder.took(self._route.name, m.duration_ms)
             return self._finish(m.status, m.headers, m.body)
         self._exchange, self._streaming = exchange, True
-        if self._client.begin(m.status, m.headers, m.length, m.body, self) > PILE and self._exchange is not None:
+        if (
+            self._client.begin(m.status, m.headers, m.content_length, m.body, self) > PILE
+            and self._exchange is not None
+        ):
             self._exchange.hold(True)
 
     def _repeat(self) -> None:
@@ -323,9 +346,7 @@
         self._refuse()  # true of a write, too: all that it arrived at have promised that it did not run
 
     def _refuse(self) -> None:
-        aim_us = self._route.aim_us
-        back_s = BACK_PART * aim_us / 1e6 * (0.75 + 0.5 * self._forwarder.rng.random())
-        self._finish(503, [(b"Retry-After", b"%.3f" % back_s)], b"refused\n")
+        self._finish(503, [self._forwarder.retry_after(self._route)], b"refused\n")
 
     def _late(self) -> None:
         """Its time is up: the final answer goes out at once."""
--- a/lilacsill/mesh/proxy/inbound.py
+++ b/lilacsill/mesh/proxy/inbound.py
@@ -7,12 +7,12 @@
 
 from httptools import HttpRequestParser
 
-from lilacsill.mesh.runtime.rpc import Listener
-from lilacsill.mesh.runtime.messages import Headers
-from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import REASON_PHRASES, Message, Reader, encode_chunk, origin_form
+from lilacsill.mesh.runtime.messages import Headers
+from lilacsill.mesh.runtime.reactor import Reactor
+from lilacsill.mesh.runtime.rpc import Listener
 
 from .forwarding import Forwarder, Forwarding
 
@@ -129,7 +129,7 @@
         request.target = origin_form(request.target)
         turn = Turn(self, request)
         self._turns.append(turn)
-        self._ending = not request.keep_alive
+        self._ending = not request.keep_alive or self._clients.leaving
         turn.forwarding = self._clients.forwarder.arrived(request, turn, whole=False)
         self._upload = turn
 
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -8,23 +8,24 @@
 
 import msgspec
 
-from lilacsill.mesh.runtime.rpc import Answered, Peers
+from lilacsill.address import Address, parse_address
+from lilacsill.http1.message import Message as Request
 from lilacsill.mesh.runtime.control import ControlServer, Respond
+from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import Headers, Message
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.log_ring import log
+from lilacsill.mesh.runtime.rpc import Answered, Peers
 from lilacsill.mesh.runtime.settings import Settings, SettingsError, load
-from lilacsill.address import Address, parse_address
-from lilacsill.http1.message import Message as Request
 
 from .backend import BackendConnection
-from .forwarding import Forwarder
 from .control_api import OfferServer
+from .discovery import DiscoveryClient
 from .far import BackendGateway
+from .forwarding import Forwarder
+from .graceful_shutdown import GracefulShutdown
 from .inbound import Clients
 from .life import Life, beat_of
 from .neighbours import Neighbours
-from .discovery import DiscoveryClient
 from .routes import Routes
 
 LEAVE_LOOK_US = 50_000
@@ -209,7 +210,10 @@
         if self._leaving_since:
             return
         log.info("leaves")
-        self._leaving_since = self._reactor.now()
+        now = self._leaving_since = self._reactor.now()
+        grace_us = self._settings.bound_us("GracePeriodS", 6000)
+        take_all_us = min(NOTICE_US, grace_us // 2)
+        self._carrier.shutdown = GracefulShutdown(now + take_all_us, now + grace_us - END_US)
         self._news.leaving = True
         self._clients.leave()
         self._news.changed()
