--- a/lilacsill/mesh/proxy/backend_connection.py
+++ b/lilacsill/mesh/proxy/backend_connection.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from typing import Protocol
+from typing import TYPE_CHECKING, Protocol
 
 from httptools import HttpResponseParser
 
@@ -12,6 +12,9 @@
 
 from .reasons import FailureReason
 
+if TYPE_CHECKING:
+    from .backend_pool import BackendPool
+
 MAX_IDLE_US = 4_000_000  # backends close idle connections after a time; a request on its way then would be lost
 KEEP_ALIVE_SHARE = 0.5  # of the time-out that the backend's `Keep-Alive` header states
 STREAMED_FROM_BYTES = 64 * 1024  # a longer response is streamed, a shorter one is passed on when it is complete
@@ -48,22 +51,6 @@
         """Handle that no complete response will come; the request may have run."""
 
 
-class ConnectionOwner(Protocol):
-    """The pool of a connection."""
-
-    def now(self) -> int:
-        """Return the current time in microseconds."""
-
-    def release(self, connection: BackendConnection) -> None:
-        """Take a connection back whose response is complete."""
-
-    def forget(self, connection: BackendConnection) -> None:
-        """Strike a connection that is over off the pool's list."""
-
-    def record_reset(self, idle_us: int, in_flight_us: int) -> None:
-        """Count a request that was lost with its connection."""
-
-
 def end_to_end_headers(message: Message) -> Headers:
     """Return the header lines that are not meant for a single connection only (RFC 9110, section 7.6.1)."""
     excluded = HOP_BY_HOP
@@ -76,9 +63,9 @@
 class BackendConnection(Connection):
     """A connection that its pool hands to one request after the other."""
 
-    def __init__(self, owner: ConnectionOwner) -> None:
+    def __init__(self, pool: BackendPool) -> None:
         super().__init__()
-        self._owner = owner
+        self._pool = pool
         self._reader = Reader(HttpResponseParser, MAX_BODY_BYTES, keep_header_lines=True)
         self.handler: ResponseHandler | None = None
         self.max_idle_us = MAX_IDLE_US  # how long the backend keeps it
@@ -115,7 +102,7 @@
             body_complete: Whether `body` is all of it; otherwise `send_body` follows.
         """
         self.handler, self.uploading = handler, not body_complete
-        self.sent_at = self._owner.now()
+        self.sent_at = self._pool.now()
         self.idle_us = self.sent_at - self.idle_since if self.idle_since else 0
         if content_length is None:
             headers = [*headers, (b"Transfer-Encoding", b"chunked")]
@@ -157,13 +144,13 @@
         self.max_idle_us = _keep_alive_us(response)
         if is_last and self._reader.current is None and self._reader.error is None:
             # Before the handler runs, since that starts the next request that waits for a slot.
-            self._owner.release(self)
+            self._pool.release(self)
 
     def _on_incomplete_response(self) -> None:
         current, handler = self._reader.current, self.handler
         if current is None:
             if handler is None:
-                self._owner.release(self)
+                self._pool.release(self)
         elif handler is None:
             self.drop()  # the beginning of a response that nobody asked for
         elif self._reader.in_body and current.received > STREAMED_FROM_BYTES:
@@ -183,8 +170,8 @@
     def _lose(self, reason: FailureReason) -> None:
         handler, self.handler = self.handler, None
         if handler is not None:
-            self._owner.record_reset(self.idle_us, self._owner.now() - self.sent_at)
-        self._owner.forget(self)
+            self._pool.record_reset(self.idle_us, self._pool.now() - self.sent_at)
+        self._pool.forget(self)
         if not self.closed:
             self.drop()
         if handler is not None:
--- a/lilacsill/mesh/proxy/backend_request.py
+++ b/lilacsill/mesh/proxy/backend_request.py
@@ -139,7 +139,7 @@
         left_us = self._deadline - now
         reason = self._rejection_reason(now)
         if reason is None and left_us < MIN_TIME_LEFT_US:
-            reason = RejectionReason.LATE
+            reason = RejectionReason.OUT_OF_TIME
         if reason is not None or self.is_over:
             self._gateway.pool.release(connection)
             if reason is not None:
--- a/lilacsill/mesh/proxy/failure_rate.py
+++ b/lilacsill/mesh/proxy/failure_rate.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 GAIN = 0.12  # of the exponential smoothing
-HALF_LIFE_US = 2_500_000  # without outcomes the rate halves in this time
+HALVING_US = 2_500_000  # without outcomes the rate halves in this time
 
 
 class FailureRate:
@@ -22,7 +22,7 @@
         """Return the rate as of now, between 0 and 1."""
         if not self._rate:
             return 0.0
-        decay: float = 0.5 ** ((now - self._updated_at) / HALF_LIFE_US)
+        decay: float = 0.5 ** ((now - self._updated_at) / HALVING_US)
         return self._rate * decay
 
     def record(self, succeeded: bool, now: int) -> None:
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -30,7 +30,6 @@
 from .offer_server import OfferServer
 from .retry_budget import RetryBudgetSettings
 from .shutdown_sequence import ShutdownSequence
-from .status_report import status_report
 
 DEFAULT_DRAIN_MS = 2_000
 DEFAULT_GRACE_MS = 6_000
@@ -147,6 +146,8 @@
 
     def status(self) -> bytes:
         """Return the status report as JSON."""
+        from .status_report import status_report  # no process that nobody asks for its status needs the memory
+
         report = status_report(
             self._settings.node,
             self._shutdown.is_started,
--- a/lilacsill/mesh/proxy/reasons.py
+++ b/lilacsill/mesh/proxy/reasons.py
@@ -12,7 +12,7 @@
     WRONG_INCARNATION = "life"  # another incarnation of the backend is meant, or none has been heard of
     DRAINING = "draining"
     UNREACHABLE = "unreachable"
-    LATE = "late"
+    OUT_OF_TIME = "late"
 
 
 class FailureReason(StrEnum):
