--- a/lilacsill/mesh/simulation/store_fleet.py
+++ b/lilacsill/mesh/simulation/store_fleet.py
@@ -10,7 +10,7 @@
 
 from lilacsill.mesh.runtime.messages import Message, Patch, Reply
 from lilacsill.mesh.store.leaving import Leaving
-from lilacsill.mesh.store.node import Store
+from lilacsill.mesh.store.node import DiskContents, Store, StoreSettings
 
 from .network import MS, Machine, Net, S
 
@@ -58,14 +58,8 @@
             seeds = self.rng.sample(sorted(self.stores), min(3, len(self.stores)))
         store = self.stores[address] = Store(
             machine,
-            address,
-            seeds,
-            fresh,
-            f"s{self._strangers}",
-            list(machine.disk.items.values()),
-            dict(machine.disk.facts),
-            self.lost,
-            self._places,
+            StoreSettings(address, seeds, fresh, f"s{self._strangers}", self.lost, self._places),
+            DiskContents(list(machine.disk.items.values()), dict(machine.disk.facts)),
         )
         machine.handlers = store.handlers
         store.start()
--- a/lilacsill/mesh/store/__main__.py
+++ b/lilacsill/mesh/store/__main__.py
@@ -7,15 +7,17 @@
 from lilacsill.mesh.runtime.start import start
 
 
-def process() -> int:
+def run_process() -> int:
+    """Run the replica. Return the exit status."""
     from .process import Process
 
     return start("store", Process)
 
 
 def main() -> int:
+    """Run the command of the command line, or without one the replica. Return the exit status."""
     if len(sys.argv) == 1:
-        return process()
+        return run_process()
     from lilacsill.mesh.runtime.commands import run
 
     from .commands import Store
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -1,25 +1,30 @@
-"""Commands of the store."""
+"""The commands of operators: check a call, export, import, history, verify."""
 
 from __future__ import annotations
 
 import json
 import time
 from pathlib import Path
+from typing import Any
 
 from returns.result import Failure
 
 from lilacsill.mesh.runtime.client import NoAnswer, ask, status
 from lilacsill.mesh.runtime.commands import Commands, Refused
-from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply
+from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Item, Patch, Read, Reply
 
 from . import validation
 from .state import ConfigState
 
-TRIES, AGAIN_S = 5, 0.5
+IMPORT_ATTEMPTS, RETRY_DELAY_S = 5, 0.5
 
 
 def configuration(address: str) -> ConfigUpdate:
-    """All items as they are in force. Raises NoAnswer."""
+    """Return all items as they are in force.
+
+    Raises:
+        NoAnswer: Nobody answers, or no member that holds a read lease was reached.
+    """
     answer = ask(address, Follow(0, 0, 0))
     if not isinstance(answer, FollowReply) or answer.update is None:
         raise NoAnswer(f"{address}: no member that holds a read lease was reached")
@@ -27,28 +32,25 @@
 
 
 class Store(Commands):
-    """python -m lilacsill.mesh.store COMMAND"""
+    """python -m lilacsill.mesh.store COMMAND"""  # noqa: D400, D415  shown as the help of the command line
 
     def check(self, path: str, against: str = "") -> None:
         """Check a call (a JSON file as an operator would send it), alone or against the state --against HOST:PORT."""
         state = ConfigState()
         if against:
-            news = configuration(against)
-            state.apply(news.items, news.seq)
-        try:
-            read = validation.read(Path(path).read_bytes())
-        except OSError as e:
-            raise Refused(f"{path}: {e.strerror}") from None
-        if isinstance(read, Failure):
-            raise Refused(f"{path}: {read.failure()}")
-        changed = validation.against(state, read.unwrap())
-        if isinstance(changed, Failure):
-            raise Refused(f"{path}: {changed.failure().why}")
-        for item in changed.unwrap().items.values():
+            present = configuration(against)
+            state.apply(present.items, present.seq)
+        parsed = validation.read(_read_file(path))
+        if isinstance(parsed, Failure):
+            raise Refused(f"{path}: {parsed.failure()}")
+        validated = validation.against(state, parsed.unwrap())
+        if isinstance(validated, Failure):
+            raise Refused(f"{path}: {validated.failure().why}")
+        for item in validated.unwrap().items.values():
             print(f"{'drops' if item.body is None else 'sets'} {item.kind} {item.name} r{item.version}")
 
     def export(self, address: str) -> None:
-        """Print the newest configuration, whole, as the tail of the chain has it."""
+        """Print the newest configuration, complete, as the tail of the chain has it."""
         answer = ask(address, Read(0))
         if not isinstance(answer, Reply) or answer.status != 200:
             raise NoAnswer(f"{address}: no answer that is sure")
@@ -57,51 +59,76 @@
     def _import(self, address: str, path: str) -> None:
         """Send what `export` printed (a file) as one call: all or nothing; what is known or older changes nothing."""
         try:
-            whole = json.loads(Path(path).read_bytes())
-        except OSError as e:
-            raise Refused(f"{path}: {e.strerror}") from None
-        except json.JSONDecodeError as e:
-            raise Refused(f"{path}: not JSON: {e}") from None
-        body = json.dumps({"ReplaceItems": whole}).encode()
-        for _ in range(TRIES):
+            exported = json.loads(_read_file(path))
+        except json.JSONDecodeError as error:
+            raise Refused(f"{path}: not JSON: {error}") from None
+        body = json.dumps({"ReplaceItems": exported}).encode()
+        for _ in range(IMPORT_ATTEMPTS):
             answer = ask(address, Patch(body, 0))
             if isinstance(answer, Reply) and answer.status == 200:
                 print("taken")
                 return
             if isinstance(answer, Reply) and answer.status < 500:
                 raise Refused(f"{path}: {json.loads(answer.body)['Message']}")
-            time.sleep(AGAIN_S)  # a view is being mended; a call that is sent twice is one call
-        raise NoAnswer(f"{address}: no clear answer after {TRIES} tries; it may be taken all the same")
+            time.sleep(RETRY_DELAY_S)  # until the next view is agreed on; calls are idempotent
+        raise NoAnswer(f"{address}: no clear answer after {IMPORT_ATTEMPTS} tries; it may be taken all the same")
 
     def history(self, address: str, name: str = "") -> None:
         """Print the items, dropped ones too, in the order of their last change; of one name where it is given."""
-        for item in sorted(configuration(address).items, key=lambda i: i.seq):
+        for item in sorted(configuration(address).items, key=lambda item: item.seq):
             if name in ("", item.name):
-                print(
-                    f"{item.seq:6} r{item.version:<6} {item.kind:8} {item.name or '-':24} "
-                    f"{'dropped' if item.body is None else item.body.decode()}"
-                )
+                print(_history_line(item))
 
     def verify(self, address: str) -> None:
         """Ask every machine of the chain; 1 where they do not stand together."""
-        told = json.loads(status(address))
-        wrong = []
-        for member in told["members"]:
+        first = json.loads(status(address))
+        problems = []
+        for member in first["members"]:
             try:
-                one = json.loads(status(member))
-            except NoAnswer as e:
-                wrong.append(str(e))
+                replica = json.loads(status(member))
+            except NoAnswer as error:
+                problems.append(str(error))
                 continue
-            print(
-                f"{member} view {one['view']} seq {one['seq']} committed {one['committed']} digest {one['digest']} "
-                f"{'synced' if one['synced'] else 'not synced'}{' sure' if one['sure'] else ': ' + one['why_unsure']}"
-            )
-            if one["view"] != told["view"] or not one["synced"]:
-                wrong.append(f"{member}: view {one['view']}, {'synced' if one['synced'] else 'not synced'}")
-            elif one["seq"] == told["seq"] and one["digest"] != told["digest"]:
-                wrong.append(f"{member}: holds something else than {told['address']} (it is mended within 5 s)")
-        if wrong:
-            raise Refused("; ".join(wrong))
+            print(_verify_line(member, replica))
+            problem = _difference(first, replica)
+            if problem:
+                problems.append(f"{member}: {problem}")
+        if problems:
+            raise Refused("; ".join(problems))
+
+
+def _read_file(path: str) -> bytes:
+    try:
+        return Path(path).read_bytes()
+    except OSError as error:
+        raise Refused(f"{path}: {error.strerror}") from None
+
+
+def _history_line(item: Item) -> str:
+    body = "dropped" if item.body is None else item.body.decode()
+    return f"{item.seq:6} r{item.version:<6} {item.kind:8} {item.name or '-':24} {body}"
+
+
+def _synced_text(replica: dict[str, Any]) -> str:
+    return "synced" if replica["synced"] else "not synced"
+
+
+def _verify_line(member: str, replica: dict[str, Any]) -> str:
+    committed = "unknown" if replica["committed"] is None else replica["committed"]
+    lease = " sure" if replica["sure"] else f": {replica['why_unsure']}"
+    return (
+        f"{member} view {replica['view']} seq {replica['seq']} committed {committed} digest {replica['digest']} "
+        f"{_synced_text(replica)}{lease}"
+    )
+
+
+def _difference(first: dict[str, Any], replica: dict[str, Any]) -> str:
+    """Return in what a replica differs from the one that was asked first; empty: in nothing."""
+    if replica["view"] != first["view"] or not replica["synced"]:
+        return f"view {replica['view']}, {_synced_text(replica)}"
+    if replica["seq"] == first["seq"] and replica["digest"] != first["digest"]:
+        return f"holds something else than {first['address']} (it is repaired within 5 s)"
+    return ""
 
 
 setattr(Store, "import", Store._import)  # no name for a method
--- a/lilacsill/mesh/store/digests.py
+++ b/lilacsill/mesh/store/digests.py
@@ -1,6 +1,7 @@
-"""Digests over ranges of names: two copies compare 64 numbers, and one gets only the ranges that differ. No I/O.
+"""Digests over ranges of names, for anti-entropy. No I/O.
 
-A range's digest is the exclusive or of its items' hashes (xxh3, 64 bits): a change costs two hashes and no walk.
+Two copies compare one digest for each range, and only ranges that differ are sent again. The digest of a range is the
+exclusive or of the checksums of its items (xxh3, 64 bits), so that a change costs two hashes and no walk over items.
 """
 
 from __future__ import annotations
@@ -17,21 +18,29 @@
 
 
 def range_of(kind: str, name: str) -> int:
+    """Return the number of the range that a name belongs to."""
     return xxh3_64_intdigest(f"{kind}|{name}".encode()) % RANGE_COUNT
 
 
 def checksum_of(item: Item) -> int:
-    """All of it counts. 63 bits: as much as a row holds. Without a record it is as it was before there were records."""
+    """Return a checksum of all fields of an item; 63 bits, since a column of sqlite has no more.
+
+    An item without a record of accepted versions has the checksum that it had before there were such records, so that
+    files of that time stay valid.
+    """
     fields = (item.kind, item.name, item.version, item.seq, item.body)
-    whole = fields if item.accepted is None else (*fields, item.accepted)
-    return xxh3_64_intdigest(_encoder.encode(whole)) >> 1
+    all_fields = fields if item.accepted is None else (*fields, item.accepted)
+    return xxh3_64_intdigest(_encoder.encode(all_fields)) >> 1
 
 
-def digest_of(ranges: list[int]) -> int:
-    return xxh3_64_intdigest(_encoder.encode(ranges))
+def digest_of(range_digests: list[int]) -> int:
+    """Return one digest of all ranges."""
+    return xxh3_64_intdigest(_encoder.encode(range_digests))
 
 
-def differing_ranges(mine: Iterable[int], others: Iterable[int]) -> list[int]:
-    """Ranges; all of them where the other tells none."""
-    pairs = list(zip(mine, others, strict=False))
-    return [r for r, (a, b) in enumerate(pairs) if a != b] if len(pairs) == RANGE_COUNT else list(range(RANGE_COUNT))
+def differing_ranges(digests: Iterable[int], other_digests: Iterable[int]) -> list[int]:
+    """Return the numbers of the ranges that differ; those of all ranges if the other copy sent no digests."""
+    pairs = list(zip(digests, other_digests, strict=False))
+    if len(pairs) != RANGE_COUNT:
+        return list(range(RANGE_COUNT))
+    return [number for number, (digest, other) in enumerate(pairs) if digest != other]
--- a/lilacsill/mesh/store/disk.py
+++ b/lilacsill/mesh/store/disk.py
@@ -1,15 +1,15 @@
-"""The disk of one copy: sqlite3 in a thread of its own that syncs; what waits meanwhile goes into one commit.
+"""The disk of one replica: sqlite3 in a thread of its own; saves that wait for a commit share the next one.
 
-Settings: WAL (one sync a commit), synchronous FULL (a commit is on disk before it is told), locking EXCLUSIVE (no file
-of shared memory). Each row has a sum of its own, so that what a disk has spoilt is found at the next start. A file that
-cannot be read, or has a row that is not what was written, is put away, and the copy is a stranger then. A disk that
-refuses at the start is no such file: it is tried again, and the file stays.
+Pragmas: WAL (one sync for each commit), synchronous FULL (a commit is on disk before it is reported), locking EXCLUSIVE
+(no file of shared memory). Each row has a checksum, so that corrupt rows are found at the next start. A file that
+cannot be read or has a corrupt row is moved away, and the replica starts with an empty disk, as a new machine. A disk
+that fails at the start for another reason, for example because it is full, is retried, and its file stays in place.
 
-What safety rests on: saves are committed in the order in which they were asked for, and after a loss of power a first
-part of them is there, each whole or missing.
+The safety of the chain rests on this: saves are committed in the order of the calls, and after a loss of power a prefix
+of them is on disk, each complete or missing.
 
-Bounds: the log is cut back to `LOG_BYTES` when it has gone into the file; the file keeps the pages of dropped items for
-new ones, and so is as large as the largest state has been; of files put away the last one is kept.
+Bounds: the write-ahead log is truncated to `MAX_LOG_BYTES` after each checkpoint. The file keeps the pages of deleted
+items for new ones, so it is as large as the largest state has been. Of files that were moved away the last one is kept.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 import os
 import sqlite3
 import time
+from contextlib import suppress
 from queue import SimpleQueue
 from threading import Thread
 
@@ -29,10 +30,10 @@
 from .digests import checksum_of, range_of
 from .environment import Done, Save
 
-FILE = "store.db"
-AGAIN_S, MOST_AGAIN_S = 0.05, 0.8  # a disk that refuses is asked again, less and less often
-START_S = 8.0  # at the start it is asked for so long
-LOG_BYTES = 4 << 20
+FILE_NAME = "store.db"
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 0.8  # of a failed commit; the delay doubles each time
+START_TIMEOUT_S = 8.0  # a disk that fails at the start is retried for so long
+MAX_LOG_BYTES = 4 << 20
 FORMAT = 2  # of the file, as its user_version
 SCHEMA = f"""
 pragma user_version={FORMAT};
@@ -44,156 +45,199 @@
 
 
 class DiskError(OSError):
-    """The file cannot be used, and must not be put away. The text names it and says why."""
+    """The file cannot be used, and must not be moved away. The text names the file and the reason."""
+
+
+class PendingSave(msgspec.Struct, frozen=True):
+    """A save that is not on disk yet."""
+
+    save: Save
+    done: Done
 
 
 class Disk:
-    """Owns the file. `save` returns at once; `done` is called in the loop when all of it is on disk."""
+    """Owner of the file.
+
+    Attributes:
+        items: The items that were on disk at the start. The owner of the disk may clear them.
+        facts: The facts that were on disk at the start.
+    """
 
     def __init__(self, reactor: Reactor, folder: str) -> None:
-        self._reactor, self._path = reactor, os.path.join(folder, FILE)
-        self._queue: SimpleQueue[tuple[Save, Done] | None] = SimpleQueue()
-        self._since = 0  # when the oldest save that is not done was asked for; 0: none is out
-        self._out = 0
+        """Open or create the file.
+
+        Raises:
+            DiskError: The disk fails for too long, or the file is of a later format.
+        """
+        self._reactor, self._path = reactor, os.path.join(folder, FILE_NAME)
+        self._queue: SimpleQueue[PendingSave | None] = SimpleQueue()  # None: end the thread
+        self._pending_since: int | None = None  # when the oldest of the pending saves was asked for
+        self._pending_count = 0
         self.items: list[Item] = []
         self.facts: dict[str, bytes] = {}
         os.makedirs(folder, exist_ok=True)
-        self._db = self._begin()
-        self._thread = Thread(target=self._work, daemon=True)
+        self._db = self._open_with_retries()
+        self._thread = Thread(target=self._commit_saves, daemon=True)
         self._thread.start()
 
-    def _begin(self) -> sqlite3.Connection:
-        """Raises DiskError."""
-        until = time.monotonic() + START_S
+    # The start
+
+    def _open_with_retries(self) -> sqlite3.Connection:
+        deadline = time.monotonic() + START_TIMEOUT_S
         while True:
             try:
                 return self._open()
-            except sqlite3.OperationalError as e:  # full, or an input or output error: of the disk, not of the file
-                if time.monotonic() >= until:
-                    raise DiskError(f"{self._path}: {e}") from e
-                log.warning("%s: %s", self._path, e)
-                time.sleep(MOST_AGAIN_S)
-            except sqlite3.DatabaseError as e:
-                log.warning("%s cannot be read and is put away: %s", self._path, e)
-                self._put_away()
+            except sqlite3.OperationalError as error:  # the disk is full, or input or output fails
+                if time.monotonic() >= deadline:
+                    raise DiskError(f"{self._path}: {error}") from error
+                log.warning("%s: %s", self._path, error)
+                time.sleep(MAX_RETRY_DELAY_S)
+            except sqlite3.DatabaseError as error:
+                log.warning("%s cannot be read and is moved away: %s", self._path, error)
+                self._move_away()
 
     def _open(self) -> sqlite3.Connection:
-        """Raises sqlite3.DatabaseError."""
+        """Raise sqlite3.DatabaseError if the file is corrupt, its subclass OperationalError if the disk fails."""
         db = sqlite3.connect(self._path, isolation_level=None, check_same_thread=False)
         try:
-            self._read(db)
+            self._configure(db)
+            self._prepare_schema(db)
+            self._load(db)
+            self._sync_folder()
         except BaseException:
             db.close()
             raise
         return db
 
-    def _read(self, db: sqlite3.Connection) -> None:
+    @staticmethod
+    def _configure(db: sqlite3.Connection) -> None:
         db.execute("pragma locking_mode=exclusive")
         db.execute("pragma journal_mode=wal")
         db.execute("pragma synchronous=full")
-        db.execute(f"pragma journal_size_limit={LOG_BYTES}")
+        db.execute(f"pragma journal_size_limit={MAX_LOG_BYTES}")
         db.execute("pragma cache_size=-256")
-        # What a statement may have to undo grows with its rows; a temporary file for it could be opened nowhere.
+        # A statement that changes many rows keeps a journal to undo them. As a temporary file it could not be opened
+        # where descriptors have run out.
         db.execute("pragma temp_store=memory")
         db.create_function("range_of", 2, range_of, deterministic=True)
-        held = db.execute("pragma user_version").fetchone()[0]
-        if held > FORMAT:
-            raise DiskError(f"{self._path}: is of format {held}; this program reads up to {FORMAT}")
-        if held < FORMAT and db.execute("select 1 from sqlite_master where name = 'item'").fetchone():
-            self._upgrade(db, held)
+
+    def _prepare_schema(self, db: sqlite3.Connection) -> None:
+        file_format = db.execute("pragma user_version").fetchone()[0]
+        if file_format > FORMAT:
+            raise DiskError(f"{self._path}: is of format {file_format}; this program reads up to {FORMAT}")
+        if file_format < FORMAT and db.execute("select 1 from sqlite_master where name = 'item'").fetchone():
+            self._upgrade(db, file_format)
         db.executescript(SCHEMA)
-        if db.execute("pragma quick_check").fetchone()[0] != "ok":
-            raise sqlite3.DatabaseError("quick_check failed")
-        self.items = []
-        for *row, total in db.execute("select kind, name, version, seq, body, accepted, sum from item"):
-            self.items.append(Item(*row))
-            if checksum_of(self.items[-1]) != total:
-                raise sqlite3.DatabaseError(f"{row[0]} {row[1]} is not what was written")
-        self.facts = dict(db.execute("select name, value from fact"))
-        self._sync_folder()
 
     @staticmethod
-    def _upgrade(db: sqlite3.Connection, held: int) -> None:
-        """A file of an earlier format, in one transaction. Format 0 had no sums, format 1 no records."""
+    def _upgrade(db: sqlite3.Connection, file_format: int) -> None:
+        """Upgrade a file in one transaction. Format 0 had no checksums, format 1 no records of accepted versions."""
         db.create_function("checksum_of", 5, lambda *row: checksum_of(Item(*row)), deterministic=True)
         db.execute("begin immediate")
-        if held == 0:
+        if file_format == 0:
             db.execute("alter table item add column sum integer")
             db.execute("update item set sum = checksum_of(kind, name, version, seq, body)")
         db.execute("alter table item add column accepted blob")
         db.execute(f"pragma user_version={FORMAT}")
         db.execute("commit")
 
-    def _put_away(self) -> None:
-        """The file goes first, for good, and then its log: a file without its log would be an older state that can be
-        read, while sqlite drops a log without its file."""
+    def _load(self, db: sqlite3.Connection) -> None:
+        if db.execute("pragma quick_check").fetchone()[0] != "ok":
+            raise sqlite3.DatabaseError("quick_check failed")
+        self.items = []
+        for *row, checksum in db.execute("select kind, name, version, seq, body, accepted, sum from item"):
+            item = Item(*row)
+            if checksum_of(item) != checksum:
+                raise sqlite3.DatabaseError(f"{item.kind} {item.name} is not what was written")
+            self.items.append(item)
+        self.facts = dict(db.execute("select name, value from fact"))
+
+    def _move_away(self) -> None:
+        """Rename the file and what belongs to it.
+
+        The file goes first, and for good: without its log it would be an older state that can be read. sqlite deletes a
+        log without its file.
+        """
         for ending in ("", "-wal", "-shm", "-journal"):
             if os.path.exists(self._path + ending):
                 os.replace(self._path + ending, f"{self._path}{ending}.bad")
                 self._sync_folder()
 
     def _sync_folder(self) -> None:
-        fd = os.open(os.path.dirname(self._path), os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(os.path.dirname(self._path), os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(fd)
+            os.fsync(descriptor)
         finally:
-            os.close(fd)
+            os.close(descriptor)
+
+    # In the thread of the event loop
 
     def save(self, save: Save, done: Done) -> None:
-        self._since = self._since or self._reactor.now()
-        self._out += 1
-        self._queue.put((save, done))
+        """Queue a save and return at once; `done` is called in the event loop when all of it is on disk."""
+        if self._pending_since is None:
+            self._pending_since = self._reactor.now()
+        self._pending_count += 1
+        self._queue.put(PendingSave(save, done))
+
+    def oldest_save_age_us(self) -> int:
+        """Return for how long the oldest save has been pending; 0: none is."""
+        return 0 if self._pending_since is None else self._reactor.now() - self._pending_since
 
     def close(self) -> None:
-        """After what was asked for is done; the thread ends, the file is closed."""
+        """Complete what is pending, end the thread and close the file."""
         self._queue.put(None)
         self._thread.join()
         self._db.close()
 
-    def oldest_save_age_us(self) -> int:
-        """For how long the oldest save has been out."""
-        return self._reactor.now() - self._since if self._since else 0
+    def _on_committed(self, callbacks: list[Done]) -> None:
+        self._pending_count -= len(callbacks)
+        self._pending_since = self._reactor.now() if self._pending_count else None
+        for callback in callbacks:
+            callback()
+
+    # In the thread of the disk
 
-    def _work(self) -> None:
+    def _commit_saves(self) -> None:
         while (first := self._queue.get()) is not None:
             batch = [first]
             while not self._queue.empty():
-                more = self._queue.get()
-                if more is None:
+                pending = self._queue.get()
+                if pending is None:
                     self._queue.put(None)
                     break
-                batch.append(more)
-            pause = AGAIN_S
-            while not self._commit(batch):
-                time.sleep(pause)  # a disk that refuses: nothing is told until it takes it
-                pause = min(2 * pause, MOST_AGAIN_S)
-            self._reactor.call_from_thread(self._done, [done for _, done in batch])
-
-    def _commit(self, batch: list[tuple[Save, Done]]) -> bool:
+                batch.append(pending)
+            delay_s = RETRY_DELAY_S
+            while not self._commit(batch):  # nothing is reported until the disk has taken it
+                time.sleep(delay_s)
+                delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
+            self._reactor.call_from_thread(self._on_committed, [pending.done for pending in batch])
+
+    def _commit(self, batch: list[PendingSave]) -> bool:
+        """Write all saves in one transaction. Return whether the disk has taken it."""
         db = self._db
         try:
             db.execute("begin immediate")
-            for save, _ in batch:
-                if save.ranges:
-                    marks = ", ".join(str(int(r)) for r in save.ranges)
-                    db.execute(f"delete from item where range_of(kind, name) in ({marks})")
-                if save.tombstone_floor:
-                    db.execute("delete from item where body is null and seq <= ?", (save.tombstone_floor,))
-                db.executemany(INSERT, [(*msgspec.structs.astuple(i), checksum_of(i)) for i in save.items])
-                db.executemany("insert or replace into fact values (?, ?)", list(save.facts.items()))
+            for pending in batch:
+                self._write(db, pending.save)
             db.execute("commit")
             return True
-        except sqlite3.Error as e:
-            log.warning("the disk refuses: %s", e)
-            try:
-                if db.in_transaction:
-                    db.execute("rollback")
-            except sqlite3.Error:
-                pass
+        except sqlite3.Error as error:
+            log.warning("the disk rejects a commit: %s", error)
+            self._roll_back(db)
             return False
 
-    def _done(self, done: list[Done]) -> None:
-        self._out -= len(done)
-        self._since = self._reactor.now() if self._out else 0
-        for call in done:
-            call()
+    @staticmethod
+    def _write(db: sqlite3.Connection, save: Save) -> None:
+        if save.ranges:
+            numbers = ", ".join(str(int(number)) for number in save.ranges)
+            db.execute(f"delete from item where range_of(kind, name) in ({numbers})")
+        if save.tombstone_floor:
+            db.execute("delete from item where body is null and seq <= ?", (save.tombstone_floor,))
+        db.executemany(INSERT, [(*msgspec.structs.astuple(item), checksum_of(item)) for item in save.items])
+        db.executemany("insert or replace into fact values (?, ?)", list(save.facts.items()))
+
+    @staticmethod
+    def _roll_back(db: sqlite3.Connection) -> None:
+        if db.in_transaction:
+            with suppress(sqlite3.Error):  # the disk still fails: the next attempt reports it
+                db.execute("rollback")
--- /dev/null
+++ b/lilacsill/mesh/store/facts.py
@@ -0,0 +1,72 @@
+"""The facts that a replica keeps on its disk beside the items, by name. No I/O.
+
+The names are part of the format of the file and stay as the first version wrote them.
+"""
+
+from __future__ import annotations
+
+import msgspec
+
+from lilacsill.mesh.runtime.messages import Member, View
+
+from .paxos import AcceptorState
+
+Facts = dict[str, bytes]
+
+_INCARNATION = "incarnation"
+_VIEW = "view"
+_COMPLETE = "whole"
+_SEQ = "seq"
+_TOMBSTONE_FLOOR = "floor"
+_ACCEPTOR = "accord"  # written by `lilacsill.mesh.store.paxos`
+
+
+class StoredReplica(msgspec.Struct):
+    """What a disk says of its replica, apart from the items."""
+
+    member: Member
+    view: View
+    complete: bool
+    seq: int
+    tombstone_floor: int
+    acceptor_state: AcceptorState
+
+
+def incarnation(member: Member) -> Facts:
+    """Return the fact that identifies the disk."""
+    return {_INCARNATION: member.incarnation.encode()}
+
+
+def view(adopted: View) -> Facts:
+    """Return the fact that names the view."""
+    return {_VIEW: msgspec.msgpack.encode(adopted)}
+
+
+def completeness(complete: bool) -> Facts:
+    """Return the fact that tells whether the copy is complete."""
+    return {_COMPLETE: b"1" if complete else b"0"}
+
+
+def sequence(seq: int) -> Facts:
+    """Return the fact that tells up to which sequence number the items are complete."""
+    return {_SEQ: b"%d" % seq}
+
+
+def tombstone_floor(floor: int) -> Facts:
+    """Return the fact that tells up to which sequence number tombstones are collected."""
+    return {_TOMBSTONE_FLOOR: b"%d" % floor}
+
+
+def read(facts: Facts, address: str) -> StoredReplica | None:
+    """Decode the facts of a disk. None: the disk was empty."""
+    if _INCARNATION not in facts:
+        return None
+    acceptor = facts.get(_ACCEPTOR)
+    return StoredReplica(
+        Member(address, facts[_INCARNATION].decode()),
+        msgspec.msgpack.decode(facts[_VIEW], type=View),
+        facts[_COMPLETE] == b"1",
+        int(facts[_SEQ]),
+        int(facts.get(_TOMBSTONE_FLOOR, 0)),
+        AcceptorState() if acceptor is None else msgspec.msgpack.decode(acceptor, type=AcceptorState),
+    )
--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -1,15 +1,17 @@
-"""Those who follow the configuration: each gets what it lacks from the tail, with the age of that statement. No I/O.
+"""Registries that follow the configuration by long polls. No I/O.
 
-The tail speaks only while it holds a read lease; another member passes question and answer on. What that takes counts
-as age at whoever asked, for the answer tells how long the tail held the question, and no more.
+The tail answers with the changes that the follower lacks and with evidence of how recent they are, and only while it
+holds a read lease. Another member forwards the request and the answer. The time that this takes makes the answer older
+in the follower's view, since the evidence covers only the time that the tail itself held the request.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from functools import partial
 
+import msgspec
+
 from lilacsill.mesh.runtime.freshness import told
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Message
 
@@ -18,84 +20,87 @@
 from .membership import Membership
 from .replica import Replica
 
-HOPS = 2
-RELAY_SLACK_US = 300_000  # beyond the time that the question may wait
+MAX_HOPS = 2
+FORWARD_SLACK_US = 300_000  # beyond the time that the poll may wait
+US_PER_MS = 1000
 
 Replier = Callable[[Message], None]
 
 
-@dataclass(slots=True, eq=False)
-class Follower:
-    """A question that waits for news."""
+class Poll(msgspec.Struct, eq=False, frozen=True):
+    """A request that waits for changes."""
 
-    question: Follow
+    request: Follow
     reply: Replier
-    asked_at: int
+    received_at_us: int
 
 
 class Followers:
-    """One member's."""
+    """The followers that poll one member."""
 
     def __init__(self, replica: Replica, chain: Chain, membership: Membership) -> None:
         self._replica, self._environment = replica, replica.environment
         self._chain, self._membership = chain, membership
-        self._waiting: list[Follower] = []
-        chain.on_commit = self._committed
-        replica.on_view.append(self._new_view)
+        self._polls: list[Poll] = []
+        replica.on_view.append(self._on_view)
 
-    def follow(self, m: Follow, reply: Replier) -> None:
-        """At once if there is news or this member may not speak; else when there is some, or the wait is over."""
-        now = self._environment.now()
+    def handle_follow(self, request: Follow, reply: Replier) -> None:
+        """Answer at once with changes, or without any if this member may not answer; else wait for changes."""
         if not self._replica.is_tail:
-            return self._pass_on(m, reply)
-        if not self._may_speak() or self._replica.state.seq > m.seq:
-            return self._answer(Follower(m, reply, now))
-        follower = Follower(m, reply, now)
-        self._waiting.append(follower)
-        self._environment.after(m.wait_ms * 1000, self._waited, follower)
-
-    def _may_speak(self) -> bool:
+            self._forward(request, reply)
+            return
+        poll = Poll(request, reply, self._environment.now())
+        if not self._may_answer() or self._replica.state.seq > request.seq:
+            self._answer(poll)
+            return
+        self._polls.append(poll)
+        self._environment.after(request.wait_ms * US_PER_MS, self._on_timeout, poll)
+
+    def publish(self) -> None:
+        """Answer the polls that wait for changes that are committed now."""
+        if not self._polls or not self._may_answer():
+            return
+        seq = self._replica.state.seq
+        due = [poll for poll in self._polls if poll.request.seq < seq]
+        self._polls = [poll for poll in self._polls if poll.request.seq >= seq]
+        for poll in due:
+            self._answer(poll)
+
+    def _may_answer(self) -> bool:
         return self._replica.is_tail and self._chain.synced and self._membership.sure()
 
-    def _answer(self, follower: Follower) -> None:
-        """With what is in force at this moment, if this member may say so."""
-        if not self._may_speak():
-            return follower.reply(FollowReply(None, self._membership.peers()))
+    def _answer(self, poll: Poll) -> None:
+        if not self._may_answer():
+            poll.reply(self._no_update())
+            return
         state, now = self._replica.state, self._environment.now()
-        lacking = state.items_since(follower.question.seq) if state.seq > follower.question.seq else []
-        news = ConfigUpdate(state.seq, for_followers(lacking), told(now, follower.asked_at, now))
-        follower.reply(FollowReply(news, self._membership.peers()))
+        changes = state.items_since(poll.request.seq) if state.seq > poll.request.seq else []
+        update = ConfigUpdate(state.seq, for_followers(changes), told(now, poll.received_at_us, now))
+        poll.reply(FollowReply(update, self._membership.peers()))
+
+    def _no_update(self) -> FollowReply:
+        return FollowReply(None, self._membership.peers())
+
+    def _on_timeout(self, poll: Poll) -> None:
+        if poll in self._polls:
+            self._polls.remove(poll)
+            self._answer(poll)
 
-    def _waited(self, follower: Follower) -> None:
-        if follower in self._waiting:
-            self._waiting.remove(follower)
-            self._answer(follower)
+    def _on_view(self) -> None:
+        polls, self._polls = self._polls, []
+        for poll in polls:
+            poll.reply(self._no_update())
 
-    def _committed(self) -> None:
-        if not self._waiting or not self._may_speak():
+    # At members other than the tail
+
+    def _forward(self, request: Follow, reply: Replier) -> None:
+        tail = self._replica.view.chain[-1:]
+        if request.hops >= MAX_HOPS or not tail:
+            reply(self._no_update())
             return
-        due = [f for f in self._waiting if f.question.seq < self._replica.state.seq]
-        self._waiting = [f for f in self._waiting if f.question.seq >= self._replica.state.seq]
-        for follower in due:
-            self._answer(follower)
-
-    def _new_view(self) -> None:
-        waiting, self._waiting = self._waiting, []
-        for follower in waiting:
-            follower.reply(FollowReply(None, self._membership.peers()))
-
-    # Elsewhere than at the tail
-
-    def _pass_on(self, m: Follow, reply: Replier) -> None:
-        to = self._replica.view.chain[-1:]
-        if m.hops >= HOPS or not to:
-            return reply(FollowReply(None, self._membership.peers()))
-        self._environment.ask(
-            to[0].address,
-            Follow(m.seq, m.wait_ms, m.hops + 1),
-            m.wait_ms * 1000 + RELAY_SLACK_US,
-            partial(self._passed_on, reply),
-        )
-
-    def _passed_on(self, reply: Replier, m: Message | None) -> None:
-        reply(m if isinstance(m, FollowReply) else FollowReply(None, self._membership.peers()))
+        forwarded = msgspec.structs.replace(request, hops=request.hops + 1)
+        timeout_us = request.wait_ms * US_PER_MS + FORWARD_SLACK_US
+        self._environment.ask(tail[0].address, forwarded, timeout_us, partial(self._on_forwarded, reply))
+
+    def _on_forwarded(self, reply: Replier, answer: Message | None) -> None:
+        reply(answer if isinstance(answer, FollowReply) else self._no_update())
--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -1,18 +1,17 @@
-"""The ways in: calls go to the head, reads and followers to the tail, whoever was asked. No I/O.
+"""The entry of operators' calls: changes go to the head, reads to the tail, whichever member was asked. No I/O.
 
-One that is not the right member passes the question on; a question that has been passed on once too often gets no clear
-answer, which is true whatever became of it.
+A member that is not the right one forwards the request. A request that was forwarded too often, or whose outcome is not
+known, is answered with 503, which is true whatever became of it.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
 import msgspec
 
-from lilacsill.mesh.runtime.messages import Confirm, Confirmed, Member, Message, Patch, Read, Reply
+from lilacsill.mesh.runtime.messages import Confirm, Confirmed, Item, Member, Message, Patch, Read, Reply
 
 from .chain import Chain
 from .draft import Draft
@@ -23,21 +22,21 @@
 if TYPE_CHECKING:
     from .validation import Call, Rejection
 
-HOPS = 2
-RELAY_US = 850_000  # a caller moves on after a second of silence
-WAIT_US = 800_000
-MOST_WAITING = 64
-MOST_BYTES = 64 << 20  # of the state, where the settings tell of no disk
-KEPT_REFUSALS = 16
-UNCLEAR = Reply(503, b'{"Message":"no clear answer; send it again"}')
-REFUSED_BEFORE = Reply(503, b'{"Message":"it was refused a moment ago; send it again"}')
+MAX_HOPS = 2
+FORWARD_TIMEOUT_US = 850_000  # a caller tries another member after a second without an answer
+CALL_TIMEOUT_US = 800_000
+MAX_WAITING_CALLS = 64
+DEFAULT_MAX_STATE_BYTES = 64 << 20  # where the settings do not give the size of the disk
+MAX_REPORTED_REJECTIONS = 16
+OUTCOME_UNKNOWN = Reply(503, b'{"Message":"no clear answer; send it again"}')
+REJECTED_RECENTLY = Reply(503, b'{"Message":"it was refused a moment ago; send it again"}')
+OVERLOADED = Reply(503, b'{"Message":"too many calls at once"}')
 
 Replier = Callable[[Message], None]
 
 
-@dataclass(slots=True, frozen=True)
-class _WaitingCall:
-    """One that waits at the head for its turn."""
+class _WaitingCall(msgspec.Struct, frozen=True):
+    """A call that waits at the head until the head may append changes."""
 
     body: bytes
     call: Call
@@ -45,112 +44,141 @@
 
 
 class Frontend:
-    """One machine's."""
+    """The entry at one member.
+
+    Attributes:
+        max_state_bytes: Calls that would make the state larger are rejected.
+        rejections: Status and reason of the latest rejected calls, the newest last, for operators.
+    """
 
     def __init__(self, replica: Replica, chain: Chain) -> None:
         self._replica, self._environment, self._chain = replica, replica.environment, chain
-        self._queue: list[_WaitingCall] = []
+        self._waiting_calls: list[_WaitingCall] = []
         self._recent_refusals = RecentRefusals()
-        self.max_state_bytes = MOST_BYTES
-        self.rejections: list[str] = []  # why, the latest last
-        chain.on_writable = self._write
-        replica.on_view.append(self._new_view)
+        self.max_state_bytes = DEFAULT_MAX_STATE_BYTES
+        self.rejections: list[str] = []
+        replica.on_view.append(self._on_view)
 
-    # Calls
+    # Changes
 
-    def patch(self, m: Patch, reply: Replier) -> None:
+    def handle_patch(self, request: Patch, reply: Replier) -> None:
+        """Accept or reject an operator's change; forward it unless this member is the head."""
         replica = self._replica
         if not replica.is_head or not replica.complete:
-            return self._pass_on(replica.view.chain[:1], m, reply)
-        from . import validation  # with cerberus and returns: 7 MB that only a head needs
-
-        read = validation.read(m.body)
-        if not validation.is_good(read):
-            refusal = self._rejected(read.failure(), validation.INVALID)
-            return self._if_in_force(lambda ok: reply(refusal if ok else UNCLEAR))
-        if len(self._queue) >= MOST_WAITING:
-            return reply(Reply(503, b'{"Message":"too many calls at once"}'))
-        answered = False
-
-        def once(answer: Message) -> None:
-            nonlocal answered
-            if not answered:
-                answered = True
-                reply(answer)
-
-        self._environment.after(WAIT_US, once, UNCLEAR)
-        self._queue.append(_WaitingCall(m.body, read.unwrap(), once))
-        self._write()
-
-    def _rejected(self, why: str, status: int) -> Reply:
-        self.rejections = [*self.rejections[1 - KEPT_REFUSALS :], f"{status}: {why}"]
-        return Reply(status, msgspec.json.encode({"Message": why}))
-
-    def _if_in_force(self, done: Callable[[bool], None]) -> None:
-        """A clear answer that rests on this member's state alone waits for a majority of the view."""
-        confirm_view(self._replica, done)
+            self._forward(replica.view.chain[:1], request, reply)
+            return
+        # Imports cerberus and returns, 7 MB that only a head needs.
+        from . import validation
 
-    def _write(self) -> None:
-        """All calls that wait are checked one behind the other, and go to disk together."""
-        replica = self._replica
-        if not self._queue or not self._chain.may_append:
+        parsed = validation.read(request.body)
+        if not validation.is_good(parsed):
+            rejection = self._rejection(parsed.failure(), validation.INVALID)
+            self._if_in_force(lambda ok: reply(rejection if ok else OUTCOME_UNKNOWN))
+            return
+        if len(self._waiting_calls) >= MAX_WAITING_CALLS:
+            reply(OVERLOADED)
+            return
+        answer = _once(reply)
+        self._environment.after(CALL_TIMEOUT_US, answer, OUTCOME_UNKNOWN)
+        self._waiting_calls.append(_WaitingCall(request.body, parsed.unwrap(), answer))
+        self.append_waiting_calls()
+
+    def append_waiting_calls(self) -> None:
+        """Validate all waiting calls, one on top of the other, and replicate their changes together."""
+        if not self._waiting_calls or not self._chain.may_append:
             return
-        queue, self._queue = self._queue, []
-        draft = Draft(replica.state)
-        answers = [(waiting.reply, self._judged(draft, waiting)) for waiting in queue]
+        calls, self._waiting_calls = self._waiting_calls, []
+        draft = Draft(self._replica.state)
+        answers = [(call.reply, self._validate(draft, call)) for call in calls]
 
-        # Yes and no alike rest on the calls before them: until those are on all disks there is no clear answer.
-        def done(ok: bool) -> None:
+        # Acceptance and rejection alike depend on the calls before: none is answered until those are committed.
+        def on_commit(ok: bool) -> None:
             for reply, answer in answers:
-                reply(answer if ok else UNCLEAR)
+                reply(answer if ok else OUTCOME_UNKNOWN)
 
-        if not draft.items:  # old news; but what it found here must be on all disks, too
-            return self._chain.wait_for_commit(draft.seq, lambda ok: self._if_in_force(done) if ok else done(False))
-        self._chain.replicate(list(draft.items.values()), draft.seq, done)
+        changes: list[Item] = list(draft.items.values())
+        if changes:
+            self._chain.replicate(changes, draft.seq, on_commit)
+            return
+        # Nothing changes, but the state that the answers depend on must be committed, too.
+        self._chain.wait_for_commit(draft.seq, lambda ok: self._if_in_force(on_commit) if ok else on_commit(False))
 
-    def _judged(self, draft: Draft, waiting: _WaitingCall) -> Reply:
-        """The answer, once all that it rests on is on all disks. A call that is taken changes the draft."""
+    def _validate(self, draft: Draft, waiting: _WaitingCall) -> Reply:
+        """Return the answer to a call once its state is committed. The changes of an accepted call go to the draft."""
         from . import validation
 
-        judged = validation.against(draft, waiting.call)
-        if not validation.is_good(judged):
-            return self._refused(waiting.body, judged.failure())
-        changed = judged.unwrap()
-        if changed.size > max(self.max_state_bytes, draft.size):  # what makes it smaller is taken
+        validated = validation.against(draft, waiting.call)
+        if not validation.is_good(validated):
+            return self._reject(waiting.body, validated.failure())
+        changed = validated.unwrap()
+        if changed.size > max(self.max_state_bytes, draft.size):  # a call that makes the state smaller is accepted
             why = f"the state would take {changed.size} bytes, {self.max_state_bytes} are allowed"
-            return self._refused(waiting.body, validation.Rejection(why, validation.TOO_LARGE))
+            return self._reject(waiting.body, validation.Rejection(why, validation.TOO_LARGE))
         if changed.items and self._recent_refusals.includes(waiting.body, self._environment.now()):
-            return REFUSED_BEFORE
+            return REJECTED_RECENTLY
         draft.merge(changed)
         return Reply(200, b"{}")
 
-    def _refused(self, body: bytes, rejection: Rejection) -> Reply:
-        if rejection.status != UNCLEAR.status:
+    def _reject(self, body: bytes, rejection: Rejection) -> Reply:
+        if rejection.status != OUTCOME_UNKNOWN.status:
             self._recent_refusals.add(body, self._environment.now())
-        return self._rejected(rejection.why, rejection.status)
+        return self._rejection(rejection.why, rejection.status)
 
-    def _pass_on(self, to: tuple[Member, ...], m: Patch | Read, reply: Replier) -> None:
-        if m.hops >= HOPS or not to or to[0] == self._replica.me:
-            return reply(UNCLEAR)
-        again = Patch(m.body, m.hops + 1) if isinstance(m, Patch) else Read(m.hops + 1)
-        self._environment.ask(to[0].address, again, RELAY_US, lambda a: reply(a if isinstance(a, Reply) else UNCLEAR))
+    def _rejection(self, reason: str, status: int) -> Reply:
+        self.rejections = [*self.rejections[1 - MAX_REPORTED_REJECTIONS :], f"{status}: {reason}"]
+        return Reply(status, msgspec.json.encode({"Message": reason}))
 
-    def _new_view(self) -> None:
-        queue, self._queue = self._queue, []
-        for waiting in queue:
-            waiting.reply(UNCLEAR)
+    def _on_view(self) -> None:
+        calls, self._waiting_calls = self._waiting_calls, []
+        for call in calls:
+            call.reply(OUTCOME_UNKNOWN)
 
     # Reads
 
-    def read(self, m: Read, reply: Replier) -> None:
+    def handle_read(self, request: Read, reply: Replier) -> None:
+        """Answer with the complete configuration; forward the request unless this member is the tail."""
         replica = self._replica
         if not replica.is_tail:
-            return self._pass_on(replica.view.chain[-1:], m, reply)
+            self._forward(replica.view.chain[-1:], request, reply)
+            return
         if not self._chain.synced:
-            return reply(UNCLEAR)
+            reply(OUTCOME_UNKNOWN)
+            return
         body = replica.state.to_json()
-        self._if_in_force(lambda ok: reply(Reply(200, body) if ok else UNCLEAR))
+        self._if_in_force(lambda ok: reply(Reply(200, body) if ok else OUTCOME_UNKNOWN))
 
-    def confirm(self, m: Confirm, reply: Replier) -> None:
+    def handle_confirm(self, request: Confirm, reply: Replier) -> None:
+        """Tell another member whether the view that it asks about is in force, as far as this member knows."""
         replica = self._replica
-        reply(Confirmed(replica.is_member and replica.view.number == m.view_number and not replica.view_pending))
+        is_present = replica.view.number == request.view_number
+        reply(Confirmed(replica.is_member and is_present and not replica.view_pending))
+
+    # Either
+
+    def _if_in_force(self, done: Callable[[bool], None]) -> None:
+        """Ask a majority of the view: an answer that depends on the state of this member alone needs one."""
+        confirm_view(self._replica, done)
+
+    def _forward(self, to: tuple[Member, ...], request: Patch | Read, reply: Replier) -> None:
+        if request.hops >= MAX_HOPS or not to or to[0] == self._replica.me:
+            reply(OUTCOME_UNKNOWN)
+            return
+
+        def answered(answer: Message | None) -> None:
+            reply(answer if isinstance(answer, Reply) else OUTCOME_UNKNOWN)
+
+        forwarded = msgspec.structs.replace(request, hops=request.hops + 1)
+        self._environment.ask(to[0].address, forwarded, FORWARD_TIMEOUT_US, answered)
+
+
+def _once(reply: Replier) -> Replier:
+    """Return a callback that passes on only the first of several answers."""
+    is_answered = False
+
+    def answer(message: Message) -> None:
+        nonlocal is_answered
+        if not is_answered:
+            is_answered = True
+            reply(message)
+
+    return answer
--- a/lilacsill/mesh/store/leaving.py
+++ b/lilacsill/mesh/store/leaving.py
@@ -1,8 +1,9 @@
-"""The planned end of one copy: out of the chain first, once the others can do without it. No I/O.
+"""The planned end of one replica: it leaves the chain first, once the others have enough complete copies. No I/O.
 
-At half of the grace period the others are told that it ends whatever becomes of it, so that they choose a view without
-it if one of them is whole; at three quarters it ends. Where none is, it ends as a member, with its disk: nothing is
-lost unless the disk is taken, too, and nothing is acknowledged until the machine is back.
+After half of the grace period the replica announces that it ends in any case, so that the others agree on a view
+without it if one of them is complete. After three quarters of the period it ends. Where no other copy is complete it
+ends as a member, with its data on disk: nothing is lost unless the disk is lost, too, and nothing is acknowledged until
+the machine is back.
 """
 
 from __future__ import annotations
@@ -15,36 +16,38 @@
 from .membership import Membership
 from .replica import Replica
 
-LOOK_US = 100_000
-# After the others have heard of the view without this machine: they must have it on their disks, for this machine may
-# be one of the few that voted for it, and will never be asked again.
+CHECK_INTERVAL_US = 100_000
+# After the others have received the view without this machine. They must have it on disk, since this machine may be one
+# of the few that voted for it, and cannot be asked any more.
 LINGER_US = 300_000
 
 
 class Leaving:
-    """Begins with its creation; `stop` is called once, at the end."""
+    """The end of one replica. It begins when the object is made; `stop` is called once, at the end."""
 
     def __init__(self, replica: Replica, membership: Membership, grace_us: int, stop: Callable[[], None]) -> None:
         self._replica, self._membership, self._stop = replica, membership, stop
         self._environment = replica.environment
-        self._must_end_at = self._environment.now() + 3 * grace_us // 4
-        self._dispensable_since: int | None = None
+        self._deadline_us = self._environment.now() + 3 * grace_us // 4
+        self._dispensable_since_us: int | None = None
         replica.departure = Departure.PLANNED
         self._environment.after(grace_us // 2, self._announce_end)
         log.info("leaves")
-        self._look()
+        self._check()
 
     def _announce_end(self) -> None:
         self._replica.departure = Departure.IMMEDIATE
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self._environment.now()
-        if self._membership.is_alone() or now >= self._must_end_at:
-            return self._stop()
+        if self._membership.is_alone() or now >= self._deadline_us:
+            self._stop()
+            return
         if not self._membership.can_be_missed():
-            self._dispensable_since = None
-        elif self._dispensable_since is None:
-            self._dispensable_since = now
-        elif now - self._dispensable_since >= LINGER_US:
-            return self._stop()
-        self._environment.after(LOOK_US, self._look)
+            self._dispensable_since_us = None
+        elif self._dispensable_since_us is None:
+            self._dispensable_since_us = now
+        elif now - self._dispensable_since_us >= LINGER_US:
+            self._stop()
+            return
+        self._environment.after(CHECK_INTERVAL_US, self._check)
--- /dev/null
+++ b/lilacsill/mesh/store/local_environment.py
@@ -0,0 +1,68 @@
+"""The environment of a replica in its own process: the event loop, links to the other machines, the disk."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from typing import Any
+
+from lilacsill.address import parse_address
+from lilacsill.mesh.runtime.messages import Message
+from lilacsill.mesh.runtime.reactor import Reactor
+from lilacsill.mesh.runtime.rpc import Handler, Peers
+from lilacsill.timers import Timer
+
+from .disk import Disk
+from .environment import Answered, Done, Save
+
+
+class LocalEnvironment:
+    """An `Environment`.
+
+    Attributes:
+        handlers: The handlers of this process's own messages by type; the process sets them before it starts.
+    """
+
+    def __init__(self, reactor: Reactor, disk: Disk, address: str) -> None:
+        self._reactor, self._disk, self._address = reactor, disk, address
+        self._peers = Peers(reactor)
+        self.handlers: dict[type, Handler] = {}
+
+    def now(self) -> int:
+        """Return the time of the event loop in microseconds."""
+        return self._reactor.now()
+
+    def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> Timer:
+        """Call once after the delay, unless the timer is cancelled."""
+        return self._reactor.after(delay_us, call, *arguments)
+
+    def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
+        """Call once, after the present callback has returned."""
+        self._reactor.call_soon(callback, *args)
+
+    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+        """Send a request; `answered` is called once, never from inside this call."""
+        if address == self._address:
+            self._ask_self(message, timeout_us, answered)
+        else:
+            self._peers.to(parse_address(address)).ask(message, timeout_us, answered)
+
+    def _ask_self(self, message: Message, timeout_us: int, answered: Answered) -> None:
+        """Handle a request to this process like one to another machine: with a time-out, and answered later."""
+        is_over = False
+
+        def once(answer: Message | None) -> None:
+            nonlocal is_over
+            if not is_over:
+                is_over = True
+                self._reactor.call_soon(answered, answer)
+
+        self._reactor.after(timeout_us, once, None)
+        self.handlers[type(message)](message, once)
+
+    def save(self, save: Save, done: Done) -> None:
+        """Write to disk, in the order of the calls; `done` is called when it is there."""
+        self._disk.save(save, done)
+
+    def oldest_save_age_us(self) -> int:
+        """Return for how long the oldest save has been pending; 0: none is."""
+        return self._disk.oldest_save_age_us()
--- a/lilacsill/mesh/store/membership.py
+++ b/lilacsill/mesh/store/membership.py
@@ -71,7 +71,6 @@
         self.fence = fence
         fence.on_give_up = lambda: self._ask_all(replica.environment.now())
         replica.on_view.append(self._entered)
-        chain.on_learner_synced = self._learner_filled
 
     def start(self) -> None:
         self._beat()
@@ -276,7 +275,8 @@
             return seq < self._replica.state.seq
         return not machine.whole or seen.message.seq < self._replica.state.seq
 
-    def _learner_filled(self) -> None:
+    def on_learner_synced(self) -> None:
+        """The learner that this tail fills has everything that the tail has."""
         learner, now = self._replica.learner, self._environment.now()
         if learner is not None:
             self._filled[learner] = (self._replica.state.seq, now)
--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -1,4 +1,4 @@
-"""One copy of the store whole: what its disk holds, the parts wired, which message goes to which. No I/O."""
+"""One machine of the store: its parts and the handlers of messages. No I/O."""
 
 from __future__ import annotations
 
@@ -24,8 +24,9 @@
     ViewChange,
 )
 
+from . import facts
 from .chain import Chain
-from .environment import Environment, Save
+from .environment import Environment, Save, ignore_completion
 from .fencing import Fence
 from .followers import Followers
 from .frontend import Frontend
@@ -33,81 +34,99 @@
 from .paxos import AcceptorState
 from .replica import NO_VIEW, Replica
 
-FIRST_INCARNATION = "first"  # incarnation of a disk that was empty when the whole system first started
+FIRST_INCARNATION = "first"  # of the disk of a seed when the whole system starts for the first time
+
+Handler = Callable[[Any, Callable[[Message], None]], None]
+
+
+class StoreSettings(msgspec.Struct, frozen=True):
+    """The settings of one machine of the store.
+
+    Attributes:
+        address: Control address of this machine.
+        seeds: Control addresses of the machines to contact first.
+        first_start: Whether the whole system starts for the first time, so that the seeds form the first view.
+        new_incarnation: Incarnation of this machine's disk if the disk is empty.
+        lost_machines: So many machines may be lost at once.
+        lost_places: So many zones or regions may be lost at once.
+    """
+
+    address: str
+    seeds: list[str]
+    first_start: bool
+    new_incarnation: str
+    lost_machines: int
+    lost_places: int = 0
+
+
+class DiskContents(msgspec.Struct, frozen=True):
+    """What is on the disk as the process starts."""
+
+    items: Iterable[Item]
+    facts: facts.Facts
 
 
 class Store:
-    """One copy."""
-
-    def __init__(
-        self,
-        environment: Environment,
-        address: str,
-        seeds: list[str],
-        fresh: bool,
-        stranger: str,
-        items: Iterable[Item],
-        facts: dict[str, bytes],
-        lost_machines: int,
-        lost_places: int = 0,
-    ) -> None:
-        """`stranger`: the incarnation for a disk that is empty now; `fresh`: at the very first start of all."""
-        self.replica = replica = recall(environment, address, seeds, fresh, stranger, items, facts)
-        self.chain = chain = Chain(replica)
+    """One machine of the store. It observes its chain."""
+
+    def __init__(self, environment: Environment, settings: StoreSettings, disk: DiskContents) -> None:
+        self.replica = replica = recover(environment, settings, disk)
+        self.chain = chain = Chain(replica, self)
         self.fence = fence = Fence(replica)
-        self.membership = membership = Membership(replica, chain, fence, seeds)
-        membership.lost_machines, membership.lost_places = lost_machines, lost_places
+        self.membership = membership = Membership(replica, chain, fence, settings.seeds)
+        membership.lost_machines, membership.lost_places = settings.lost_machines, settings.lost_places
         self.frontend = frontend = Frontend(replica, chain)
-        followers = Followers(replica, chain, membership)
-        self.handlers: dict[type, Callable[[Any, Callable[[Message], None]], None]] = {
+        self.followers = followers = Followers(replica, chain, membership)
+        self.handlers: dict[type, Handler] = {
             Heartbeat: membership.hello,
             ViewChange: membership.agreed,
-            SummaryRequest: chain.handle_summary_request,
-            Replicate: chain.handle_replicate,
-            Patch: frontend.patch,
-            Read: frontend.read,
-            Follow: followers.follow,
-            Confirm: frontend.confirm,
+            SummaryRequest: chain.predecessor.handle_summary_request,
+            Replicate: chain.predecessor.handle_replicate,
+            Patch: frontend.handle_patch,
+            Read: frontend.handle_read,
+            Follow: followers.handle_follow,
+            Confirm: frontend.handle_confirm,
             Prepare: fence.prepare,
             Accept: fence.accept,
         }
 
     def start(self) -> None:
+        """Begin to replicate and to send heartbeats."""
         self.chain.start()
         self.membership.start()
 
+    # As the observer of the chain
+
+    def on_commit(self) -> None:
+        """Notify the followers."""
+        self.followers.publish()
+
+    def on_writable(self) -> None:
+        """Replicate the calls that wait at the head."""
+        self.frontend.append_waiting_calls()
+
+    def on_learner_synced(self) -> None:
+        """Go on to the next learner."""
+        self.membership.on_learner_synced()
 
-def recall(
-    environment: Environment,
-    address: str,
-    seeds: list[str],
-    fresh: bool,
-    stranger: str,
-    items: Iterable[Item],
-    facts: dict[str, bytes],
-) -> Replica:
-    """What the disk holds; an empty one makes a stranger, but for the seeds of the very first start."""
-    if "incarnation" in facts:
-        me = Member(address, facts["incarnation"].decode())
-        view = msgspec.msgpack.decode(facts["view"], type=View)
-        acceptor_state = (
-            msgspec.msgpack.decode(facts["accord"], type=AcceptorState) if "accord" in facts else AcceptorState()
-        )
-        return Replica(
-            environment,
-            me,
-            view,
-            facts["whole"] == b"1",
-            acceptor_state,
-            items,
-            int(facts["seq"]),
-            int(facts.get("floor", 0)),
-        )
-    first = fresh and address in seeds
-    me = Member(address, FIRST_INCARNATION if first else stranger)
-    view = View(0, tuple(Member(s, FIRST_INCARNATION) for s in sorted(seeds))) if first else NO_VIEW
-    replica = Replica(environment, me, view, first, AcceptorState(), (), 0)
-    environment.save(
-        Save(facts={**replica.view_facts(), "incarnation": me.incarnation.encode(), "seq": b"0"}), lambda: None
-    )
+
+def recover(environment: Environment, settings: StoreSettings, disk: DiskContents) -> Replica:
+    """Return the replica that the disk holds.
+
+    An empty disk makes a new machine, which knows of no view. The seeds of the very first start are the exception.
+    """
+    stored = facts.read(disk.facts, settings.address)
+    if stored is not None:
+        return Replica(environment, stored, disk.items)
+    is_founder = settings.first_start and settings.address in settings.seeds
+    me = Member(settings.address, FIRST_INCARNATION if is_founder else settings.new_incarnation)
+    view = View(0, founders(settings.seeds)) if is_founder else NO_VIEW
+    replica = Replica(environment, facts.StoredReplica(me, view, is_founder, 0, 0, AcceptorState()), ())
+    identity = {**replica.view_facts(), **facts.incarnation(me), **facts.sequence(0)}
+    environment.save(Save(facts=identity), ignore_completion)
     return replica
+
+
+def founders(seeds: list[str]) -> tuple[Member, ...]:
+    """Return the members of the first view."""
+    return tuple(Member(seed, FIRST_INCARNATION) for seed in sorted(seeds))
--- /dev/null
+++ b/lilacsill/mesh/store/predecessor.py
@@ -0,0 +1,99 @@
+"""Replication from the predecessor in the chain: the receiver's side. No I/O.
+
+A message is acknowledged once its items are on this disk and on the disks of all members behind this one.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Iterable
+from typing import Protocol
+
+from lilacsill.mesh.runtime.messages import Item, Message, Replicate, ReplicateReply, Summary, SummaryRequest
+
+from . import facts
+from .commit_waiters import CommitCallback
+from .environment import Done
+from .replica import Replica
+
+Replier = Callable[[Message], None]
+REJECTED = ReplicateReply(False, 0)
+
+
+class ReceivingChain(Protocol):
+    """What the link from the predecessor needs of its chain."""
+
+    def save_changes(
+        self, items: Iterable[Item], ranges: Iterable[int], changed_facts: facts.Facts, tombstone_floor: int, done: Done
+    ) -> None:
+        """Write items and facts to disk together."""
+
+    def advance_successor(self) -> None:
+        """Send the successor what it lacks."""
+
+    def wait_for_commit(self, seq: int, callback: CommitCallback) -> None:
+        """Call back once that sequence number is committed."""
+
+    def complete_waiters(self) -> None:
+        """Call back those that wait for what is committed by now."""
+
+
+class PredecessorLink:
+    """The link from the predecessor of one member in the present view."""
+
+    def __init__(self, replica: Replica, chain: ReceivingChain) -> None:
+        self._replica, self._chain = replica, chain
+
+    def _is_addressed(self, request: SummaryRequest | Replicate) -> bool:
+        """Return whether the sender takes this machine for what it is.
+
+        A machine that has lost its disk is a learner. In the place that it had in the chain before it would
+        acknowledge alone what the members behind it may lack.
+        """
+        replica = self._replica
+        is_of_view = request.view_number == replica.view.number
+        return is_of_view and request.to_learner is not replica.in_chain and not replica.is_head
+
+    def handle_summary_request(self, request: SummaryRequest, reply: Replier) -> None:
+        """Tell the predecessor what this copy holds."""
+        if not self._is_addressed(request):
+            reply(REJECTED)
+            return
+        state = self._replica.state
+        reply(Summary(self._replica.complete, state.seq, list(state.digests)))
+
+    def handle_replicate(self, request: Replicate, reply: Replier) -> None:
+        """Save a batch of changes, or a chunk of a repair, and acknowledge it."""
+        replica = self._replica
+        if not self._is_addressed(request) or not (replica.complete or request.is_repair):
+            reply(REJECTED)
+            return
+        changed_facts = facts.completeness(request.last)
+        floor = replica.state.tombstone_floor
+        if request.last:
+            changed_facts |= facts.sequence(request.seq)
+            floor = request.tombstone_floor
+        else:
+            # At once, not only when the chunk is on disk: a view that is adopted meanwhile must take it into account.
+            replica.complete = False
+        self._chain.save_changes(
+            request.items, request.ranges, changed_facts, floor, lambda: self._on_saved(request, reply)
+        )
+
+    def _on_saved(self, request: Replicate, reply: Replier) -> None:
+        replica = self._replica
+        if request.is_repair:
+            seq = request.seq if request.last else None
+            replica.state.replace_ranges(request.ranges, request.items, seq, request.tombstone_floor)
+        else:
+            replica.state.apply(request.items, request.seq, request.tombstone_floor)
+        if request.view_number != replica.view.number:
+            self._chain.advance_successor()  # what is on this disk is part of the state, also in the next view
+            reply(REJECTED)
+            return
+        replica.complete = replica.in_sync = request.last
+        if not request.last:
+            reply(ReplicateReply(True, 0))
+            return
+        self._chain.advance_successor()
+        self._chain.wait_for_commit(request.seq, lambda ok: reply(ReplicateReply(ok, request.seq)))
+        self._chain.complete_waiters()
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -1,10 +1,11 @@
-"""The items of the configuration, by kind and name: a version each, and the number that the chain gave the change.
-
-Copies need no log: of two states of one name that of the higher number is the later one, so that what a copy lacks is
-told by its number alone. A dropped item stays as a tombstone, with its version, so that an older change that arrives
-again changes nothing. The newest `TOMBSTONES` of them are kept: the head raises `floor`, the number up to which
-tombstones are collected, and the floor goes down the chain with the items, so that equal numbers mean equal states. No
-I/O.
+"""The items of the configuration as one copy holds them. No I/O.
+
+Each item has its version and the sequence number that the chain gave to its last change. Copies need no log: of two
+states of one item that with the higher sequence number is the later one, so one sequence number tells what a copy
+lacks. A dropped item stays as a tombstone with its version, so that an older change that arrives once more changes
+nothing. About the newest `MAX_TOMBSTONES` of them are kept: the head raises the tombstone floor, the sequence number up
+to which tombstones are deleted. The floor is replicated with the items, so that copies with equal sequence numbers are
+equal.
 """
 
 from __future__ import annotations
@@ -20,17 +21,18 @@
 from .digests import RANGE_COUNT, checksum_of, digest_of, range_of
 from .route_index import LIMITS, ROUTE, SERVICE, Place, RouteIndex
 
-ITEM = 100  # bytes of an item beyond its body and its record, on disk and in a message
-TOMBSTONES = 4096  # kept; an older change of a name that was dropped before so many others would be taken as new
-COLLECTED_AT_ONCE = 256  # tombstones beyond the bound that wait for each other, so that few calls walk over all items
+ITEM_OVERHEAD_BYTES = 100  # of an item beyond its body and its record, on disk and in a message
+MAX_TOMBSTONES = 4096  # an older change of a name that was dropped before so many others would be taken as new
+COLLECTED_AT_ONCE = 256  # tombstones beyond the bound that are deleted together, so that few calls walk over all items
 
 
 def size_of(item: Item) -> int:
-    return ITEM + len(item.body or b"") + len(item.accepted or b"")
+    """Return how many bytes an item takes, on disk and in a message."""
+    return ITEM_OVERHEAD_BYTES + len(item.body or b"") + len(item.accepted or b"")
 
 
 class _PlacedRule(msgspec.Struct):
-    """A route's body, with the rule as it was written."""
+    """The body of a route, with the rule as the operator wrote it."""
 
     Host: str
     Rule: msgspec.Raw
@@ -40,165 +42,187 @@
 
 
 class ConfigState:
-    """What one copy holds, in the order of the sequence numbers."""
+    """What one copy holds.
+
+    Attributes:
+        items: The items by kind and name, in the order of their sequence numbers unless changes came out of order.
+        digests: One digest for each range of names, see `lilacsill.mesh.store.digests`.
+        seq: The state is complete up to this sequence number.
+        size: Bytes of all items.
+        tombstone_floor: Tombstones up to this sequence number are deleted.
+        tombstones: How many items are tombstones.
+    """
 
     def __init__(self) -> None:
         self.items: Items = {}
         self.digests = [0] * RANGE_COUNT
         self.seq = self.size = 0
-        self._index: RouteIndex | None = None  # made when it is asked for: only a head needs one
-        self.tombstone_floor = 0  # tombstones up to this number are collected
+        self.tombstone_floor = 0
         self.tombstones = 0
-        self._last = 0  # the highest number of an item
-        self._ordered = True
-        self._keys: list[set[Key]] | None = None  # by range, while a copy is compared or filled by ranges
+        self._route_index: RouteIndex | None = None  # made on first use: only a head needs one
+        self._last_seq = 0  # the highest sequence number of an item
+        self._is_ordered = True
+        self._keys_by_range: list[set[Key]] | None = None  # while a copy is compared or repaired
 
     # Changes
 
-    def apply(self, items: Iterable[Item], seq: int, floor: int = 0) -> None:
-        """Later changes, up to that number."""
+    def apply(self, items: Iterable[Item], seq: int, tombstone_floor: int = 0) -> None:
+        """Apply changes. The state is complete up to `seq` then."""
         for item in items:
-            held = self.items.get((item.kind, item.name))
-            if held is None or held.seq <= item.seq:
+            present = self.items.get((item.kind, item.name))
+            if present is None or present.seq <= item.seq:
                 self._put(item)
         self.seq = max(self.seq, seq)
-        self.collect_tombstones(floor)
-
-    def replace_ranges(self, ranges: Iterable[int], items: Iterable[Item], seq: int | None, floor: int = 0) -> None:
-        """These are all that there are in those ranges; with `seq` the whole state is as of that number."""
-        self._index = None
-        for at in set(ranges):
-            for key in list(self._by_range()[at]):
+        self.collect_tombstones(tombstone_floor)
+
+    def replace_ranges(
+        self, ranges: Iterable[int], items: Iterable[Item], seq: int | None, tombstone_floor: int = 0
+    ) -> None:
+        """Replace everything in these ranges of names by these items, as a repair does.
+
+        Args:
+            ranges: Numbers of ranges.
+            items: All items of these ranges.
+            seq: With the last part of a repair, the sequence number up to which the state is complete then.
+            tombstone_floor: As of `seq`.
+        """
+        self._route_index = None
+        for number in set(ranges):
+            for key in list(self._range_index()[number]):
                 self._remove(key)
-            self.digests[at] = 0  # not by what it held: that may be what is wrong
+            self.digests[number] = 0  # not computed from the items, which may be what is corrupt
         for item in items:
             self._put(item)
         if seq is not None:
             self.seq = seq
-            self.tombstone_floor = -1  # what it had may be of calls that nobody acknowledged
-            self.collect_tombstones(floor)
+            self.tombstone_floor = -1  # the floor until now may be of changes that were never acknowledged
+            self.collect_tombstones(tombstone_floor)
             self.drop_range_index()
 
     def tombstone_floor_after(self, items: Iterable[Item]) -> int:
-        """The floor that keeps the bound on tombstones once these changes are made."""
-        more = sum(i.body is None for i in items)
-        beyond = self.tombstones + more - TOMBSTONES
-        if beyond < COLLECTED_AT_ONCE:
+        """Return the tombstone floor that keeps the bound on tombstones once these changes are applied."""
+        added = sum(item.body is None for item in items)
+        excess = self.tombstones + added - MAX_TOMBSTONES
+        if excess < COLLECTED_AT_ONCE:
             return self.tombstone_floor
         self._sort()
-        oldest = [i.seq for i, _ in zip(dropped_first(self.items, self.seq), range(beyond), strict=False)]
+        oldest = [item.seq for item, _ in zip(dropped_first(self.items, self.seq), range(excess), strict=False)]
         return max(oldest, default=self.tombstone_floor)
 
-    def collect_tombstones(self, floor: int) -> None:
-        """Tombstones up to that number are forgotten."""
-        if floor <= self.tombstone_floor:
+    def collect_tombstones(self, tombstone_floor: int) -> None:
+        """Delete tombstones up to that sequence number."""
+        if tombstone_floor <= self.tombstone_floor:
             return
-        self.tombstone_floor = floor
+        self.tombstone_floor = tombstone_floor
         self._sort()
-        for item in list(dropped_first(self.items, floor)):
+        for item in list(dropped_first(self.items, tombstone_floor)):
             self.digests[range_of(item.kind, item.name)] ^= checksum_of(item)
             self._remove((item.kind, item.name))
 
     def _put(self, item: Item) -> None:
         key = (item.kind, item.name)
-        at = range_of(*key)
-        held = self.items.get(key)
-        if held is not None:
-            self.digests[at] ^= checksum_of(held)
+        range_number = range_of(*key)
+        present = self.items.get(key)
+        if present is not None:
+            self.digests[range_number] ^= checksum_of(present)
             self._remove(key)
-        if item.seq < self._last:
-            self._ordered = False
+        if item.seq < self._last_seq:
+            self._is_ordered = False
         else:
-            self._last = item.seq
-        self.digests[at] ^= checksum_of(item)
+            self._last_seq = item.seq
+        self.digests[range_number] ^= checksum_of(item)
         self.size += size_of(item)
-        if self._index is not None:
-            self._index.replace(held, item)
+        if self._route_index is not None:
+            self._route_index.replace(present, item)
         if item.body is None:
             self.tombstones += 1
         self.items[key] = item
-        if self._keys is not None:
-            self._keys[at].add(key)
+        if self._keys_by_range is not None:
+            self._keys_by_range[range_number].add(key)
 
     def _remove(self, key: Key) -> None:
-        held = self.items.pop(key)
-        self.size -= size_of(held)
-        self.tombstones -= held.body is None
-        if self._keys is not None:
-            self._keys[range_of(*key)].discard(key)
+        removed = self.items.pop(key)
+        self.size -= size_of(removed)
+        self.tombstones -= removed.body is None
+        if self._keys_by_range is not None:
+            self._keys_by_range[range_of(*key)].discard(key)
 
     def _sort(self) -> None:
-        if not self._ordered:
+        if not self._is_ordered:
             self.items = in_order(self.items)
-            self._last, self._ordered = newest(self.items), True
+            self._last_seq, self._is_ordered = newest(self.items), True
 
-    # Ranges
+    # Ranges of names
 
-    def _by_range(self) -> list[set[Key]]:
-        """Made in one walk, and kept up by changes until it is forgotten."""
-        if self._keys is None:
-            self._keys = [set() for _ in range(RANGE_COUNT)]
+    def _range_index(self) -> list[set[Key]]:
+        """Return the keys by range. They are collected in one walk and kept up to date until `drop_range_index`."""
+        if self._keys_by_range is None:
+            self._keys_by_range = [set() for _ in range(RANGE_COUNT)]
             for key in self.items:
-                self._keys[range_of(*key)].add(key)
-        return self._keys
+                self._keys_by_range[range_of(*key)].add(key)
+        return self._keys_by_range
 
     def items_in_range(self, number: int) -> list[Item]:
-        """All items of one range of names."""
-        return [self.items[key] for key in self._by_range()[number]]
+        """Return all items of one range of names."""
+        return [self.items[key] for key in self._range_index()[number]]
 
     def drop_range_index(self) -> None:
-        """No copy is filled for now."""
-        self._keys = None
+        """Free the memory of the index of ranges: no copy is repaired for now."""
+        self._keys_by_range = None
 
     def digest(self) -> int:
-        """Of all ranges in their order, for people to compare."""
+        """Return one digest of the whole state, for operators to compare."""
         return digest_of(self.digests)
 
     # Reads
 
     def items_since(self, seq: int) -> list[Item]:
-        """What was set or dropped by later calls, in their order; of the whole, what was dropped, too: the one who asks
-        may serve others that have yet to drop it."""
+        """Return what was changed after that sequence number, in the order of the changes.
+
+        Tombstones are included even for 0: whoever asks may serve others that still have the dropped items.
+        """
         self._sort()
         return later_than(self.items, seq)
 
-    # What a change is checked against
+    # What an operator's change is checked against
 
     def item(self, kind: str, name: str) -> Item | None:
+        """Return an item or its tombstone. None: there never was one, or its tombstone is deleted."""
         return self.items.get((kind, name))
 
     def route_at(self, place: Place) -> str | None:
+        """Return the name of the route with this host and prefix."""
         return self._routes().route_at(place)
 
     def uses(self, service: str) -> int:
-        """How many routes that stand name it."""
+        """Return how many routes refer to a service."""
         return self._routes().uses(service)
 
     def _routes(self) -> RouteIndex:
-        if self._index is None:
-            self._index = RouteIndex()
+        if self._route_index is None:
+            self._route_index = RouteIndex()
             for item in self.items.values():
-                self._index.replace(None, item)
-        return self._index
+                self._route_index.replace(None, item)
+        return self._route_index
 
-    def version(self, kind: str, name: str) -> int:
-        """-1: never named."""
+    def version(self, kind: str, name: str) -> int | None:
+        """Return the version of an item or of its tombstone. None: there is neither."""
         item = self.items.get((kind, name))
-        return -1 if item is None else item.version
+        return None if item is None else item.version
 
-    def _standing(self, kind: str) -> Iterator[bytes]:
-        return (i.body for i in self.items.values() if i.kind == kind and i.body is not None)
+    def _bodies(self, kind: str) -> Iterator[bytes]:
+        return (item.body for item in self.items.values() if item.kind == kind and item.body is not None)
 
     def to_json(self) -> bytes:
-        """The configuration whole, laid out as in an operator's first call."""
+        """Return the complete configuration, in the form of an operator's call."""
         hosts: dict[str, list[msgspec.Raw]] = {}
-        for body in self._standing(ROUTE):
+        for body in self._bodies(ROUTE):
             placed = _placed_rule.decode(body)
             hosts.setdefault(placed.Host, []).append(placed.Rule)
-        whole: dict[str, Any] = {}
+        configuration: dict[str, Any] = {}
         limits = self.item(LIMITS, "")
         if limits is not None and limits.body is not None:
-            whole["Limits"] = msgspec.Raw(limits.body)
-        whole["Listeners"] = [{"Host": host, "Policy": rules} for host, rules in hosts.items()]
-        whole["Groups"] = list(map(msgspec.Raw, self._standing(SERVICE)))
-        return msgspec.json.encode(whole)
+            configuration["Limits"] = msgspec.Raw(limits.body)
+        configuration["Listeners"] = [{"Host": host, "Policy": rules} for host, rules in hosts.items()]
+        configuration["Groups"] = list(map(msgspec.Raw, self._bodies(SERVICE)))
+        return msgspec.json.encode(configuration)
--- /dev/null
+++ b/lilacsill/mesh/store/status.py
@@ -0,0 +1,37 @@
+"""What operators see of one replica (`python -m lilacsill.mesh.store status HOST:PORT`). No I/O."""
+
+from __future__ import annotations
+
+from typing import Any
+
+from .node import Store
+
+US_PER_MS = 1000
+
+
+def status_of(store: Store) -> dict[str, Any]:
+    """Return the status of a replica, to be encoded as JSON."""
+    replica, membership, chain = store.replica, store.membership, store.chain
+    view = replica.view
+    return {
+        "address": replica.me.address,
+        "incarnation": replica.me.incarnation,
+        "view": view.number,
+        "members": [member.address for member in view.chain],
+        "suspended": [member.address for member in view.members[len(view.chain) :]],
+        "head": replica.is_head,
+        "tail": replica.is_tail,
+        "complete": replica.complete,
+        "synced": chain.synced,
+        "learners": membership.learners(),
+        "leaving": membership.why_it_stays(),
+        **store.fence.status(),
+        "seq": replica.state.seq,
+        "committed": chain.committed,
+        "digest": f"{replica.state.digest():016x}",
+        "items": len(replica.state.items),
+        "oldest_save_age_ms": replica.environment.oldest_save_age_us() // US_PER_MS,
+        "peers": membership.peers(),
+        "rejections": store.frontend.rejections,
+        "repairs": chain.repairs,
+    }
--- /dev/null
+++ b/lilacsill/mesh/store/successor.py
@@ -0,0 +1,296 @@
+"""Replication to the successor in the chain: the sender's state machine. No I/O.
+
+The sender first asks the successor for a summary of what it holds. It then sends either the changes that the successor
+lacks (streaming) or, where the digests show that the copies differ, all items of the differing ranges (repair, a form
+of anti-entropy). One message is in flight at a time and carries everything that is due, so that under load many
+changes share a message. Copies that are up to date are compared from time to time.
+
+Behind the tail the successor is the learner that is being synced, if there is one. No commit waits for a learner.
+"""
+
+from __future__ import annotations
+
+from enum import Enum, auto
+from functools import partial
+from typing import Protocol
+
+from lilacsill.mesh.runtime.log_ring import log
+from lilacsill.mesh.runtime.messages import Item, Member, Message, Replicate, ReplicateReply, Summary, SummaryRequest
+
+from .digests import differing_ranges, range_of
+from .environment import Answered
+from .replica import Replica
+from .state import size_of
+
+REPLICATE_TIMEOUT_US = 900_000  # until all members behind the sender have a message on disk
+TRANSFER_US_PER_BYTE = 8  # added to the time-out: the links carry at least 1 Mbit/s
+SUMMARY_TIMEOUT_US = 400_000
+RETRY_DELAY_US = 50_000  # after a message that failed
+REPAIR_CHUNK_BYTES = 32_000  # of a repair in one message at first: heartbeats share the link and must not be delayed
+MAX_REPAIR_CHUNK_BYTES = 16 * REPAIR_CHUNK_BYTES  # where chunks are fast
+FAST_CHUNK_US = 100_000  # after a chunk that was on the next disk within this time the next one may be twice as large
+MAX_BATCH_BYTES = 2 * REPAIR_CHUNK_BYTES  # of changes in one message; more are sent as a repair
+COMPARE_INTERVAL_US = 5_000_000  # between two comparisons of copies that are up to date
+MAX_REPORTED_REPAIRS = 16
+
+
+class LinkState(Enum):
+    """What the link to the successor is doing."""
+
+    UNKNOWN = auto()  # nothing is in flight, and it is not known what the successor holds
+    SUMMARISING = auto()  # a summary request is in flight
+    REPAIRING = auto()  # a chunk of a repair is in flight
+    STREAMING = auto()  # a batch of changes is in flight
+    IDLE = auto()  # nothing is in flight, and the successor has everything up to `SuccessorLink.acked_seq`
+    RETRYING = auto()  # a message failed, and `RETRY_DELAY_US` is not over
+
+
+class SendingChain(Protocol):
+    """What the link to the successor needs of its chain."""
+
+    @property
+    def pending_saves(self) -> int:
+        """Saves of items that are not on this disk yet."""
+        ...
+
+    def on_successor_confirmed(self) -> None:
+        """The successor has stated, for the first time in this view, that it holds no more than this copy."""
+
+    def on_successor_acknowledged(self) -> None:
+        """More changes may be on the disks of all members from the successor to the tail."""
+
+    def on_learner_synced(self) -> None:
+        """The learner behind this tail has everything that the tail has."""
+
+
+class SuccessorLink:
+    """The link from one member to its successor in the present view.
+
+    Attributes:
+        acked_seq: Everything up to this sequence number is on the disks of all members from the successor to the tail.
+            None: not known in this view.
+        is_confirmed: Whether the successor has stated in this view that it holds no more than this copy.
+        repairs: What was found to differ and was repaired, the latest last, for operators.
+    """
+
+    def __init__(self, replica: Replica, chain: SendingChain) -> None:
+        self._replica, self._environment, self._chain = replica, replica.environment, chain
+        self._state = LinkState.UNKNOWN
+        self._epoch = 0  # counts views and learners; replies to messages of an earlier epoch are dropped
+        self._chunk_bytes = REPAIR_CHUNK_BYTES
+        self.acked_seq: int | None = None
+        self.is_confirmed = False
+        self.repairs: list[str] = []
+
+    def start(self) -> None:
+        """Begin to replicate and to compare copies."""
+        self.advance()
+        self._environment.after(COMPARE_INTERVAL_US, self._compare)
+
+    def reset(self) -> None:
+        """Forget what is known of the successor, which is another one from now on."""
+        self._epoch += 1
+        self._lose_track()
+        self._chunk_bytes = REPAIR_CHUNK_BYTES
+        self._replica.state.drop_range_index()
+
+    def reset_for_view(self) -> None:
+        """Forget what is known of the successor at the start of a view."""
+        self.reset()
+        self.is_confirmed = False
+
+    def resync(self, address: str, view_number: int, synced: bool) -> None:
+        """Start anew where the successor at `address` says that it is not synced, as after a restart."""
+        successor = self._replica.successor
+        if successor is None or successor.address != address:
+            return
+        if view_number == self._replica.view.number and not synced and not self._is_busy:
+            self._lose_track()
+            self.advance()
+
+    def advance(self) -> None:
+        """Send what the successor lacks, unless a message is in flight or this copy is not up to date itself."""
+        successor = self._replica.successor
+        if successor is None or self._is_busy or not self._replica.is_up_to_date:
+            return
+        if self.acked_seq is None:
+            self._request_summary(successor)
+        elif self.acked_seq < self._replica.state.seq:
+            self._send_batch(self._epoch, self.acked_seq)
+
+    @property
+    def _is_busy(self) -> bool:
+        return self._state is not LinkState.UNKNOWN and self._state is not LinkState.IDLE
+
+    def _lose_track(self) -> None:
+        self._state, self.acked_seq = LinkState.UNKNOWN, None
+
+    # Summary
+
+    def _request_summary(self, successor: Member) -> None:
+        self._state = LinkState.SUMMARISING
+        self._ask_for_summary(successor, partial(self._on_summary, self._epoch))
+
+    def _ask_for_summary(self, successor: Member, answered: Answered) -> None:
+        request = SummaryRequest(self._replica.view.number, self._replica.is_tail)
+        self._environment.ask(successor.address, request, SUMMARY_TIMEOUT_US, answered)
+
+    def _on_summary(self, epoch: int, summary: Message | None) -> None:
+        if epoch != self._epoch:
+            return
+        if not isinstance(summary, Summary):
+            self._retry_later(epoch)
+            return
+        state = self._replica.state
+        if summary.complete and summary.seq > state.seq:
+            # A complete successor can only have more than this copy where this disk has lost what it had acknowledged.
+            self._lose_track()
+            self._replica.mark_outdated()
+            return
+        if not self.is_confirmed:
+            self.is_confirmed = True
+            self._chain.on_successor_confirmed()
+        if summary.complete and (summary.seq < state.seq or summary.digests == state.digests):
+            self._send_batch(epoch, summary.seq)
+            return
+        # The successor has missed something, holds changes that were never acknowledged, or its items are corrupt.
+        ranges = differing_ranges(state.digests, summary.digests)
+        self._report_repair(ranges, summary)
+        self._send_repair(epoch, ranges, state.seq)
+
+    def _report_repair(self, ranges: list[int], summary: Summary) -> None:
+        successor = self._replica.successor
+        assert successor is not None
+        seq, incomplete = self._replica.state.seq, "" if summary.complete else ", incomplete"
+        report = f"{successor.address}: {len(ranges)} ranges as of {seq}, it had {summary.seq}{incomplete}"
+        self.repairs = [*self.repairs[1 - MAX_REPORTED_REPAIRS :], report]
+        log.info("repairs %s", report)
+
+    # Repair
+
+    def _send_repair(self, epoch: int, ranges: list[int], seq: int) -> None:
+        """Send the next chunk: as many ranges as fit into it, and at least one.
+
+        Items that change during the repair have higher sequence numbers and follow as a batch. A repair that was
+        interrupted starts anew with a summary, whose digests show which ranges are still to be sent.
+        """
+        self._state = LinkState.REPAIRING
+        items, count = self._chunk_of(ranges)
+        remaining = ranges[count:]
+        state = self._replica.state
+        message = Replicate(
+            self._replica.view.number,
+            seq,
+            items,
+            True,
+            ranges[:count],
+            not remaining,
+            state.tombstone_floor,
+            self._replica.is_tail,
+        )
+        self._send(message, partial(self._on_repair_reply, epoch, remaining, seq, self._environment.now()))
+
+    def _chunk_of(self, ranges: list[int]) -> tuple[list[Item], int]:
+        """Return the items of the next chunk, and how many ranges they fill."""
+        items: list[Item] = []
+        size = count = 0
+        while count < len(ranges):
+            more = self._replica.state.items_in_range(ranges[count])
+            size += sum(map(size_of, more))
+            if count and size > self._chunk_bytes:
+                break
+            items += more
+            count += 1
+        return items, count
+
+    def _on_repair_reply(
+        self, epoch: int, remaining: list[int], seq: int, sent_at_us: int, reply: Message | None
+    ) -> None:
+        if epoch != self._epoch:
+            return
+        if not remaining or not isinstance(reply, ReplicateReply) or not reply.ok:
+            self._chunk_bytes = REPAIR_CHUNK_BYTES
+            self._replica.state.drop_range_index()
+            self._on_batch_reply(epoch, reply)
+            return
+        if self._environment.now() - sent_at_us < FAST_CHUNK_US:
+            self._chunk_bytes = min(2 * self._chunk_bytes, MAX_REPAIR_CHUNK_BYTES)
+        else:
+            self._chunk_bytes = max(self._chunk_bytes // 2, REPAIR_CHUNK_BYTES)
+        self._send_repair(epoch, remaining, seq)
+
+    # Batches of changes
+
+    def _send_batch(self, epoch: int, after_seq: int) -> None:
+        """Send all changes after that sequence number; their ranges, as a repair, where the changes are too large."""
+        state = self._replica.state
+        items = state.items_since(after_seq)
+        if sum(map(size_of, items)) > MAX_BATCH_BYTES:
+            ranges = sorted({range_of(item.kind, item.name) for item in items})
+            self._send_repair(epoch, ranges, state.seq)
+            return
+        self._state = LinkState.STREAMING
+        message = Replicate(
+            self._replica.view.number,
+            state.seq,
+            items,
+            False,
+            [],
+            True,
+            state.tombstone_floor,
+            self._replica.is_tail,
+        )
+        self._send(message, partial(self._on_batch_reply, epoch))
+
+    def _on_batch_reply(self, epoch: int, reply: Message | None) -> None:
+        """Take the reply to a batch, or to the last chunk of a repair."""
+        if epoch != self._epoch:
+            return
+        if not isinstance(reply, ReplicateReply) or not reply.ok:
+            self.acked_seq = None
+            self._retry_later(epoch)
+            return
+        self._state = LinkState.IDLE
+        self.acked_seq = reply.seq if self.acked_seq is None else max(self.acked_seq, reply.seq)
+        if not self._replica.is_tail:
+            self._chain.on_successor_acknowledged()
+        elif self.acked_seq >= self._replica.state.seq:
+            self._chain.on_learner_synced()
+            return
+        self.advance()
+
+    def _send(self, message: Replicate, answered: Answered) -> None:
+        successor = self._replica.successor
+        assert successor is not None
+        timeout_us = REPLICATE_TIMEOUT_US + TRANSFER_US_PER_BYTE * sum(map(size_of, message.items))
+        self._environment.ask(successor.address, message, timeout_us, answered)
+
+    # Retries and comparisons
+
+    def _retry_later(self, epoch: int) -> None:
+        self._state = LinkState.RETRYING
+        self._environment.after(RETRY_DELAY_US, self._retry, epoch)
+
+    def _retry(self, epoch: int) -> None:
+        if epoch == self._epoch:
+            self._lose_track()
+            self.advance()
+
+    def _compare(self) -> None:
+        """Check, while nothing changes, that the successor still holds what it was sent."""
+        self._environment.after(COMPARE_INTERVAL_US, self._compare)
+        replica, epoch = self._replica, self._epoch
+        successor = replica.successor
+        if successor is None or self._is_busy or self._chain.pending_saves or not replica.complete:
+            return
+        if self.acked_seq is None or self.acked_seq < replica.state.seq:
+            return
+        self._ask_for_summary(successor, partial(self._on_comparison, epoch))
+
+    def _on_comparison(self, epoch: int, summary: Message | None) -> None:
+        state = self._replica.state
+        if epoch != self._epoch or self._is_busy or self._chain.pending_saves or self.acked_seq != state.seq:
+            return  # the copies have changed meanwhile, and the summary is outdated
+        if isinstance(summary, Summary) and summary.seq == state.seq and summary.digests != state.digests:
+            self._lose_track()
+            self.advance()
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -209,7 +209,8 @@
         self.time.after(LOOK_US, self.look)
         for address, store in self.stores.items():
             if self._awake(address) and store.replica.is_tail and store.chain.synced and store.membership.sure():
-                self._judge("store", address, store.replica.state.version("route", "r"))
+                version = store.replica.state.version("route", "r")
+                self._judge("store", address, -1 if version is None else version)
         for ip, registry in self.registries.items():
             if self._awake(f"{ip}:0") and registry._sure:
                 held: dict[tuple[str, str], Item] = registry._copy._items
--- a/tests/control/defects_point_2.py
+++ b/tests/control/defects_point_2.py
@@ -12,8 +12,8 @@
 from lilacsill.mesh.simulation import network
 from lilacsill.mesh.store import accepted_changes, draft, frontend, route_index, validation
 from lilacsill.mesh.store.accepted_changes import AcceptedChanges, Verdict, for_followers
-from lilacsill.mesh.store.chain import Chain
 from lilacsill.mesh.store.environment import Save
+from lilacsill.mesh.store.predecessor import PredecessorLink
 from lilacsill.mesh.store.recent_refusals import RecentRefusals
 
 Patch = pytest.MonkeyPatch
@@ -56,11 +56,11 @@
 
 
 def records_stay_at_the_head(patch: Patch) -> None:
-    def handle_replicate(self: Chain, m: Replicate, reply: Callable[[Message], None]) -> None:
+    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Callable[[Message], None]) -> None:
         real(self, msgspec.structs.replace(m, items=for_followers(m.items)), reply)
 
-    real = Chain.handle_replicate
-    patch.setattr(Chain, "handle_replicate", handle_replicate)
+    real = PredecessorLink.handle_replicate
+    patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
 
 
 def records_are_not_on_disk(patch: Patch) -> None:
@@ -88,8 +88,8 @@
             waiting.reply(answer)
         return answer
 
-    real = frontend.Frontend._judged
-    patch.setattr(frontend.Frontend, "_judged", judged)
+    real = frontend.Frontend._validate
+    patch.setattr(frontend.Frontend, "_validate", judged)
 
 
 def refused_calls_are_not_remembered(patch: Patch) -> None:
--- a/tests/control/defects_point_3.py
+++ b/tests/control/defects_point_3.py
@@ -9,6 +9,7 @@
 from lilacsill.mesh.store import leaving, reconfiguration
 from lilacsill.mesh.store.chain import Chain
 from lilacsill.mesh.store.membership import Membership
+from lilacsill.mesh.store.predecessor import PredecessorLink
 from lilacsill.mesh.store.reconfiguration import Machine, Situation
 from lilacsill.mesh.store.replica import Replica
 
@@ -73,10 +74,12 @@
 
 
 def the_tail_waits_for_its_learner(patch: Patch) -> None:
-    def committed(self: Chain) -> int:
+    def committed(self: Chain) -> int | None:
         if self._replica.is_tail and self._replica.learner is not None:
-            return min(self._acked, self._replica.state.seq)
-        return int(real.__get__(self))
+            acked_seq = self.successor.acked_seq
+            return None if acked_seq is None else min(acked_seq, self._replica.state.seq)
+        present: int | None = real.__get__(self)
+        return present
 
     real = Chain.committed
     patch.setattr(Chain, "committed", property(committed))
@@ -89,7 +92,7 @@
 def a_process_ends_before_the_others_know(patch: Patch) -> None:
     patch.setattr(Membership, "can_be_missed", lambda self: not self._replica.in_chain)
     patch.setattr(leaving, "LINGER_US", 0)
-    patch.setattr(leaving, "LOOK_US", 1)
+    patch.setattr(leaving, "CHECK_INTERVAL_US", 1)
 
 
 def a_head_that_is_not_whole_stays(patch: Patch) -> None:
@@ -109,7 +112,9 @@
 
 def a_stranger_answers_in_its_old_place(patch: Patch) -> None:
     patch.setattr(
-        Chain, "_is_for_me", lambda self, m: m.view_number == self._replica.view.number and not self._replica.is_head
+        PredecessorLink,
+        "_is_addressed",
+        lambda self, request: request.view_number == self._replica.view.number and not self._replica.is_head,
     )
 
 
--- a/tests/control/defects_point_4.py
+++ b/tests/control/defects_point_4.py
@@ -11,25 +11,26 @@
 import pytest
 
 from lilacsill.mesh.runtime.messages import Message, Replicate, Summary
-from lilacsill.mesh.store import chain as chains
+from lilacsill.mesh.store import successor
 from lilacsill.mesh.store.chain import Chain
 from lilacsill.mesh.store.digests import RANGE_COUNT
 from lilacsill.mesh.store.disk import Disk
 from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.replica import Replica
+from lilacsill.mesh.store.successor import SuccessorLink
 
 Patch = pytest.MonkeyPatch
 HUGE = 1 << 40
 
 
 def what_a_lower_copy_has_more_is_overwritten(patch: Patch) -> None:
-    def have(self: Chain, era: int, m: Message | None) -> None:
-        if isinstance(m, Summary) and m.seq > self._replica.state.seq:
-            m = Summary(False, m.seq, m.digests)
-        real(self, era, m)
+    def on_summary(self: SuccessorLink, epoch: int, summary: Message | None) -> None:
+        if isinstance(summary, Summary) and summary.seq > self._replica.state.seq:
+            summary = Summary(False, summary.seq, summary.digests)
+        real(self, epoch, summary)
 
-    real = Chain._have
-    patch.setattr(Chain, "_have", have)
+    real = SuccessorLink._on_summary
+    patch.setattr(SuccessorLink, "_on_summary", on_summary)
 
 
 def the_head_gives_out_numbers_unconfirmed(patch: Patch) -> None:
@@ -41,15 +42,15 @@
 
 
 def messages_have_no_bound(patch: Patch) -> None:
-    patch.setattr(chains, "PIECE", HUGE)
+    patch.setattr(successor, "REPAIR_CHUNK_BYTES", HUGE)
 
 
 def a_large_call_is_one_message(patch: Patch) -> None:
-    patch.setattr(chains, "PARCEL", HUGE)
+    patch.setattr(successor, "MAX_BATCH_BYTES", HUGE)
 
 
 def a_fill_begins_anew(patch: Patch) -> None:
-    patch.setattr(chains, "differing_ranges", lambda mine, others: list(range(RANGE_COUNT)))
+    patch.setattr(successor, "differing_ranges", lambda mine, others: list(range(RANGE_COUNT)))
 
 
 def any_piece_makes_a_copy_whole(patch: Patch) -> None:
@@ -82,30 +83,31 @@
 
 def a_view_leaves_what_is_being_saved_behind(patch: Patch) -> None:
     def save(self: Chain, save: Save, done: Callable[[], None]) -> None:
-        era = self._era
+        link = self.successor
+        epoch = link._epoch
 
         def saved() -> None:
-            self.__dict__["late"] = era != self._era
+            link.__dict__["late"] = epoch != link._epoch
             done()
-            self.__dict__["late"] = False
+            link.__dict__["late"] = False
 
         keep(self, save, saved)
 
-    def unless_late(self: Chain) -> None:
+    def unless_late(self: SuccessorLink) -> None:
         if not self.__dict__.get("late"):
             real(self)
 
-    real, keep = Chain._push, Chain._save
-    patch.setattr(Chain, "_push", unless_late)
+    real, keep = SuccessorLink.advance, Chain._save
+    patch.setattr(SuccessorLink, "advance", unless_late)
     patch.setattr(Chain, "_save", save)
 
 
 def the_floor_stays_at_the_head(patch: Patch) -> None:
-    def hand_down(self: Chain, message: Replicate, answered: Any) -> None:
+    def send(self: SuccessorLink, message: Replicate, answered: Any) -> None:
         real(self, msgspec.structs.replace(message, tombstone_floor=0), answered)
 
-    real = Chain._hand_down
-    patch.setattr(Chain, "_hand_down", hand_down)
+    real = SuccessorLink._send
+    patch.setattr(SuccessorLink, "_send", send)
 
 
 def tombstones_stay_on_the_disk(patch: Patch) -> None:
@@ -124,19 +126,19 @@
         try:
             return self._open()
         except sqlite3.DatabaseError:
-            self._put_away()
+            self._move_away()
             return begin(self)
 
-    patch.setattr(Disk, "_begin", begin)
+    patch.setattr(Disk, "_open_with_retries", begin)
 
 
 def names_are_not_synced_one_by_one(patch: Patch) -> None:
-    def put_away(self: Disk) -> None:
+    def move_away(self: Disk) -> None:
         for ending in ("", "-wal", "-shm", "-journal"):
             if os.path.exists(self._path + ending):
                 os.replace(self._path + ending, f"{self._path}{ending}.bad")
 
-    patch.setattr(Disk, "_put_away", put_away)
+    patch.setattr(Disk, "_move_away", move_away)
 
 
 def what_a_disk_refuses_is_told_as_saved(patch: Patch) -> None:
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -21,8 +21,8 @@
 from lilacsill.mesh.runtime.link import Link
 from lilacsill.mesh.runtime.messages import Endpoint, Message, Response, decode
 from lilacsill.mesh.runtime.rpc import Peer
-from lilacsill.mesh.store.followers import Follower, Followers
-from lilacsill.mesh.store.frontend import UNCLEAR, WAIT_US, Frontend
+from lilacsill.mesh.store.followers import Followers, Poll
+from lilacsill.mesh.store.frontend import CALL_TIMEOUT_US, OUTCOME_UNKNOWN, Frontend
 
 Patch = pytest.MonkeyPatch
 
@@ -187,20 +187,20 @@
 
 
 def followers_that_were_answered_still_wait(patch: Patch) -> None:
-    def waited(self: Followers, follower: Follower) -> None:
-        if follower in self._waiting:
-            self._answer(follower)
+    def on_timeout(self: Followers, poll: Poll) -> None:
+        if poll in self._polls:
+            self._answer(poll)
 
-    patch.setattr(Followers, "_waited", waited)
+    patch.setattr(Followers, "_on_timeout", on_timeout)
 
 
 def a_call_is_answered_by_time_and_by_the_chain(patch: Patch) -> None:
     def call(self: Frontend, m: messages.Patch, reply: Callable[[Message], None]) -> None:
-        self._environment.after(WAIT_US // 20, reply, UNCLEAR)
+        self._environment.after(CALL_TIMEOUT_US // 20, reply, OUTCOME_UNKNOWN)
         real(self, m, reply)
 
-    real = Frontend.patch
-    patch.setattr(Frontend, "patch", call)
+    real = Frontend.handle_patch
+    patch.setattr(Frontend, "handle_patch", call)
 
 
 def a_call_under_way_counts_as_rest(patch: Patch) -> None:
--- a/tests/control/long_days.py
+++ b/tests/control/long_days.py
@@ -13,7 +13,7 @@
 from lilacsill.mesh.runtime.messages import Patch as PatchCall
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.store_fleet import RuleBroken, put, route
-from lilacsill.mesh.store import chain as chains
+from lilacsill.mesh.store import successor
 from lilacsill.mesh.store import state as states
 
 from .long_days_scene import Scene, Sent
@@ -182,7 +182,7 @@
 
 
 def all_last_writes(patch: Patch) -> None:
-    patch.setattr(chains, "PIECE", 2000)
+    patch.setattr(successor, "REPAIR_CHUNK_BYTES", 2000)
     for step in range(1, 46, 4):
         for kept in range(3):
             loses_its_last_writes(step, kept)
@@ -242,7 +242,7 @@
 
 def newer_views_older_data(patch: Patch) -> None:
     """At each of the saves of views and of the pieces that follow."""
-    patch.setattr(chains, "PIECE", 300)
+    patch.setattr(successor, "REPAIR_CHUNK_BYTES", 300)
     for first in range(1, 4):
         for second in range(1, 8):
             newer_view_older_data([first, second], second % 2)
@@ -307,7 +307,7 @@
 
 def drops_are_bounded(monkeypatch: Patch) -> None:
     """Many routes are dropped; all copies forget the same old ones, a restarted and a refilled one too."""
-    monkeypatch.setattr(states, "TOMBSTONES", 40)
+    monkeypatch.setattr(states, "MAX_TOMBSTONES", 40)
     monkeypatch.setattr(states, "COLLECTED_AT_ONCE", 8)
     scene = Scene(30)
     statuses: list[int] = []
--- a/tests/control/long_days_disk.py
+++ b/tests/control/long_days_disk.py
@@ -16,7 +16,7 @@
 from lilacsill.mesh.simulation.store_fleet import RuleBroken
 from lilacsill.mesh.store import disk as disks
 from lilacsill.mesh.store.digests import RANGE_COUNT
-from lilacsill.mesh.store.disk import FILE, LOG_BYTES, Disk
+from lilacsill.mesh.store.disk import FILE_NAME, MAX_LOG_BYTES, Disk
 from lilacsill.mesh.store.environment import Save
 from lilacsill.net import reactor as watchers
 
@@ -83,7 +83,7 @@
 
 def refuses_at_the_start(folder: Path, patch: Patch) -> None:
     """Errors of the disk at the start put nothing away: the copy is there as soon as it can be read."""
-    patch.setattr(disks, "MOST_AGAIN_S", 0.01)
+    patch.setattr(disks, "MAX_RETRY_DELAY_S", 0.01)
     with loop() as reactor:
         disk = Disk(reactor, str(folder))
         save_all(reactor, disk, [Save(items(1, 5), facts={"seq": b"5"})])
@@ -99,15 +99,15 @@
         patch.setattr(Disk, "_open", refuses)
         again = Disk(reactor, str(folder))
         again.close()
-        if len(again.items) != 5 or (folder / f"{FILE}.bad").exists():
+        if len(again.items) != 5 or (folder / f"{FILE_NAME}.bad").exists():
             raise RuleBroken("a file that was good is put away")
 
 
 def refuses_for_good(folder: Path, patch: Patch) -> None:
     """The start ends with the reason, and the file stays."""
-    patch.setattr(disks, "START_S", 0.05)
-    patch.setattr(disks, "MOST_AGAIN_S", 0.01)
-    (folder / FILE).write_bytes(b"")
+    patch.setattr(disks, "START_TIMEOUT_S", 0.05)
+    patch.setattr(disks, "MAX_RETRY_DELAY_S", 0.01)
+    (folder / FILE_NAME).write_bytes(b"")
 
     def refuses(self: Disk) -> sqlite3.Connection:
         raise sqlite3.OperationalError("disk I/O error")
@@ -115,7 +115,7 @@
     patch.setattr(Disk, "_open", refuses)
     with loop() as reactor, pytest.raises(disks.DiskError, match="disk I/O error"):
         Disk(reactor, str(folder))
-    assert (folder / FILE).exists()
+    assert (folder / FILE_NAME).exists()
 
 
 class Names:
@@ -148,11 +148,11 @@
         save_all(reactor, disk, [Save(items(1, 50), facts={"seq": b"50"})])
         disk.close()
         for ending in ("", "-wal"):
-            (folder / (FILE + ending)).write_bytes(b"spoilt" * 1000)
+            (folder / (FILE_NAME + ending)).write_bytes(b"spoilt" * 1000)
         names = Names(patch)
-        disk._put_away()
-    assert (folder / f"{FILE}.bad").exists() and (folder / f"{FILE}-wal.bad").exists()
-    if FILE not in names.before[f"{FILE}-wal"]:
+        disk._move_away()
+    assert (folder / f"{FILE_NAME}.bad").exists() and (folder / f"{FILE_NAME}-wal.bad").exists()
+    if FILE_NAME not in names.before[f"{FILE_NAME}-wal"]:
         raise RuleBroken("the log is renamed before the file's new name is sure to last")
 
 
@@ -165,7 +165,7 @@
         save_all(reactor, disk, [Save(items(1, 50), facts={"seq": b"50"})])
         left = folder / "left"
         left.mkdir()
-        shutil.copy(live / f"{FILE}-wal", left / f"{FILE}-wal")
+        shutil.copy(live / f"{FILE_NAME}-wal", left / f"{FILE_NAME}-wal")
         disk.close()
         found = Disk(reactor, str(left))
         found.close()
@@ -188,11 +188,13 @@
         save_all(reactor, disk, [Save(items(1, 2000), list(range(RANGE_COUNT)), {"seq": b"3000"})])
         dropped = [Item("route", f"r{i}", 3, 3000 + i, None) for i in range(1, 1001)]
         save_all(reactor, disk, [Save(dropped, [], {"seq": b"4000"}), Save([], [], {"floor": b"4000"}, 4000)])
-        sizes = {e: (folder / (FILE + e)).stat().st_size for e in ("", "-wal") if (folder / (FILE + e)).exists()}
+        sizes = {
+            e: (folder / (FILE_NAME + e)).stat().st_size for e in ("", "-wal") if (folder / (FILE_NAME + e)).exists()
+        }
         disk.close()
         again = Disk(reactor, str(folder))
         again.close()
     if len(again.items) != 1000 or any(i.body is None for i in again.items):
         raise RuleBroken(f"{len(again.items)} items are left of 1000")
-    if sizes[""] > 3 * state or sizes.get("-wal", 0) > LOG_BYTES + state:
+    if sizes[""] > 3 * state or sizes.get("-wal", 0) > MAX_LOG_BYTES + state:
         raise RuleBroken(f"files of {sizes} for a state of {state}")
--- a/tests/control/long_days_scene.py
+++ b/tests/control/long_days_scene.py
@@ -53,7 +53,7 @@
 
     def lacking(self, state: ConfigState) -> list[str]:
         """What was acknowledged and is not there."""
-        return [n for n, v in self.acked.items() if state.version("route", n) < v]
+        return [n for n, v in self.acked.items() if (held := state.version("route", n)) is None or held < v]
 
     def watch_leaders(self, until: int) -> None:
         """At every millisecond: who may give out numbers has all that was acknowledged."""
--- a/tests/control/test_point_3_membership.py
+++ b/tests/control/test_point_3_membership.py
@@ -13,6 +13,7 @@
 from lilacsill.mesh.simulation.store_fleet import Fleet, Operator, begun, put, route
 from lilacsill.mesh.store import reconfiguration
 from lilacsill.mesh.store.membership import SUSPECT_US
+from lilacsill.mesh.store.facts import StoredReplica
 from lilacsill.mesh.store.paxos import AcceptorState
 from lilacsill.mesh.store.reconfiguration import Machine, Situation
 from lilacsill.mesh.store.replica import Replica
@@ -283,7 +284,7 @@
     fleet, _ = begun(18)
     head, me = Member("h", "d"), Member("l", "d")
     machine = fleet.net.machines[chain_of(fleet)[0]]
-    replica = Replica(machine, me, View(1, (head,)), True, AcceptorState(), (), 0)
+    replica = Replica(machine, StoredReplica(me, View(1, (head,)), True, 0, 0, AcceptorState()), ())
     replica.adopt(View(2, (head, me)))
     return replica.complete
 
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -20,18 +20,20 @@
     Reply,
     View,
 )
-from lilacsill.mesh.store import chain as chains
-from lilacsill.mesh.store import node
+from lilacsill.mesh.store import node, successor
 from lilacsill.mesh.store import validation as calls
 from lilacsill.mesh.store.accepted_changes import Verdict
 from lilacsill.mesh.store.chain import Chain
+from lilacsill.mesh.store.commit_waiters import CommitWaiters
 from lilacsill.mesh.store.draft import Base, Draft
 from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.frontend import Frontend
 from lilacsill.mesh.store.membership import Membership
 from lilacsill.mesh.store.paxos import NONE, Acceptor, Proposal
+from lilacsill.mesh.store.predecessor import PredecessorLink
 from lilacsill.mesh.store.replica import Replica
 from lilacsill.mesh.store.state import ConfigState
+from lilacsill.mesh.store.successor import SuccessorLink
 
 Replier = Callable[[Message], None]
 Patch = pytest.MonkeyPatch
@@ -50,7 +52,7 @@
 
 
 def a_member_answers_for_those_below(patch: Patch) -> None:
-    def handle_replicate(self: Chain, m: Replicate, reply: Replier) -> None:
+    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
         def at_once(answer: Message) -> None:
             reply(answer)
 
@@ -58,22 +60,22 @@
             at_once(ReplicateReply(True, m.seq))
         real(self, m, lambda answer: None)
 
-    real = Chain.handle_replicate
-    patch.setattr(Chain, "handle_replicate", handle_replicate)
+    real = PredecessorLink.handle_replicate
+    patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
 
 
 def reads_need_nobody(patch: Patch) -> None:
     def read(self: Frontend, m: object, reply: Replier) -> None:
         reply(Reply(200, self._replica.state.to_json()))
 
-    patch.setattr(Frontend, "read", read)
+    patch.setattr(Frontend, "handle_read", read)
 
 
 def anybody_confirms(patch: Patch) -> None:
     def confirm(self: Frontend, m: object, reply: Replier) -> None:
         reply(Confirmed(True))
 
-    patch.setattr(Frontend, "confirm", confirm)
+    patch.setattr(Frontend, "handle_confirm", confirm)
     patch.setattr(Membership, "sure", lambda self: self._replica.is_member)
 
 
@@ -136,8 +138,8 @@
             return reply(Reply(200, b"{}"))
         real(self, m, reply)
 
-    real = Frontend.patch
-    patch.setattr(Frontend, "patch", taken)
+    real = Frontend.handle_patch
+    patch.setattr(Frontend, "handle_patch", taken)
 
 
 def newcomers_come_first(patch: Patch) -> None:
@@ -153,32 +155,25 @@
 
 
 def a_lost_disk_keeps_its_seat(patch: Patch) -> None:
-    def recall(
-        environment: Any, address: str, seeds: list[str], fresh: bool, stranger: str, items: Any, facts: Any
-    ) -> Replica:
-        replica = real(environment, address, seeds, fresh, stranger, items, facts)
-        if not facts and not fresh and address in seeds:
-            replica.me = Member(address, node.FIRST_INCARNATION)
+    def recover(environment: Any, settings: node.StoreSettings, disk: node.DiskContents) -> Replica:
+        replica = real(environment, settings, disk)
+        if not disk.facts and not settings.first_start and settings.address in settings.seeds:
+            replica.me = Member(settings.address, node.FIRST_INCARNATION)
             replica.acceptor.me = replica.me
-            replica.view, replica.complete = (
-                View(0, tuple(Member(s, node.FIRST_INCARNATION) for s in sorted(seeds))),
-                True,
-            )
+            replica.view, replica.complete = View(0, node.founders(settings.seeds)), True
         return replica
 
-    real = node.recall
-    patch.setattr(node, "recall", recall)
+    real = node.recover
+    patch.setattr(node, "recover", recover)
 
 
 def a_call_that_waits_is_told_it_is_done(patch: Patch) -> None:
-    def new_view(self: Chain) -> None:
-        waiting, self._waiting = self._waiting, []
-        for _, done in waiting:
-            done(True)
-        real(self)
+    def fail_all(self: CommitWaiters) -> None:
+        waiters, self._waiters = self._waiters, []
+        for waiter in waiters:
+            waiter.callback(True)
 
-    real = Chain._new_view
-    patch.setattr(Chain, "_new_view", new_view)
+    patch.setattr(CommitWaiters, "fail_all", fail_all)
 
 
 def an_old_call_wins(patch: Patch) -> None:
@@ -217,23 +212,23 @@
 
 
 def parcels_of_an_older_view_are_taken(patch: Patch) -> None:
-    def handle_replicate(self: Chain, m: Replicate, reply: Replier) -> None:
+    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
         real(self, msgspec.structs.replace(m, view_number=self._replica.view.number), reply)
 
-    real = Chain.handle_replicate
-    patch.setattr(Chain, "handle_replicate", handle_replicate)
+    real = PredecessorLink.handle_replicate
+    patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
 
 
 def one_piece_makes_a_copy_whole(patch: Patch) -> None:
-    def mend(self: Chain, era: int, ranges: list[int], seq: int) -> None:
-        real(self, era, ranges[:1], seq)
+    def send_repair(self: SuccessorLink, epoch: int, ranges: list[int], seq: int) -> None:
+        real(self, epoch, ranges[:1], seq)
 
-    real = Chain._mend
-    patch.setattr(Chain, "_mend", mend)
+    real = SuccessorLink._send_repair
+    patch.setattr(SuccessorLink, "_send_repair", send_repair)
 
 
 def digests_are_taken_on_trust(patch: Patch) -> None:
-    patch.setattr(chains, "differing_ranges", lambda mine, others: [])
+    patch.setattr(successor, "differing_ranges", lambda mine, others: [])
 
 
 def a_view_is_not_kept(patch: Patch) -> None:
@@ -251,13 +246,13 @@
 
 
 def the_head_counts_on_what_is_not_on_its_disk(patch: Patch) -> None:
-    def write(self: Frontend) -> None:
-        saving, self._chain.pending_saves = self._chain.pending_saves, 0
+    def append_waiting_calls(self: Frontend) -> None:
+        pending, self._chain.pending_saves = self._chain.pending_saves, 0
         real(self)
-        self._chain.pending_saves += saving
+        self._chain.pending_saves += pending
 
-    real = Frontend._write
-    patch.setattr(Frontend, "_write", write)
+    real = Frontend.append_waiting_calls
+    patch.setattr(Frontend, "append_waiting_calls", append_waiting_calls)
 
 
 DEFECTS = [
--- a/tests/mesh/test_chain.py
+++ b/tests/mesh/test_chain.py
@@ -168,7 +168,7 @@
     assert store.replica.view.number > view.number
     answers: list[Message] = []
     late = Item("route", "late", 9, store.replica.state.seq + 1, b"{}")
-    store.chain.handle_replicate(Replicate(view.number, late.seq, [late], False, [], True), answers.append)
+    store.chain.predecessor.handle_replicate(Replicate(view.number, late.seq, [late], False, [], True), answers.append)
     time.run(time.now + S)
     return ("route", "late") in store.replica.state.items
 
@@ -184,7 +184,7 @@
         lambda m: None,
     )
     answers: list[Message] = []
-    store.frontend.confirm(Confirm(replica.view.number), answers.append)
+    store.frontend.handle_confirm(Confirm(replica.view.number), answers.append)
     return answers == [Confirmed(True)]
 
 
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -18,7 +18,7 @@
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.store.digests import RANGE_COUNT, range_of
-from lilacsill.mesh.store.disk import FILE, Disk, DiskError
+from lilacsill.mesh.store.disk import FILE_NAME, Disk, DiskError, PendingSave
 from lilacsill.mesh.store.environment import Save
 from lilacsill.net import reactor as watchers
 
@@ -78,7 +78,7 @@
     disk.save(Save([item(f"r{i}", i, b"x" * 500) for i in range(200)], facts={"seq": b"1"}), lambda: done.append("x"))
     until(reactor, done, 1)
     close(disk)
-    file = tmp_path / FILE
+    file = tmp_path / FILE_NAME
     with sqlite3.connect(file) as db:
         db.execute("pragma wal_checkpoint(truncate)")
     db.close()  # else the file is locked, which is no fault of the file
@@ -91,7 +91,7 @@
         data = bytearray()
     file.write_bytes(data)
     for ending in ("-wal", "-shm"):
-        (tmp_path / (FILE + ending)).unlink(missing_ok=True)
+        (tmp_path / (FILE_NAME + ending)).unlink(missing_ok=True)
     again = Disk(reactor, str(tmp_path))
     assert again.items == [] and again.facts == {}
     close(again)
@@ -132,7 +132,7 @@
         with suppress(OSError):
             while True:
                 opened.append(os.open(os.devnull, os.O_RDONLY))
-        return disk._commit([(Save(items, range(RANGE_COUNT)), lambda: None)])
+        return disk._commit([PendingSave(Save(items, range(RANGE_COUNT)), lambda: None)])
     finally:
         for descriptor in opened:
             os.close(descriptor)
@@ -169,7 +169,7 @@
     states: list[dict[str, bytes]] = []
 
     def snapshot() -> None:
-        files = {e: tmp_path / "live" / (FILE + e) for e in ("", "-wal")}
+        files = {e: tmp_path / "live" / (FILE_NAME + e) for e in ("", "-wal")}
         states.append({e: f.read_bytes() if f.exists() else b"" for e, f in files.items()})
 
     for number in range(1, 13):
@@ -188,8 +188,8 @@
         later = rng.randrange(told + 1, len(states))
         folder = tmp_path / f"play{play}"
         folder.mkdir()
-        (folder / FILE).write_bytes(states[told][""])
-        (folder / (FILE + "-wal")).write_bytes(image(states[told]["-wal"], states[later]["-wal"], rng))
+        (folder / FILE_NAME).write_bytes(states[told][""])
+        (folder / (FILE_NAME + "-wal")).write_bytes(image(states[told]["-wal"], states[later]["-wal"], rng))
         found = Disk(reactor, str(folder))
         held = {i.name: i.seq for i in found.items}
         close(found)
@@ -203,7 +203,7 @@
     disk.save(Save([item("a", 1, b"good")], facts={"seq": b"1"}), lambda: done.append(""))
     until(reactor, done, 1)
     close(disk)
-    with sqlite3.connect(tmp_path / FILE) as db:
+    with sqlite3.connect(tmp_path / FILE_NAME) as db:
         db.execute("update item set body = ? where name = 'a'", (b"bad!",))
     db.close()
     again = Disk(reactor, str(tmp_path))
@@ -221,7 +221,7 @@
     again = Disk(reactor, str(tmp_path))
     assert again.items == [kept]
     close(again)
-    with sqlite3.connect(tmp_path / FILE) as db:
+    with sqlite3.connect(tmp_path / FILE_NAME) as db:
         db.execute("update item set accepted = ?", (b"recorD",))
     db.close()
     spoilt = Disk(reactor, str(tmp_path))
@@ -230,7 +230,7 @@
 
 
 def test_a_file_without_records_is_read(reactor: Reactor, tmp_path: Path) -> None:
-    with sqlite3.connect(tmp_path / FILE) as db:  # as format 1 was
+    with sqlite3.connect(tmp_path / FILE_NAME) as db:  # as format 1 was
         db.execute(
             "create table item (kind text, name text, version integer, seq integer, body blob, sum integer,"
             " primary key (kind, name)) without rowid"
@@ -250,7 +250,7 @@
 
 
 def test_files_of_other_formats(reactor: Reactor, tmp_path: Path) -> None:
-    with sqlite3.connect(tmp_path / FILE) as db:  # as the version before wrote it
+    with sqlite3.connect(tmp_path / FILE_NAME) as db:  # as the version before wrote it
         db.execute(
             "create table item (kind text, name text, version integer, seq integer, body blob,"
             " primary key (kind, name)) without rowid"
@@ -262,9 +262,9 @@
     disk = Disk(reactor, str(tmp_path))
     assert disk.items == [Item("route", "a", 4, 9, b"{}")] and disk.facts == {"seq": b"9"}
     close(disk)
-    with sqlite3.connect(tmp_path / FILE) as db:
+    with sqlite3.connect(tmp_path / FILE_NAME) as db:
         db.execute("pragma user_version=99")
     db.close()
     with pytest.raises(DiskError, match="format 99; this program reads up to 2"):
         Disk(reactor, str(tmp_path))
-    assert (tmp_path / FILE).exists()  # it is kept
+    assert (tmp_path / FILE_NAME).exists()  # it is kept
