--- a/lilacsill/hosted/worker/pools.py
+++ b/lilacsill/hosted/worker/pools.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from lilacsill.agent.admission.ledger import Ledger
+from lilacsill.agent.admission.descriptor_account import DescriptorAccount
 from lilacsill.agent.agent import Agent
 from lilacsill.agent.discovery.listing import Listing, ListingParser
 from lilacsill.agent.discovery.watch import Discovery
@@ -33,7 +33,7 @@
         self,
         pool: Pool,
         clock: Clock,
-        ledger: Ledger,
+        ledger: DescriptorAccount,
         seed: int,
         workers: int,
         me: int,
