--- a/lilacsill/balancing/logic/admission.py
+++ b/lilacsill/balancing/logic/admission.py
@@ -1,4 +1,4 @@
-"""AdmissionControl: whether a request is worth a try now, is held, or is given up."""
+"""Admission control: whether a request is sent now, queued, or answered without a response."""
 
 from __future__ import annotations
 
@@ -7,141 +7,178 @@
 from ..interface import RequestArrived
 from ..interface.checks import require
 from ..mechanisms.majority import usual
-from .attempts import RETRY_BURST, RETRY_SHARE, AttemptManager
+from .attempts import AttemptManager
 from .load_probing import LoadProber
-from .records import ASK_PAIRS, SECOND_US, RequestRecord
+from .peer_reports import PeerReports
+from .records import PAIRS_PER_ROUND, SECOND_US, BackendRecord, RequestRecord
 from .sampling import Sampler
 from .tenant_quotas import TenantQuotas
 
-HOLD_US = SECOND_US // 50  # a held request is looked at this often
-WAITING = 2.0  # requests that all balancers together may hold for each server while all are busy
-SOON = 0.15  # such a one is looked at this often, as a share of the typical latency
-ROOM = 4  # of those held by the slow start, looked at when an attempt ends
-IN_TIME = 1.5  # and held while so many typical latencies are left to its aim
+RECHECK_US = SECOND_US // 50  # a request that no backend may take is checked this often
+MAX_WAITING_PER_BACKEND = 2.0  # requests that all balancers may queue for each backend while all are busy
+RECHECK_LATENCIES = 0.15  # such a request is checked this often, in typical latencies,
+WAIT_LATENCIES = 1.5  # and only while this many typical latencies are left to its target
+RELEASED_PER_END = 4  # requests queued by the window that are checked when an attempt ends
 
 
 class AdmissionControl:
-    """Takes requests in, and looks at those again that have no attempt out."""
-
-    def __init__(self, sampler: Sampler, asking: LoadProber, attempts: AttemptManager, shares: TenantQuotas) -> None:
-        self.context, self.sampler, self.asking = sampler.context, sampler, asking
-        self.attempts, self.quotas, self.table = attempts, shares, sampler.table
-        self.windowed: dict[int, RequestRecord] = {}  # held by the slow start, oldest first
-        self.patience: dict[int, list[int]] = {}  # of each class, for `usual`
-        attempts.advance, attempts.look_again = self.schedule, asking.probe_if_stale
-        attempts.room, asking.missing = self._room, attempts.missing
-        asking.settle, asking.left = self._settle, self.time_left_us
-
-    def on_request_arrived(self, e: RequestArrived) -> None:
-        now = self.context.now
-        self._validate(e)
-        size = self.table.relative_cost(e.cost_hint_us)
-        r = RequestRecord(e, self.context.settings.classes[e.request_class], now, self.context.rng.random(), size)
-        self.attempts.requests[e.request] = r
-        self.attempts.budget = min(RETRY_BURST, self.attempts.budget + RETRY_SHARE)
-        # A retry has lost part of its time to the aim unseen: served before first tries it came late. So has
-        # one that the caller did not read while it stood still, and one with less patience than is usual.
-        spent = e.timeout_us < usual(self.patience.setdefault(e.request_class, [0, 0]), e.timeout_us)
-        r.low_priority = (
-            self.quotas.is_over_quota(e.tenant, now) or e.is_retry or spent or self.context.is_reading_backlog()
-        )
-        self.schedule(r)
-
-    def _validate(self, e: RequestArrived) -> None:
-        """Raise a ValueError for a request that contradicts the settings, before anything is done for it."""
-        classes = len(self.context.settings.classes)
-        require(0 <= e.request_class < classes, "request_class", f"no class {e.request_class}")
-        require(self.quotas.knows(e.tenant), "tenant", f"no tenant {e.tenant}")
-        require(e.request not in self.attempts.requests, "request", f"{e.request} is already open")
-
-    def schedule(self, r: RequestRecord) -> None:
-        """Send the request where it may go; hold, refuse or fail it where it may not."""
-        now = self.context.now
-        self.attempts.waiting.discard(r.id)
-        if self.time_left_us(r) <= 0 or r.attempt_count >= self.context.settings.max_attempts:
-            return self.attempts.finish(r)
-        pool = self.sampler.candidates(r)
-        if not self._opened(r):
-            return None
-        pair = self.sampler.draw_pair(r, pool) if pool else None
-        if pair is None:
-            # Held while nobody may be sent to, but for operators, or a while where all are busy.
-            busy, closed = (
-                bool(pool) and self.sampler.saturation.is_busy,
-                not pool and bool(self.sampler.members.in_maintenance),
-            )
-            if r.attempt_count == 0 and now < r.queue_until - self.context.answer_margin_us and not busy and not closed:
-                return self.context.call_at(
-                    min(now + HOLD_US, r.queue_until - self.context.answer_margin_us), self._held, r
-                )
-            return self._wait(r) if busy and self._can_wait(r) else self.attempts.finish(r)
-        self.asking.refresh_pair(r, pair)
-
-    def _settle(self, r: RequestRecord) -> None:
-        """Send to the lighter of the two samples, or draw again if neither can be hoped to answer in time."""
-        assert r.sampled_pair is not None
-        pair, limit, left = r.sampled_pair, self.sampler.time_limit(r), r.target_at - self.context.now
-        # A sample that answers goes before one that does not; if none does, the table decides.
-        silent = r.awaiting_report if len(r.awaiting_report) < len(set(pair)) else []
-        r.sampled_pair, r.awaiting_report = None, []
-        able = [s for s in pair if self.sampler.may_run_on(r, s) and s not in silent]
-        fit = [s for s in able if self.sampler.is_feasible(r, s, limit, left, asked=True)]
-        if fit and self.time_left_us(r) > 0:
-            if not self._opened(r):  # others that asked at the same time went first
-                return None
-            return self.attempts.send(r, *self.sampler.choose(r, (fit[0], fit[-1])))
-        if r.pairs_drawn < r.max_pairs:
-            return self.schedule(r)
-        return self._wait(r) if self._can_wait(r) else self.attempts.finish(r)
-
-    def _opened(self, r: RequestRecord) -> bool:
-        """Whether the slow start lets it go; else it is held as long as answers may open the way in time."""
-        now = self.context.now
-        if r.attempt_count or self._window_open():
-            self.windowed.pop(r.id, None)
+    """Accepts requests, and schedules those that have no attempt in flight.
+
+    Attributes:
+        prober: Probes the samples of requests.
+        attempts: The open requests and their attempts.
+    """
+
+    def __init__(self, sampler: Sampler, peers: PeerReports, quotas: TenantQuotas) -> None:
+        self._context, self._sampler, self._table = sampler.context, sampler, sampler.table
+        self._eligibility, self._quotas = sampler.eligibility, quotas
+        self.prober = LoadProber(sampler, listener=self)
+        self.attempts = AttemptManager(sampler, peers, quotas, self.prober, listener=self)
+        self._window_queue: dict[int, RequestRecord] = {}  # queued by the concurrency window, oldest first
+        self._timeout_votes: dict[int, list[int]] = {}  # state of `usual`, by class
+
+    def on_request_arrived(self, event: RequestArrived) -> None:
+        """Accept a request and schedule it.
+
+        Raises:
+            ValueError: The request contradicts the settings or is open already.
+        """
+        self._validate(event)
+        relative_cost = self._table.relative_cost(event.cost_hint_us)
+        request_class = self._context.settings.classes[event.request_class]
+        draw = self._context.rng.random()
+        request = RequestRecord(event, request_class, self._context.now, draw, relative_cost)
+        self.attempts.requests[event.request] = request
+        self.attempts.retry_budget.on_request()
+        request.low_priority = self._has_low_priority(event)
+        self.schedule(request)
+
+    def schedule(self, request: RequestRecord) -> None:
+        """Send the request if a backend may take it; otherwise queue it or answer it finally."""
+        self.attempts.waiting.discard(request.id)
+        if self.time_left_us(request) <= 0 or request.attempt_count >= self._context.settings.max_attempts:
+            self.attempts.finish(request)
+            return
+        candidates = self._eligibility.candidates(request)
+        if not self._passes_window(request):
+            return
+        pair = self._sampler.draw_pair(request, candidates) if candidates else None
+        if pair is not None:
+            self.prober.refresh_pair(request, pair)
+        else:
+            self._queue_or_finish(request, bool(candidates))
+
+    def on_pair_ready(self, request: RequestRecord) -> None:
+        """Send to the better of the two samples, or draw again if neither is expected to respond in time."""
+        assert request.sampled_pair is not None
+        pair, silent = request.sampled_pair, request.awaiting_report
+        request.sampled_pair, request.awaiting_report = None, []
+        # A sample that reports is preferred to one that does not; if none reports, the table decides.
+        if len(silent) == len(set(pair)):
+            silent = []
+        limit_us = self._eligibility.time_limit(request)
+        time_left_us = request.target_at - self._context.now
+        allowed = [b for b in pair if self._eligibility.may_run_on(request, b) and b not in silent]
+        feasible = [
+            b for b in allowed if self._eligibility.is_feasible(request, b, limit_us, time_left_us, was_probed=True)
+        ]
+        if feasible and self.time_left_us(request) > 0:
+            # Requests that waited for the same probe may have used up the window.
+            if self._passes_window(request):
+                backend, load = self._sampler.choose(request, (feasible[0], feasible[-1]))
+                self.attempts.send(request, backend, load)
+        elif request.pairs_drawn < request.max_pairs:
+            self.schedule(request)
+        elif self._may_wait(request):
+            self._wait(request)
+        else:
+            self.attempts.finish(request)
+
+    def on_load_reported(self, backend: BackendRecord, load: float, requested_at: int) -> None:
+        """Cancel an attempt that a load report proves to be lost."""
+        self.attempts.overdue.cancel_lost(backend, load, requested_at)
+
+    def on_capacity_freed(self) -> None:
+        """Schedule the oldest requests that the concurrency window has queued.
+
+        They are not polled: checks of each one every 2 ms took a complete CPU at 2,000 requests a second.
+        """
+        for request in list(islice(self._window_queue.values(), RELEASED_PER_END)):
+            if not self._is_window_open():
+                return
+            self._recheck(request)
+
+    def time_left_us(self, request: RequestRecord) -> int:
+        """Return the time in which a response is still of value and can be passed on, microseconds."""
+        valuable_until = request.deadline if request.request_class.late_value else request.target_at
+        return valuable_until - self._context.now - self._context.answer_margin_us
+
+    def _validate(self, event: RequestArrived) -> None:
+        class_count = len(self._context.settings.classes)
+        require(0 <= event.request_class < class_count, "request_class", f"no class {event.request_class}")
+        require(self._quotas.knows(event.tenant), "tenant", f"no tenant {event.tenant}")
+        require(event.request not in self.attempts.requests, "request", f"{event.request} is already open")
+
+    def _has_low_priority(self, event: RequestArrived) -> bool:
+        # A client's retry has lost part of its time to the target unseen: such requests were late when they were served
+        # before first tries. The same holds for a request that has waited unread while the caller stood still, and for
+        # one with a shorter time-out than usual.
+        votes = self._timeout_votes.setdefault(event.request_class, [0, 0])
+        is_short = event.timeout_us < usual(votes, event.timeout_us)
+        is_over_quota = self._quotas.is_over_quota(event.tenant, self._context.now)
+        return is_over_quota or event.is_retry or is_short or self._context.is_reading_backlog()
+
+    def _queue_or_finish(self, request: RequestRecord, has_candidates: bool) -> None:
+        """Queue a request for which no backend was found: while none is known, or for a while if all are busy."""
+        now, queue_until = self._context.now, request.queue_until - self._context.answer_margin_us
+        is_busy = has_candidates and self._sampler.saturation.is_busy
+        is_in_maintenance = not has_candidates and bool(self._sampler.members.in_maintenance)
+        if request.attempt_count == 0 and now < queue_until and not is_busy and not is_in_maintenance:
+            self._context.call_at(min(now + RECHECK_US, queue_until), self._recheck, request)
+        elif is_busy and self._may_wait(request):
+            self._wait(request)
+        else:
+            self.attempts.finish(request)
+
+    def _passes_window(self, request: RequestRecord) -> bool:
+        """Return whether the concurrency window admits a request; otherwise queue it while there is time."""
+        now, queue_until = self._context.now, request.queue_until - self._context.answer_margin_us
+        if request.attempt_count or self._is_window_open():
+            self._window_queue.pop(request.id, None)
             return True
-        until = r.queue_until - self.context.answer_margin_us
-        if now >= until:
-            self.windowed.pop(r.id, None)
-            self.attempts.finish(r)
-        elif r.id not in self.windowed:
-            self.windowed[r.id] = r
-            self.context.call_at(until, self._held, r)
+        if now >= queue_until:
+            self._window_queue.pop(request.id, None)
+            self.attempts.finish(request)
+        elif request.id not in self._window_queue:
+            self._window_queue[request.id] = request
+            self._context.call_at(queue_until, self._recheck, request)
         return False
 
-    def _window_open(self) -> bool:
-        now, servers = self.context.now, len(self.sampler.members.ready)
-        return self.attempts.window.admits(now, servers, self.table.typical_latency_us, self.context.resumed_at)
+    def _is_window_open(self) -> bool:
+        backend_count = len(self._sampler.members.ready)
+        typical_us, resumed_at = self._table.typical_latency_us, self._context.resumed_at
+        return self.attempts.window.admits(self._context.now, backend_count, typical_us, resumed_at)
 
-    def _room(self) -> None:
-        """An attempt has ended. Each of those held used to look for itself every 2 ms: at 2,000 requests a
-        second that took the whole core, and nothing was sent any more."""
-        for r in list(islice(self.windowed.values(), ROOM)):
-            if not self._window_open():
-                return
-            self._held(r)
-
-    def _can_wait(self, r: RequestRecord) -> bool:
-        """Whether a place that frees up soon still serves it: one turned away comes back after its aim."""
-        most = max(1.0, WAITING * len(self.sampler.members.ready) / self.context.balancer_count)
-        in_time = self.context.now + IN_TIME * self.table.typical_latency_us < r.target_at
-        room = self.table.typical_latency_us > 0 and in_time and len(self.attempts.waiting) < most
-        return room and not r.low_priority and r.relative_cost <= 1.0
-
-    def _wait(self, r: RequestRecord) -> None:
-        r.max_pairs = r.pairs_drawn + ASK_PAIRS
-        self.attempts.waiting.add(r.id)
-        self.context.call_at(self.context.now + int(SOON * self.table.typical_latency_us), self._held, r)
-
-    def time_left_us(self, r: RequestRecord) -> int:
-        """Time in which an answer is still worth something, and can be given."""
+    def _may_wait(self, request: RequestRecord) -> bool:
+        """Return whether capacity that is freed soon still serves a request; rejected, its retry would be late."""
+        typical_us = self._table.typical_latency_us
+        backend_count = len(self._sampler.members.ready)
+        max_waiting = max(1.0, MAX_WAITING_PER_BACKEND * backend_count / self._context.balancer_count)
         return (
-            (r.deadline if r.request_class.late_value else r.target_at)
-            - self.context.now
-            - self.context.answer_margin_us
+            typical_us > 0
+            and self._context.now + WAIT_LATENCIES * typical_us < request.target_at
+            and len(self.attempts.waiting) < max_waiting
+            and not request.low_priority
+            and request.relative_cost <= 1.0
         )
 
-    def _held(self, r: RequestRecord) -> None:
-        self.windowed.pop(r.id, None)
-        if not r.is_answered and not r.in_flight and r.sampled_pair is None:
-            self.schedule(r)
+    def _wait(self, request: RequestRecord) -> None:
+        request.max_pairs = request.pairs_drawn + PAIRS_PER_ROUND
+        self.attempts.waiting.add(request.id)
+        delay_us = int(RECHECK_LATENCIES * self._table.typical_latency_us)
+        self._context.call_at(self._context.now + delay_us, self._recheck, request)
+
+    def _recheck(self, request: RequestRecord) -> None:
+        self._window_queue.pop(request.id, None)
+        if not request.is_answered and not request.in_flight and request.sampled_pair is None:
+            self.schedule(request)
--- a/lilacsill/balancing/logic/balancer.py
+++ b/lilacsill/balancing/logic/balancer.py
@@ -1,4 +1,4 @@
-"""One balancer: the rooms, wired, and the one way in."""
+"""The balancer: its components, connected, and the one entry point for events."""
 
 from __future__ import annotations
 
@@ -6,15 +6,32 @@
 from random import Random
 from typing import Any
 
-from .. import interface as q
+from ..interface import (
+    Action,
+    AttemptEnded,
+    BackendEstimate,
+    BackendsChanged,
+    ClientDisconnected,
+    Event,
+    FleetChanged,
+    LatencyModelRestored,
+    MaintenanceChanged,
+    PeerHealthChanged,
+    PeerMessageReceived,
+    ProbeEnded,
+    RequestArrived,
+    Settings,
+    StreamStarted,
+    TenantChanged,
+    TimerFired,
+    UploadChanged,
+)
 from .admission import AdmissionControl
-from .attempts import AttemptManager
 from .context import Context
-from .load_probing import LoadProber
 from .load_table import LoadTable
 from .membership import Membership
 from .outlier_detection import OutlierDetector
-from .peer_reports import PeerReports
+from .peer_reports import PeerReports, peer_fanout
 from .records import BackendRecord
 from .sampling import Sampler
 from .tenant_quotas import TenantQuotas
@@ -22,39 +39,59 @@
 
 
 class Balancer:
-    """Hand every event to handle() in order; carry out the actions it returns in order."""
+    """One client-side load balancer. Pass every event to `handle` in order; carry out the returned actions in order.
 
-    def __init__(self, settings: q.Settings, seed: int) -> None:
-        self.context = core = Context(settings, seed)
+    Attributes:
+        context: What all components share.
+        table: Load of the backends.
+        members: The backends.
+        sampler: Draws backends for requests.
+        attempts: The open requests and their attempts.
+    """
+
+    def __init__(self, settings: Settings, seed: int) -> None:
+        self.context = Context(settings, seed)
         self.table = LoadTable(settings)
-        self.members = Membership(core)
-        health = OutlierDetector(core.rng, core.log, settings.balancer_count)
-        cold = WarmUpBudget(settings, Random(~seed))
-        self.sampler = Sampler(self.members, self.table, health, cold)
-        peers = PeerReports(core, self.members, self.table, self.sampler.peer_fanout)
-        shares = TenantQuotas(settings)
-        self.attempts = AttemptManager(core, self.sampler, peers, shares)
-        asking = LoadProber(core, self.members, self.sampler)
-        admission = AdmissionControl(self.sampler, asking, self.attempts, shares)
+        self.members = Membership(self.context)
+        outliers = OutlierDetector(self.context.rng, self.context.log, settings.balancer_count)
+        warm_up = WarmUpBudget(settings, Random(~seed))
+        fanout = peer_fanout(settings, self.table.load_column)
+        self.sampler = Sampler(self.members, self.table, outliers, warm_up, has_peer_reports=fanout > 0)
+        peers = PeerReports(self.context, self.members, self.table, fanout)
+        quotas = TenantQuotas(settings)
+        admission = AdmissionControl(self.sampler, peers, quotas)
+        self.attempts = admission.attempts
         self._handlers: dict[type, Callable[[Any], None]] = {
-            q.BackendsChanged: self._listed,
-            q.MaintenanceChanged: self._listed,
-            q.TenantChanged: shares.on_tenant_changed,
-            q.RequestArrived: admission.on_request_arrived,
-            q.StreamStarted: self.attempts.on_progress,
-            q.UploadChanged: self.attempts.on_progress,
-            q.AttemptEnded: self.attempts.on_attempt_ended,
-            q.ClientDisconnected: self.attempts.on_client_disconnected,
-            q.TimerFired: core.on_timer_fired,
-            q.ProbeEnded: asking.on_probe_ended,
-            q.PeerMessageReceived: peers.on_peer_message,
-            q.FleetChanged: self._fleet,
-            q.PeerHealthChanged: self._hearsay,
-            q.LatencyModelRestored: self.table.restore,
+            BackendsChanged: self._on_backends_changed,
+            MaintenanceChanged: self._on_maintenance_changed,
+            TenantChanged: quotas.on_tenant_changed,
+            RequestArrived: admission.on_request_arrived,
+            StreamStarted: self.attempts.on_stream_started,
+            UploadChanged: self.attempts.on_upload_changed,
+            AttemptEnded: self.attempts.on_attempt_ended,
+            ClientDisconnected: self.attempts.on_client_disconnected,
+            TimerFired: self.context.on_timer_fired,
+            ProbeEnded: admission.prober.on_probe_ended,
+            PeerMessageReceived: peers.on_peer_message,
+            FleetChanged: self._on_fleet_changed,
+            PeerHealthChanged: self._on_peer_health_changed,
+            LatencyModelRestored: self.table.restore,
         }
 
-    def handle(self, now: int, event: q.Event) -> list[q.Action]:
-        """Take one event at time now; return what to do about it."""
+    def handle(self, now: int, event: Event) -> list[Action]:
+        """Handle one event.
+
+        Args:
+            now: Clock time of the event, microseconds; it never decreases.
+            event: The event.
+
+        Returns:
+            The actions to carry out, in order.
+
+        Raises:
+            TypeError: The object is no event of the interface.
+            ValueError: A request contradicts the settings or is open already.
+        """
         handler = self._handlers.get(type(event))
         if handler is None:
             raise TypeError(f"{type(event).__name__} is no event of the interface")
@@ -62,45 +99,51 @@
         handler(event)
         return self.context.actions
 
-    def estimates(self, now: int) -> list[q.BackendEstimate]:
-        """What is held true of each backend that may get new work, for those who explain refusals."""
-        return [self._belief(s, now) for s in self.members.ready]
+    def estimates(self, now: int) -> list[BackendEstimate]:
+        """Return what is estimated about each backend that accepts work; operators explain rejections with it."""
+        return [self._estimate(backend, now) for backend in self.members.ready]
 
-    def _belief(self, s: BackendRecord, now: int) -> q.BackendEstimate:
-        age, admits = now - s.reported_at, self.sampler.outliers.admits(s, now, self.table.typical_latency_us)
-        ghosts, others = s.abandoned.value_at(now), self.table.other_load(s, now)
-        return q.BackendEstimate(
-            s.id, len(s.in_flight), ghosts, others, age if s.reported_at else None, s.service_time_us, admits
-        )
+    def latency_model(self) -> LatencyModelRestored:
+        """Return what a later incarnation may start with."""
+        return LatencyModelRestored(self.table.service_time_us, self.table.typical_latency_us, self.table.answer_count)
 
-    def latency_model(self) -> q.LatencyModelRestored:
-        """What a later life may begin with."""
-        return q.LatencyModelRestored(
-            self.table.service_time_us, self.table.typical_latency_us, self.table.answer_count
+    def _estimate(self, backend: BackendRecord, now: int) -> BackendEstimate:
+        return BackendEstimate(
+            backend=backend.id,
+            in_flight=len(backend.in_flight),
+            abandoned=backend.abandoned.value_at(now),
+            other_load=self.table.other_load(backend, now),
+            report_age_us=now - backend.reported_at if backend.reported_at else None,
+            service_time_us=backend.service_time_us,
+            healthy=self.sampler.outliers.admits(backend, now, self.table.typical_latency_us),
         )
 
-    def _fleet(self, e: q.FleetChanged) -> None:
-        self.context.balancer_count = self.attempts.window.balancer_count = e.balancer_count
-        self.sampler.set_balancer_count(e.balancer_count)
-        self.sampler.outliers.set_balancer_count(e.balancer_count)
-        self.sampler.warm_up.set_share(e, self.context.now)
+    def _on_backends_changed(self, event: BackendsChanged) -> None:
+        ready_before = set(self.members.ready)
+        if self.members.on_backends_changed(event):
+            self._on_ready_changed(ready_before)
 
-    def _hearsay(self, e: q.PeerHealthChanged) -> None:
-        s = self.members.backends.get(e.backend)
-        if s is not None:
-            s.peer_health = e
-            self.sampler.saturation.clear()
+    def _on_maintenance_changed(self, event: MaintenanceChanged) -> None:
+        ready_before = set(self.members.ready)
+        self.members.on_maintenance_changed(event)
+        self._on_ready_changed(ready_before)
+
+    def _on_ready_changed(self, ready_before: set[BackendRecord]) -> None:
+        ready = self.members.ready
+        if ready and ready_before.isdisjoint(ready):
+            self.attempts.window.restart(self.context.now, len(ready))
+        self.sampler.affinity.set_backends(ready)
+        self.sampler.saturation.clear()
+        self.sampler.picks_left = 0  # the cutoffs belong to the list before
+
+    def _on_fleet_changed(self, event: FleetChanged) -> None:
+        self.context.balancer_count = self.attempts.window.balancer_count = event.balancer_count
+        self.sampler.eligibility.set_balancer_count(event.balancer_count)
+        self.sampler.outliers.set_balancer_count(event.balancer_count)
+        self.sampler.warm_up.set_share(event, self.context.now)
 
-    def _listed(self, e: q.BackendsChanged | q.MaintenanceChanged) -> None:
-        before = set(self.members.ready)
-        if (
-            self.members.on_maintenance_changed(e)
-            if isinstance(e, q.MaintenanceChanged)
-            else self.members.on_backends_changed(e)
-        ):
-            ready = self.members.ready
-            if ready and before.isdisjoint(ready):
-                self.attempts.window.restart(self.context.now, len(ready))
-            self.sampler.affinity.set_backends(ready)
+    def _on_peer_health_changed(self, event: PeerHealthChanged) -> None:
+        backend = self.members.backends.get(event.backend)
+        if backend is not None:
+            backend.peer_health = event
             self.sampler.saturation.clear()
-            self.sampler.picks_left = 0  # the cutoffs are of another list
--- a/lilacsill/balancing/logic/load_probing.py
+++ b/lilacsill/balancing/logic/load_probing.py
@@ -1,75 +1,88 @@
-"""LoadProber: both samples of a request tell their load before they are compared, where that is cheap."""
+"""Load probing: both samples of a request report their load before they are compared, where that is cheap."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from typing import Protocol
 
 from ..interface import Outcome, Probe, ProbeEnded
-from .context import Context
-from .membership import Membership
-from .records import RequestRecord, BackendRecord
-from .sampling import Sampler
+from .records import BackendRecord, RequestRecord
+from .sampling import Pair, Sampler
+
+
+class ProbeListener(Protocol):
+    """What the prober calls when probes have ended."""
+
+    def on_pair_ready(self, request: RequestRecord) -> None:
+        """Decide between the samples of a request: their reports have arrived or are no longer awaited."""
+
+    def on_load_reported(self, backend: BackendRecord, load: float, requested_at: int) -> None:
+        """Take note of a load report before it enters the load table."""
+
+    def time_left_us(self, request: RequestRecord) -> int:
+        """Return the time in which a response to a request is still of value, microseconds."""
 
 
 class LoadProber:
-    """Probes out, and the requests that wait for their echoes."""
-
-    def __init__(self, core: Context, members: Membership, sampler: Sampler) -> None:
-        self.context, self.members, self.sampler, self.table = core, members, sampler, sampler.table
-        self.missing: Callable[[BackendRecord, float, int], None]  # hears each echo before it counts
-        self.settle: Callable[[RequestRecord], None]  # what to do once the pair is known; admission sets it
-        self.left: Callable[[RequestRecord], int]
-
-    def refresh_pair(self, r: RequestRecord, pair: tuple[BackendRecord, BackendRecord]) -> None:
-        """Bring the entries of both samples up to date where that is cheap, then compare them."""
-        # With a request a second each of fifty servers is heard of once a minute: two samples were as one.
-        now, bound = self.context.now, self.sampler.ask_us
-        r.sampled_pair = pair
-        asks = self.sampler.asks_now()
-        r.awaiting_report = [s for s in dict.fromkeys(pair) if now - s.reported_at > bound] if asks else []
-        if not r.awaiting_report:
-            return self.settle(r)
-        for s in r.awaiting_report:
-            if not s.probe_sent_at or now - s.probe_sent_at > bound:
-                self._probe(s)
-            s.probe_waiters.append(r)
-        r.pairs_drawn += 1
-        self.context.call_at(now + min(bound, self.left(r)), self._unanswered, (r, r.pairs_drawn))
-
-    def probe_if_stale(self, s: BackendRecord) -> None:
-        """Ask one whose answers are overdue, unless it has just been heard of."""
-        now = self.context.now
-        if (
-            not (s.in_maintenance or s.probe_sent_at)
-            and self.sampler.asks_now()
-            and now - s.reported_at > self.sampler.ask_us
-        ):
-            self._probe(s)
-
-    def _probe(self, s: BackendRecord) -> None:
-        s.probe_sent_at = self.context.now
-        self.context.actions.append(Probe(s.id))
-
-    def _unanswered(self, what: tuple[RequestRecord, int]) -> None:
-        r, pairs = what
-        if r.sampled_pair is not None and r.pairs_drawn == pairs and not r.is_answered:
-            self.settle(r)
-
-    def on_probe_ended(self, e: ProbeEnded) -> None:
-        """An echo tells the load only: that a process answers beside its queue is no proof that it works."""
-        s = self.members.backends.get(e.backend)
-        if s is None:
+    """Sends probes, and keeps the requests that wait for their reports."""
+
+    def __init__(self, sampler: Sampler, listener: ProbeListener) -> None:
+        self._context, self._members, self._table = sampler.context, sampler.members, sampler.table
+        self._sampler, self._policy, self._listener = sampler, sampler.probe_policy, listener
+
+    def refresh_pair(self, request: RequestRecord, pair: Pair) -> None:
+        """Get fresh load reports of both samples where that is cheap, then have the listener decide."""
+        # With a request a second, each of fifty backends reports once a minute: two samples were no better than one.
+        now, timeout_us = self._context.now, self._policy.timeout_us
+        request.sampled_pair = pair
+        request.awaiting_report = []
+        if self._policy.is_active():
+            request.awaiting_report = [
+                backend for backend in dict.fromkeys(pair) if now - backend.reported_at > timeout_us
+            ]
+        if not request.awaiting_report:
+            self._listener.on_pair_ready(request)
             return
-        self.sampler.saturation.clear()
-        self.sampler.outliers.record_probe(s, self.context.now, e.outcome)
-        asked_at, s.probe_sent_at, askers, s.probe_waiters = s.probe_sent_at, 0, s.probe_waiters, []
-        heard = e.outcome is Outcome.OK and 0 <= self.table.load_column < len(e.report)
-        if heard:
-            self.missing(s, e.report[self.table.load_column], asked_at)
-            self.table.record_report(self.context.now, s, e.report[self.table.load_column], asked_at)
-        for r in askers:
-            if r.sampled_pair is not None and not r.is_answered and s in r.awaiting_report:
-                if heard:
-                    r.awaiting_report.remove(s)
-                if not r.awaiting_report or not heard:
-                    self.settle(r)
+        for backend in request.awaiting_report:
+            if not backend.probe_sent_at or now - backend.probe_sent_at > timeout_us:
+                self._probe(backend)
+            backend.probe_waiters.append(request)
+        request.pairs_drawn += 1
+        due_at = now + min(timeout_us, self._listener.time_left_us(request))
+        self._context.call_at(due_at, self._on_timeout, request, request.pairs_drawn)
+
+    def probe_if_stale(self, backend: BackendRecord) -> None:
+        """Probe a backend whose responses are overdue, unless it has just reported."""
+        if backend.in_maintenance or backend.probe_sent_at or not self._policy.is_active():
+            return
+        if self._context.now - backend.reported_at > self._policy.timeout_us:
+            self._probe(backend)
+
+    def on_probe_ended(self, event: ProbeEnded) -> None:
+        """Take over the report. It tells the load only: a process that answers probes may fail requests."""
+        now = self._context.now
+        backend = self._members.backends.get(event.backend)
+        if backend is None:
+            return
+        self._sampler.saturation.clear()
+        self._sampler.outliers.record_probe(backend, now, event.outcome)
+        requested_at, backend.probe_sent_at = backend.probe_sent_at, 0
+        waiters, backend.probe_waiters = backend.probe_waiters, []
+        load = self._table.reported_load(event.report) if event.outcome is Outcome.OK else None
+        if load is not None:
+            self._listener.on_load_reported(backend, load, requested_at)
+            self._table.record_report(now, backend, load, requested_at)
+        for request in waiters:
+            if request.sampled_pair is None or request.is_answered or backend not in request.awaiting_report:
+                continue
+            if load is not None:
+                request.awaiting_report.remove(backend)
+            if load is None or not request.awaiting_report:
+                self._listener.on_pair_ready(request)
+
+    def _probe(self, backend: BackendRecord) -> None:
+        backend.probe_sent_at = self._context.now
+        self._context.actions.append(Probe(backend.id))
+
+    def _on_timeout(self, request: RequestRecord, pairs_drawn: int) -> None:
+        if request.sampled_pair is not None and request.pairs_drawn == pairs_drawn and not request.is_answered:
+            self._listener.on_pair_ready(request)
--- a/lilacsill/balancing/logic/load_table.py
+++ b/lilacsill/balancing/logic/load_table.py
@@ -1,4 +1,4 @@
-"""The load table: what each server holds, and how fast it works that off."""
+"""The load table: the load of each backend, and how fast it serves requests."""
 
 from __future__ import annotations
 
@@ -6,139 +6,205 @@
 from .outcomes import FAILED_IMMEDIATELY, MAY_STILL_RUN
 from .records import SECOND_US, BackendRecord
 
-FRESH_US = SECOND_US  # a report this young counts in full; older ones fade to the mean as FRESH_US / age
-GAIN, SERVICE_GAIN = 0.1, 0.3  # weight of a new sample in smoothed figures; in those the server has smoothed
-PRIOR = 4  # a learned pace counts half after this many answers
-FORGET_US = 5 * SECOND_US  # a pace not confirmed for this long counts half: a server shunned must be seen again
-FADE, FADE_US = 10, SECOND_US  # what a bad end weighs halves in so many latencies, at most this
-SLOWER = 1.25  # than before may a fleet be, while it may yet be cold
-LATE = 5  # an answer later than this many typical ones tells of a stall, not of the fleet's pace
+FRESH_US = SECOND_US  # a report this young counts fully; an older one decays to the mean as FRESH_US / age
+GAIN = 0.1  # least weight of a new sample in smoothed figures of one backend
+FLEET_GAIN = GAIN / 4  # the same in figures of the fleet
+SERVICE_TIME_GAIN = 0.3  # weight of a new reported service time, which the backend has smoothed already
+PRIOR_SAMPLES = 4  # a learned service time counts half after this many samples
+FORGET_US = 5 * SECOND_US  # a service time not confirmed for this long counts half: an avoided backend gets retried
+DECAY_LATENCIES, MAX_HALF_LIFE_US = 10, SECOND_US  # half-life of failed attempts in typical latencies, and its bound
+MAX_SLOWDOWN = 1.25  # of a restored service time while backends may be warming up
+MAX_LATENCIES = 5  # a latency above this many typical ones is a stall, not the fleet's service time
+LOAD_FIELDS = ("inflight", "queue")  # fields of a report that hold the load, the preferred one first
+SERVICE_TIME_FIELD = "latency_ms"
 
 
 class LoadTable:
-    """What each server holds, by its reports and this balancer's own count, and how fast it works it off."""
+    """Load and service time of each backend, from its reports and from this balancer's own attempts.
+
+    Attributes:
+        load_column: Position of the load in a report; None if reports have none.
+        service_column: Position of the service time in a report; None if reports have none.
+        uses_capacity_hints: Capacity hints are meaningful.
+        band_cutoffs: Cutoffs of the bands as of the latest refresh.
+        mean_load: Mean load of the backends that have reported.
+        mean_capacity_hint: Mean capacity hint.
+        mean_service_ms: Mean reported service time, milliseconds; 0 if none was reported.
+        median_updated_at: Clock time of the latest information about the median backend, microseconds.
+        mean_cost_us: Mean estimated cost of requests, microseconds; 0 without estimates.
+        service_time_us: Time of a warm backend of the fleet for each request in flight, microseconds; 0 if unknown.
+        typical_latency_us: Mean latency of responses, microseconds; 0 if unknown.
+        answer_count: Responses that these two rest on.
+        resumed_at: Waiting before this clock time was the caller's own, microseconds.
+        restored: What an earlier incarnation knew.
+    """
 
     def __init__(self, settings: Settings) -> None:
         fields = settings.report_fields
-        self.load_column = next((fields.index(f) for f in ("inflight", "queue") if f in fields), -1)
-        self.service_column = fields.index("latency_ms") if "latency_ms" in fields else -1
+        self.load_column = next((fields.index(name) for name in LOAD_FIELDS if name in fields), None)
+        self.service_column = fields.index(SERVICE_TIME_FIELD) if SERVICE_TIME_FIELD in fields else None
         self.uses_capacity_hints = settings.capacity_hints
         self.band_cutoffs: list[float] = []
-        self.mean_load, self.mean_capacity_hint = 0.0, 1.0  # of the table: loads heard of, capacity hints
-        self.mean_service_ms = 0.0  # and reported service times
-        self.median_updated_at = 0  # when the median server was last heard of
-        self.mean_cost_us = 0.0  # mean cost of a request by its hints
-        self.service_time_us = 0.0  # fleet: time per unit of load
-        self.typical_latency_us = 0.0  # fleet: latency of answers
+        self.mean_load, self.mean_capacity_hint = 0.0, 1.0
+        self.mean_service_ms = 0.0
+        self.median_updated_at = 0
+        self.mean_cost_us = 0.0
+        self.service_time_us = 0.0
+        self.typical_latency_us = 0.0
         self.answer_count = self.resumed_at = 0
-        self.restored = LatencyModelRestored(0.0, 0.0, 0)  # from before
-
-    def refresh(self, servers: list[BackendRecord], now: int, stood_at: int) -> None:
-        """What the entries come to in the mean. `stood_at`: waiting before that was the caller's own."""
-        self.resumed_at = stood_at
-        heard = [s.own_load(now) + max(0.0, s.other_load) for s in servers if s.reported_at]
-        self.mean_load = sum(heard) / len(heard) if heard else 0.0
-        self.median_updated_at = sorted(s.updated_at for s in servers)[len(servers) // 2] if servers else 0
-        known = [s.reported_service_ms for s in servers if s.reported_service_ms]
-        self.mean_service_ms = sum(known) / len(known) if known else 0.0
-        if self.uses_capacity_hints and servers:
-            self.mean_capacity_hint = sum(s.capacity_hint for s in servers) / len(servers)
-
-    def other_load(self, s: BackendRecord, now: int) -> float:
-        """What all others hold at a server: as reported, an old report fading to the mean of the table.
-
-        A server not heard from enters at that mean; a cold one at its part of it, for nobody sends it more.
+        self.restored = LatencyModelRestored(0.0, 0.0, 0)
+
+    def refresh(self, backends: list[BackendRecord], now: int, resumed_at: int) -> None:
+        """Recalculate the means.
+
+        Args:
+            backends: Backends that accept work.
+            now: Clock time, microseconds.
+            resumed_at: Waiting before this clock time was the caller's own, microseconds.
+        """
+        self.resumed_at = resumed_at
+        loads = [backend.own_load(now) + max(0.0, backend.other_load) for backend in backends if backend.reported_at]
+        self.mean_load = sum(loads) / len(loads) if loads else 0.0
+        updates = sorted(backend.updated_at for backend in backends)
+        self.median_updated_at = updates[len(updates) // 2] if updates else 0
+        service_times = [backend.reported_service_ms for backend in backends if backend.reported_service_ms]
+        self.mean_service_ms = sum(service_times) / len(service_times) if service_times else 0.0
+        if self.uses_capacity_hints and backends:
+            self.mean_capacity_hint = sum(backend.capacity_hint for backend in backends) / len(backends)
+
+    def reported_load(self, report: tuple[float, ...]) -> float | None:
+        """Return the load in a report, or None if it has none."""
+        if self.load_column is None or len(report) <= self.load_column:
+            return None
+        return report[self.load_column]
+
+    def other_load(self, backend: BackendRecord, now: int) -> float:
+        """Return the load from other balancers: as reported, an old report decayed to the mean of the table.
+
+        A backend without any report counts with that mean; a warming one with its share of it, since no balancer
+        sends it more.
         """
-        mean = self.mean_load * s.capacity_fraction
-        if not s.reported_at:
+        mean = self.mean_load * backend.capacity_fraction
+        if not backend.reported_at:
             return mean
-        age = max(FRESH_US, now - s.reported_at)
-        return mean + (max(0.0, s.other_load) - mean) * FRESH_US / age
+        age_us = max(FRESH_US, now - backend.reported_at)
+        return mean + (max(0.0, backend.other_load) - mean) * FRESH_US / age_us
 
-    def relative_cost(self, cost_us: int) -> float:
-        """The work of a request as a multiple of the mean request's; 1 where nothing tells it."""
-        if not cost_us:
+    def relative_cost(self, cost_hint_us: int) -> float:
+        """Return the estimated cost as a multiple of the mean request's, and learn the mean; 1 without a hint."""
+        if not cost_hint_us:
             return 1.0
-        self.mean_cost_us += (GAIN / 4 if self.mean_cost_us else 1.0) * (cost_us - self.mean_cost_us)
-        return cost_us / self.mean_cost_us
-
-    def record_report(self, now: int, s: BackendRecord, held: float, asked_at: int = -1) -> None:
-        """Take in what is told, unsmoothed. Asked for after a bad end, it counts what still runs of that."""
-        s.other_load, s.reported_at, s.updated_at = held - len(s.in_flight), now, now
-        if asked_at >= s.abandoned.since:
-            s.abandoned.clear()
-
-    def restore(self, e: LatencyModelRestored) -> None:
-        """Else cold servers that nobody calls so teach a pace that refuses all."""
-        if not self.answer_count and e.service_time_us:
-            self.service_time_us, self.typical_latency_us, self.answer_count, self.restored = (
-                e.service_time_us,
-                e.typical_latency_us,
-                e.answers,
-                e,
-            )
-
-    def record_service_time(self, s: BackendRecord, service_ms: float) -> None:
-        """Learn from a reported service time, waiting left out, how fast a server works."""
+        gain = FLEET_GAIN if self.mean_cost_us else 1.0
+        self.mean_cost_us += gain * (cost_hint_us - self.mean_cost_us)
+        return cost_hint_us / self.mean_cost_us
+
+    def record_report(self, now: int, backend: BackendRecord, load: float, requested_at: int | None = None) -> None:
+        """Take over a reported load unsmoothed.
+
+        Args:
+            now: Clock time, microseconds.
+            backend: Backend of the report.
+            load: Its load, all balancers' requests included.
+            requested_at: Clock time at which the report was requested, microseconds; None if it was not. Requested
+                after a failed attempt, it counts what still runs of that.
+        """
+        backend.other_load = load - len(backend.in_flight)
+        backend.reported_at = backend.updated_at = now
+        if requested_at is not None and requested_at >= backend.abandoned.since:
+            backend.abandoned.clear()
+
+    def restore(self, event: LatencyModelRestored) -> None:
+        """Take over what an earlier incarnation knew, unless responses have taught more already.
+
+        Without it, backends that are warming up unknown to anybody would teach a service time that rejects everything.
+        """
+        if not self.answer_count and event.service_time_us:
+            self.service_time_us, self.typical_latency_us = event.service_time_us, event.typical_latency_us
+            self.answer_count, self.restored = event.answers, event
+
+    def record_service_time(self, backend: BackendRecord, service_ms: float) -> None:
+        """Learn from a reported service time in milliseconds, which excludes waiting, how fast a backend works."""
         if service_ms > 0:
-            s.reported_service_ms += (SERVICE_GAIN if s.reported_service_ms else 1.0) * (
-                service_ms - s.reported_service_ms
-            )
+            gain = SERVICE_TIME_GAIN if backend.reported_service_ms else 1.0
+            backend.reported_service_ms += gain * (service_ms - backend.reported_service_ms)
 
-    def predicted_service_time(self, s: BackendRecord, now: int, warmth: float) -> float:
-        """Time a server takes per unit of load: the inverse of its relative capacity."""
-        pace = (self.service_time_us or 1.0) / warmth
+    def predicted_service_time(self, backend: BackendRecord, now: int, capacity_fraction: float) -> float:
+        """Return the predicted time for each request in flight, microseconds: the inverse of relative capacity."""
+        predicted_us = (self.service_time_us or 1.0) / capacity_fraction
         if self.uses_capacity_hints:
-            pace *= self.mean_capacity_hint / s.capacity_hint
-        if s.reported_service_ms:
-            pace *= s.reported_service_ms / self.mean_service_ms
-        if s.sample_count:
-            w = s.sample_count / (s.sample_count + PRIOR) * FORGET_US / (FORGET_US + now - s.ended_at)
-            # One out for longer than answers take tells it before it ends, and before all queues are full.
-            since = (now - max(sent, self.resumed_at) for sent in s.in_flight.values())
-            late = sum(max(0.0, age - s.mean_latency_us) for age in since)
-            pace += w * ((s.mean_latency_us + GAIN * late) / s.mean_load - pace)
-        return pace
+            predicted_us *= self.mean_capacity_hint / backend.capacity_hint
+        if backend.reported_service_ms:
+            predicted_us *= backend.reported_service_ms / self.mean_service_ms
+        samples = backend.sample_count
+        if samples:
+            weight = samples / (samples + PRIOR_SAMPLES) * FORGET_US / (FORGET_US + now - backend.ended_at)
+            # An attempt in flight for longer than responses take is evidence before it ends, and before all queues
+            # are full.
+            ages = (now - max(sent_at, self.resumed_at) for sent_at in backend.in_flight.values())
+            excess_us = sum(max(0.0, age - backend.mean_latency_us) for age in ages)
+            learned_us = (backend.mean_latency_us + GAIN * excess_us) / backend.mean_load
+            predicted_us += weight * (learned_us - predicted_us)
+        return predicted_us
 
     def record_attempt(
-        self, now: int, s: BackendRecord, e: AttemptEnded, load_at_send: float, timed: bool = True
+        self, now: int, backend: BackendRecord, event: AttemptEnded, load_at_send: float, is_timed: bool = True
     ) -> None:
-        """Learn from an attempt that has just been taken off s.open; `timed`: its latency is the server's."""
-        s.ended_at = now
-        if self.load_column >= 0 and len(e.report) > self.load_column:
-            # The report holds our own attempts too: what remains after them is the others' share.
-            others = e.report[self.load_column] - len(s.in_flight) - 1
-            afresh = not s.reported_at or s.abandoned.value_at(now)  # it counts what still runs, and replaces the guess
-            gain = 1.0 if afresh else max(GAIN, min(1.0, (now - s.reported_at) / FRESH_US))
-            s.abandoned.clear()
-            s.other_load += gain * (others - s.other_load)
-            s.reported_at = s.updated_at = now
-            # The load at sending may be an old guess: a jam grown unseen made every server look slow (bajio).
-            load_at_send = max(load_at_send, e.report[self.load_column])
-        if 0 <= self.service_column < len(e.report):
-            self.record_service_time(s, e.report[self.service_column])
-        slow = e.outcome is Outcome.TIMEOUT and e.latency_us > self.typical_latency_us
-        if timed and (e.outcome is Outcome.OK or slow):
-            gain = max(GAIN, 1 / (s.sample_count + 1))
-            s.mean_latency_us += gain * (e.latency_us - s.mean_latency_us)
-            s.mean_load += gain * (load_at_send - s.mean_load)
-            s.sample_count += 1
-        if e.outcome is Outcome.OK:
-            s.answered_at = now
-            s.immediate_failures.clear()
-        if e.outcome is Outcome.OK and timed:
-            # The first answers wait for connections: those that come next weigh more.
-            gain = max(GAIN / 4, 2 / (self.answer_count + 2))
-            self.answer_count += 1
-            latency = min(e.latency_us, LATE * self.typical_latency_us) if gain <= GAIN else e.latency_us
-            self.typical_latency_us += gain * (latency - self.typical_latency_us)
-            # Of a warm one: a young fleet is not a slow one.
-            pace = s.capacity_fraction * latency / load_at_send
-            most = SLOWER * self.restored.service_time_us if now < self.restored.capped_until_us else pace
-            self.service_time_us += gain * (min(pace, most) - self.service_time_us)
-        half_us = min(FADE_US, int(FADE * self.typical_latency_us) or FADE_US)
-        if e.outcome in MAY_STILL_RUN:
-            s.abandoned.add(now, half_us)
-        if e.outcome in FAILED_IMMEDIATELY:
-            # Balls stay: a server that ends attempts at once must not look light for it, whatever it reports.
-            s.immediate_failures.add(now, half_us)
+        """Learn from an attempt that has just been removed from `backend.in_flight`.
+
+        Args:
+            now: Clock time, microseconds.
+            backend: Backend of the attempt.
+            event: The end of the attempt.
+            load_at_send: Estimated load of the backend when it was sent.
+            is_timed: Its latency is the backend's; otherwise the caller has stood still meanwhile.
+        """
+        backend.ended_at = now
+        load = self.reported_load(event.report)
+        if load is not None:
+            self._record_attached_load(now, backend, load)
+            # The estimate at sending may be old: a queue that had grown unseen made every backend look slow.
+            load_at_send = max(load_at_send, load)
+        if self.service_column is not None and self.service_column < len(event.report):
+            self.record_service_time(backend, event.report[self.service_column])
+        was_slow = event.outcome is Outcome.TIMEOUT and event.latency_us > self.typical_latency_us
+        if is_timed and (event.outcome is Outcome.OK or was_slow):
+            self._record_latency(backend, event.latency_us, load_at_send)
+        if event.outcome is Outcome.OK:
+            backend.answered_at = now
+            backend.immediate_failures.clear()
+            if is_timed:
+                self._record_fleet_latency(now, backend, event.latency_us, load_at_send)
+        half_life_us = min(MAX_HALF_LIFE_US, int(DECAY_LATENCIES * self.typical_latency_us) or MAX_HALF_LIFE_US)
+        if event.outcome in MAY_STILL_RUN:
+            backend.abandoned.add(now, half_life_us)
+        if event.outcome in FAILED_IMMEDIATELY:
+            # A backend that ends attempts at once must not look idle for it, whatever it reports.
+            backend.immediate_failures.add(now, half_life_us)
+
+    def _record_attached_load(self, now: int, backend: BackendRecord, load: float) -> None:
+        # The report includes our own attempts: what remains without them is the others' load.
+        others = load - len(backend.in_flight) - 1
+        # A first report replaces the guess, and so does one that counts what still runs of abandoned attempts.
+        replaces_guess = not backend.reported_at or backend.abandoned.value_at(now)
+        gain = 1.0 if replaces_guess else max(GAIN, min(1.0, (now - backend.reported_at) / FRESH_US))
+        backend.abandoned.clear()
+        backend.other_load += gain * (others - backend.other_load)
+        backend.reported_at = backend.updated_at = now
+
+    def _record_latency(self, backend: BackendRecord, latency_us: int, load_at_send: float) -> None:
+        gain = max(GAIN, 1 / (backend.sample_count + 1))
+        backend.mean_latency_us += gain * (latency_us - backend.mean_latency_us)
+        backend.mean_load += gain * (load_at_send - backend.mean_load)
+        backend.sample_count += 1
+
+    def _record_fleet_latency(self, now: int, backend: BackendRecord, latency_us: int, load_at_send: float) -> None:
+        # The first responses wait for connections: the next ones weigh more.
+        gain = max(FLEET_GAIN, 2 / (self.answer_count + 2))
+        self.answer_count += 1
+        bounded_us = min(latency_us, MAX_LATENCIES * self.typical_latency_us) if gain <= GAIN else latency_us
+        self.typical_latency_us += gain * (bounded_us - self.typical_latency_us)
+        # As of a warm backend: a fleet that is warming up is not a slow one.
+        service_time_us = backend.capacity_fraction * bounded_us / load_at_send
+        if now < self.restored.capped_until_us:
+            service_time_us = min(service_time_us, MAX_SLOWDOWN * self.restored.service_time_us)
+        self.service_time_us += gain * (service_time_us - self.service_time_us)
--- a/lilacsill/balancing/logic/saturation.py
+++ b/lilacsill/balancing/logic/saturation.py
@@ -1,40 +1,62 @@
-"""What a late caller has found full is taken for full until there is news.
+"""Cache of saturation: what a late caller has found saturated stays so until something changes.
 
-Who finds no server is refused and comes back, and looking filled the core: refusals took two thirds of it,
-a state that outlasts its trigger (Bronson et al., Metastable Failures in Distributed Systems, HotOS 2021).
+A client that finds no backend is rejected and retries. In an overloaded caller the search alone took two thirds of the
+CPU, a state that outlasts its trigger (Bronson et al., Metastable Failures in Distributed Systems, HotOS 2021).
 """
 
 from __future__ import annotations
 
 from .records import RequestRecord
 
-SATURATED_US = 5_000  # without news; what fades by itself in so short a time changes little
+SATURATED_US = 5_000  # lifetime of an entry without news; what decays by itself within it changes little
 
 
 class SaturationCache:
-    """The least demanding request for which no server was found since the last news."""
+    """The least demanding request for which no backend was found since the latest change.
+
+    Attributes:
+        is_busy: Some backend might have been sampled, were it not for its predicted time.
+    """
 
     def __init__(self) -> None:
-        self._until = 0
-        self._least: tuple[float, int, float, float] = (0.0, 0, 0.0, 0.0)  # limit, time left, size, luck
-        self.is_busy = False  # some server might have been sampled, were it not for its predicted time
+        self.is_busy = False
+        self._valid_until = 0
+        self._time_limit, self._time_left = 0.0, 0
+        self._relative_cost, self._uniform_draw = 0.0, 0.0
 
     def clear(self) -> None:
-        """An attempt has ended, an echo has come or the list has changed."""
-        self._until = 0
-
-    def record(self, r: RequestRecord, now: int, limit: float, busy: bool, lag_us: float, by_luck: bool) -> None:
-        """Nothing was found for this one. `by_luck`: another may see servers that this one may not."""
-        self.is_busy = busy
-        if not r.attempt_count:  # a repeat asks for more: not where it was tried, nor out of its group
-            # What a late caller reads has waited together: one look serves for as long as it is late.
-            self._until = now + max(SATURATED_US, int(lag_us))
-            self._least = limit, r.target_at - now, r.relative_cost, r.uniform_draw if by_luck else 0.0
-
-    def covers(self, r: RequestRecord, now: int, limit: float) -> bool:
-        """Whether this one asks for at least as much: no longer a predicted time, no less work, and no better
-        luck with cold servers."""
-        if r.attempt_count or now >= self._until:
+        """Forget the entry: an attempt or a probe has ended, or the list of backends has changed."""
+        self._valid_until = 0
+
+    def record(
+        self, request: RequestRecord, now: int, time_limit: float, is_busy: bool, lag_us: float, depends_on_draw: bool
+    ) -> None:
+        """Record that no backend was found for a request.
+
+        Args:
+            request: The request.
+            now: Clock time, microseconds.
+            time_limit: Longest predicted time that it would have accepted, microseconds.
+            is_busy: Some backend might have been sampled, were it not for its predicted time.
+            lag_us: Usual lag of the caller's timers, microseconds.
+            depends_on_draw: A request with a lower `uniform_draw` may see more backends.
+        """
+        self.is_busy = is_busy
+        if request.attempt_count:
+            return  # A repeat asks for more: a backend where it was not tried, inside its dedup scope.
+        # Requests that a late caller reads have waited together: one search serves them all.
+        self._valid_until = now + max(SATURATED_US, int(lag_us))
+        self._time_limit, self._time_left = time_limit, request.target_at - now
+        self._relative_cost = request.relative_cost
+        self._uniform_draw = request.uniform_draw if depends_on_draw else 0.0
+
+    def covers(self, request: RequestRecord, now: int, time_limit: float) -> bool:
+        """Return whether a request demands at least as much as the recorded one, so that a search is futile."""
+        if request.attempt_count or now >= self._valid_until:
             return False
-        least_limit, left, size, luck = self._least
-        return limit <= least_limit and r.target_at - now <= left and r.relative_cost >= size and r.uniform_draw >= luck
+        return (
+            time_limit <= self._time_limit
+            and request.target_at - now <= self._time_left
+            and request.relative_cost >= self._relative_cost
+            and request.uniform_draw >= self._uniform_draw
+        )
--- a/lilacsill/balancing/mechanisms/__init__.py
+++ b/lilacsill/balancing/mechanisms/__init__.py
@@ -1,1 +1,1 @@
-"""What decisions are made with: a queue of deadlines, weights that fade, a vote, a hash."""
+"""Building blocks of decisions that decide nothing themselves: deadlines, decay, majority vote, bands, hashing."""
--- a/lilacsill/balancing/mechanisms/bands.py
+++ b/lilacsill/balancing/mechanisms/bands.py
@@ -1,4 +1,4 @@
-"""Bands: the Quantile process of Los and Sauerwald, two samples compared by the cutoffs of the load table."""
+"""Quantile bands: the Quantile process of Los and Sauerwald, which compares two samples by bands of load."""
 
 from __future__ import annotations
 
@@ -6,28 +6,38 @@
 from math import ceil, log2
 from random import Random
 
-QUERIES = 8  # k of the Quantile process
+QUERIES = 8  # parameter k of the Quantile process; docs/design.md has the figures behind it
+ROUNDING = 1e-9  # a rank that is a whole number but for rounding is not rounded up
 
 
 @lru_cache(maxsize=4096)
-def cutoff_ranks(n: int, k: int = QUERIES) -> tuple[int, ...]:
-    """The ranks, from the most loaded down, at which Quantile(d1 .. dk) cuts n servers."""
-    deltas = [2 ** (-0.5 * log2(n) ** ((k - i) / k)) for i in range(1, k)]
-    ranks = {ceil(d * n - 1e-9) for d in deltas if d < 0.5} | {ceil(n / 2)}
+def cutoff_ranks(count: int, queries: int = QUERIES) -> tuple[int, ...]:
+    """Return the ranks, from the most loaded down, at which Quantile(d1 .. dk) divides the backends into bands.
+
+    Args:
+        count: Number of backends, above 0.
+        queries: Parameter k of the process.
+    """
+    fractions = [2 ** (-0.5 * log2(count) ** ((queries - i) / queries)) for i in range(1, queries)]
+    ranks = {ceil(fraction * count - ROUNDING) for fraction in fractions if fraction < 0.5} | {ceil(count / 2)}
     return tuple(sorted(ranks))
 
 
 def cutoffs(loads: list[float]) -> list[float]:
-    """The loads at these ranks."""
+    """Return the loads at the cutoff ranks, highest first."""
     ordered = sorted(loads, reverse=True)
-    return [ordered[r - 1] for r in cutoff_ranks(len(loads))]
+    return [ordered[rank - 1] for rank in cutoff_ranks(len(loads))]
 
 
 def lower_band(rng: Random | None, cuts: list[float], load_i: float, load_j: float) -> bool:
-    """Whether the first of two samples takes it: the lower band does, a tie goes at random.
+    """Return whether the first of two samples takes the request: it lies in the lower band, or wins the tie.
 
-    None: their order is random already, and a tie goes to the first.
+    Args:
+        rng: Draws the winner of a tie; None if the order of the samples is random already: the first wins.
+        cuts: Cutoffs of the bands.
+        load_i: Load of the first sample.
+        load_j: Load of the second sample.
     """
-    band_i = sum(load_i >= c for c in cuts)
-    band_j = sum(load_j >= c for c in cuts)
+    band_i = sum(load_i >= cut for cut in cuts)
+    band_j = sum(load_j >= cut for cut in cuts)
     return band_i < band_j or (band_i == band_j and (rng is None or rng.random() < 0.5))
--- a/lilacsill/balancing/mechanisms/deadline_queue.py
+++ b/lilacsill/balancing/mechanisms/deadline_queue.py
@@ -1,4 +1,4 @@
-"""Deadlines of one event loop that is fed from outside: what is due is called, and the next one is named."""
+"""A queue of deadlines for an event loop whose clock and timers belong to the caller."""
 
 from __future__ import annotations
 
@@ -8,26 +8,35 @@
 
 
 class DeadlineQueue:
-    """Calls by their times, in integer microseconds; equal times in the order in which they came."""
+    """Callbacks by due time; equal times run in the order in which they were added.
+
+    Attributes:
+        armed_at: Due time that the caller has last been asked to set a timer for, microseconds; None if that timer
+            has fired or none was asked for.
+    """
 
     def __init__(self) -> None:
         self._count = 0
-        self._entries: list[tuple[int, int, Callable[[Any], None], Any]] = []
-        self.armed_at = 0  # the time that was last named; 0: none
+        self._entries: list[tuple[int, int, Callable[..., None], tuple[Any, ...]]] = []
+        self.armed_at: int | None = None
 
-    def add(self, at: int, call: Callable[[Any], None], what: Any) -> None:
+    def add(self, due_at: int, callback: Callable[..., None], *arguments: object) -> None:
+        """Call the callback with the arguments at `due_at`, microseconds."""
         self._count += 1
-        heappush(self._entries, (at, self._count, call, what))
-
-    def next_to_arm(self) -> int:
-        """The earliest time, if it is earlier than the one last named, which it becomes; else 0."""
-        if not self._entries or (self.armed_at and self._entries[0][0] >= self.armed_at):
-            return 0
-        self.armed_at = self._entries[0][0]
-        return self.armed_at
+        heappush(self._entries, (due_at, self._count, callback, arguments))
+
+    def next_to_arm(self) -> int | None:
+        """Return the earliest due time, which becomes `armed_at`, or None if an armed timer covers it already."""
+        if not self._entries:
+            return None
+        due_at = self._entries[0][0]
+        if self.armed_at is not None and due_at >= self.armed_at:
+            return None
+        self.armed_at = due_at
+        return due_at
 
     def run_due(self, now: int) -> None:
-        """Call all that is due, and what falls due by that."""
+        """Run every callback that is due, including those that become due on the way."""
         while self._entries and self._entries[0][0] <= now:
-            _, _, call, what = heappop(self._entries)
-            call(what)
+            _, _, callback, arguments = heappop(self._entries)
+            callback(*arguments)
--- a/lilacsill/balancing/mechanisms/decay.py
+++ b/lilacsill/balancing/mechanisms/decay.py
@@ -1,10 +1,15 @@
-"""A weight that loses its say by itself."""
+"""A weight that decays by itself."""
 
 from __future__ import annotations
 
 
 class DecayingWeight:
-    """A weight that nothing newer has replaced; it halves in `half_us`, then ever slower."""
+    """A count that decays hyperbolically: it halves within its half-life, and ever more slowly after that.
+
+    Attributes:
+        since: Clock time of the latest addition, microseconds; 0 if there was none.
+        half_life_us: Time in which the weight halves, microseconds.
+    """
 
     __slots__ = ("_weight", "since", "half_life_us")
 
@@ -12,10 +17,13 @@
         self._weight, self.since, self.half_life_us = 0.0, 0, 1
 
     def value_at(self, now: int) -> float:
+        """Return the weight that is left at `now`."""
         return self._weight and self._weight * self.half_life_us / (self.half_life_us + now - self.since)
 
-    def add(self, now: int, half_us: int) -> None:
-        self._weight, self.since, self.half_life_us = self.value_at(now) + 1.0, now, half_us
+    def add(self, now: int, half_life_us: int) -> None:
+        """Add 1 to what is left of the weight, and decay the sum with this half-life from now on."""
+        self._weight, self.since, self.half_life_us = self.value_at(now) + 1.0, now, half_life_us
 
     def clear(self) -> None:
+        """Set the weight to 0."""
         self._weight = 0.0
--- a/lilacsill/balancing/mechanisms/rendezvous.py
+++ b/lilacsill/balancing/mechanisms/rendezvous.py
@@ -1,12 +1,13 @@
-"""The weight of a place for a key (Thaler and Ravishankar, 1998): the same in every process."""
+"""Rendezvous hashing (Thaler and Ravishankar, 1998): the score of a node for a key, the same in every process."""
 
 from __future__ import annotations
 
-MIX, MASK = 0x9E3779B97F4A7C15, 2**64 - 1  # odd, of the golden ratio: a multiplicative hash (Knuth, 6.4)
+MULTIPLIER = 0x9E3779B97F4A7C15  # 2**64 / golden ratio, odd: a multiplicative hash (Knuth, section 6.4)
+MASK_64 = 2**64 - 1
 
 
 def score(seed: int, key: int) -> int:
-    """64 bits that look drawn anew for each pair."""
-    x = ((seed ^ key) * MIX) & MASK
-    x = ((x ^ x >> 32) * MIX) & MASK
-    return x ^ x >> 29
+    """Return 64 pseudo-random bits for a pair of node seed and key; the nodes with the highest scores get the key."""
+    mixed = ((seed ^ key) * MULTIPLIER) & MASK_64
+    mixed = ((mixed ^ mixed >> 32) * MULTIPLIER) & MASK_64
+    return mixed ^ mixed >> 29
--- a/tests/test_beliefs.py
+++ b/tests/test_beliefs.py
@@ -153,7 +153,7 @@
 def test_full_is_what_holds_at_least_what_the_others_hold(held: float, mean: float) -> None:
     e = AttemptEnded(1, 0, "a", Outcome.REJECTED, 1, False, (held,))
     assert is_overload_rejection(e, 0, mean) == (held >= max(1.5, mean))
-    assert not is_overload_rejection(e, -1, mean) and not is_overload_rejection(e, 1, mean)
+    assert not is_overload_rejection(e, None, mean) and not is_overload_rejection(e, 1, mean)
 
 
 def test_no_request_is_refused_by_an_entry_that_nobody_has_asked_about() -> None:
@@ -205,7 +205,7 @@
 
 
 def test_answers_open_the_window_and_then_it_is_gone() -> None:
-    s = ConcurrencyWindow(siblings=2)
+    s = ConcurrencyWindow(balancer_count=2)
     s.restart(0, 4)
     now = 0
     while s.answers_needed:
@@ -219,7 +219,7 @@
 
 
 def test_a_fleet_that_answers_nothing_closes_the_window_and_a_caller_that_stood_still_does_not() -> None:
-    s = ConcurrencyWindow(siblings=1)
+    s = ConcurrencyWindow(balancer_count=1)
     s.restart(0, 2)
     for _ in range(40):
         s.record_send(0)
@@ -227,8 +227,8 @@
     for _ in range(50):
         s.record_send(0)
     late = SECOND
-    assert s.admits(late, 2, 10 * MS, stood_at=late - MS)  # the silence was the caller's own
-    assert not s.admits(late, 2, 10 * MS, stood_at=0)
+    assert s.admits(late, 2, 10 * MS, resumed_at=late - MS)  # the silence was the caller's own
+    assert not s.admits(late, 2, 10 * MS, resumed_at=0)
 
 
 def test_a_list_that_is_new_as_a_whole_begins_again() -> None:
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -19,7 +19,7 @@
     Send,
     SendPeerMessage,
 )
-from lilacsill.balancing.logic.attempts import RETRY_BURST, RETRY_SHARE
+from lilacsill.balancing.logic.retry_budget import RETRY_BURST, RETRY_SHARE
 from lilacsill.balancing.logic.peer_reports import REPORT
 from lilacsill.balancing.logic.records import RequestRecord, BackendRecord
 from tests.helpers import MS, SECOND, Drive, only
@@ -114,21 +114,22 @@
     # i39cc3d: 60 servers, 950 requests a second: a look at all servers for each took more CPU than allowed.
     d = Drive(servers=320)
     d.serve(10)
-    looks, draws = [], []
-    look, admits = d.balancer.table.refresh, d.balancer.sampler.admits
+    refreshes, draws = [], []
+    refresh, admits = d.balancer.table.refresh, d.balancer.sampler.eligibility.admits
 
-    def looked(servers: list[BackendRecord], now: int, stood_at: int) -> None:
-        looks.append(now)
-        look(servers, now, stood_at)
+    def refresh_counted(backends: list[BackendRecord], now: int, resumed_at: int) -> None:
+        refreshes.append(now)
+        refresh(backends, now, resumed_at)
 
-    def drawn(r: RequestRecord, s: BackendRecord) -> bool:
-        draws.append(s)
-        return admits(r, s)
+    def admits_counted(request: RequestRecord, backend: BackendRecord) -> bool:
+        draws.append(backend)
+        return admits(request, backend)
 
-    d.balancer.table.refresh = looked  # type: ignore[method-assign]
-    d.balancer.sampler.admits = drawn  # type: ignore[method-assign]
+    d.balancer.table.refresh = refresh_counted  # type: ignore[method-assign]
+    d.balancer.sampler.eligibility.admits = admits_counted  # type: ignore[method-assign]
     sends = [s for _ in range(160) for s in only(d.request()[1], Send)]
-    assert len(sends) == 160 and len(looks) <= 2 and len(draws) <= 3 * 160
+    assert refreshes and draws
+    assert len(sends) == 160 and len(refreshes) <= 2 and len(draws) <= 3 * 160
     for send in sends[:20]:
         d.list(Backend(send.backend, BackendState.DRAINING))
     drained = {send.backend for send in sends[:20]}
--- a/tests/test_homes.py
+++ b/tests/test_homes.py
@@ -57,7 +57,7 @@
     first = found.backends_for(1)
     for key in range(1, 2 * MAX_KEYS):
         found.backends_for(key)
-    assert len(found._homes) == MAX_KEYS and found.backends_for(1) == first
+    assert len(found._by_key) == MAX_KEYS and found.backends_for(1) == first
 
 
 def keyed_send(d: Drive, key: int) -> Send:
--- a/tests/test_late.py
+++ b/tests/test_late.py
@@ -76,7 +76,7 @@
         _, actions = caller.request()
         assert not only(actions, Probe)
         out += only(actions, Send)
-    assert caller.balancer.sampler.late()
+    assert caller.balancer.sampler.probe_policy.is_caller_late()
     caller.turns(40, 0)
     for send in out:
         caller.end(send, Outcome.OK)
