--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from lilacsill.mesh.proxy.neighbours import WATCHED
+from lilacsill.mesh.proxy.failure_detector import MONITORS
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.proxy.table import Table
 from lilacsill.mesh.proxy.watch_list import WatchList
@@ -82,13 +82,13 @@
 def watching(size: int) -> Step:
     """Whom a proxy watches, of so many, worked out anew."""
     nodes = [fleet.node_of(number) for number in range(size)]
-    return Step("watch list, all new", size, cpu_us(lambda: WatchList(nodes[0], WATCHED).sync(nodes)), "us")
+    return Step("watch list, all new", size, cpu_us(lambda: WatchList(nodes[0], MONITORS).sync(nodes)), "us")
 
 
 def watching_one_more(size: int) -> Step:
     """And after one of them has gone or come."""
     nodes = [fleet.node_of(number) for number in range(size)]
-    watch_list = WatchList(nodes[0], WATCHED)
+    watch_list = WatchList(nodes[0], MONITORS)
     watch_list.sync(nodes)
 
     def go_and_come() -> None:
@@ -213,12 +213,12 @@
 def read_whole(size: int) -> Step:
     """The operator's read of the whole configuration, at the tail."""
     state = state_of(size)
-    return Step("store: configuration read whole", size, cpu_us(state.layout), "us")
+    return Step("store: configuration read whole", size, cpu_us(state.to_json), "us")
 
 
 def store_since(size: int) -> Step:
     state = state_of(size)
-    return Step("store: state.since, one change", size, cpu_us(lambda: state.since(size - 1)), "us")
+    return Step("store: state.items_since, one change", size, cpu_us(lambda: state.items_since(size - 1)), "us")
 
 
 def store_memory(size: int) -> Step:
