--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -9,9 +9,9 @@
 
 import msgspec
 
-from lilacsill.mesh.proxy.neighbours import WATCHED
-from lilacsill.mesh.proxy.routes import Routes
-from lilacsill.mesh.proxy.table import Table
+from lilacsill.mesh.proxy.failure_detector import MONITORS
+from lilacsill.mesh.proxy.active_config import ActiveConfig
+from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.proxy.watch_list import WatchList
 from lilacsill.mesh.registry.config_cache import ConfigCache
 from lilacsill.mesh.registry.directory import Directory
@@ -63,32 +63,32 @@
 # The proxy
 
 
-def table_of(endpoints: list[Endpoint]) -> Table:
+def table_of(endpoints: list[Endpoint]) -> EndpointTable:
     """All backends of one service, each heard from."""
-    table = Table(Random(1))
+    table = EndpointTable(Random(1))
     for told in endpoints:
-        table.told(told, NOW_US)
-    for at, stand in enumerate(table.stands.values()):
-        table.ended(stand, 0, Load(at % 9, 9, 1.0, 0.0), NOW_US)
+        table.update(told, NOW_US)
+    for at, entry in enumerate(table.entries.values()):
+        table.attempt_ended(entry, 0, Load(at % 9, 9, 1.0, 0.0), NOW_US)
     return table
 
 
 def choice(size: int) -> Step:
     """Which backend gets a call, of so many of its service."""
     table = table_of([fleet.endpoint(number, 1) for number in range(size)])
-    return Step("choice", size, cpu_us(lambda: table.pick(NOW_US + 1_000, [])), "us")
+    return Step("choice", size, cpu_us(lambda: table.choose(NOW_US + 1_000, [])), "us")
 
 
 def watching(size: int) -> Step:
     """Whom a proxy watches, of so many, worked out anew."""
     nodes = [fleet.node_of(number) for number in range(size)]
-    return Step("watch list, all new", size, cpu_us(lambda: WatchList(nodes[0], WATCHED).sync(nodes)), "us")
+    return Step("watch list, all new", size, cpu_us(lambda: WatchList(nodes[0], MONITORS).sync(nodes)), "us")
 
 
 def watching_one_more(size: int) -> Step:
     """And after one of them has gone or come."""
     nodes = [fleet.node_of(number) for number in range(size)]
-    watch_list = WatchList(nodes[0], WATCHED)
+    watch_list = WatchList(nodes[0], MONITORS)
     watch_list.sync(nodes)
 
     def go_and_come() -> None:
@@ -118,10 +118,10 @@
         reply = decode(data)
         assert isinstance(reply, PollReply)
         held = {told.node: told for told in reply.endpoints}
-        tables: dict[str, Table] = {}
+        tables: dict[str, EndpointTable] = {}
         for told in reply.endpoints:
-            tables.setdefault(told.service, Table(Random(1))).told(told, NOW_US)
-        routes = Routes()
+            tables.setdefault(told.service, EndpointTable(Random(1))).update(told, NOW_US)
+        routes = ActiveConfig()
         routes.apply(fleet.items(fleet.services_of(size)), 1)
         return held, tables, routes
 
@@ -213,12 +213,12 @@
 def read_whole(size: int) -> Step:
     """The operator's read of the whole configuration, at the tail."""
     state = state_of(size)
-    return Step("store: configuration read whole", size, cpu_us(state.layout), "us")
+    return Step("store: configuration read whole", size, cpu_us(state.to_json), "us")
 
 
 def store_since(size: int) -> Step:
     state = state_of(size)
-    return Step("store: state.since, one change", size, cpu_us(lambda: state.since(size - 1)), "us")
+    return Step("store: state.items_since, one change", size, cpu_us(lambda: state.items_since(size - 1)), "us")
 
 
 def store_memory(size: int) -> Step:
--- a/lilacsill/balancing/logic/attempts.py
+++ b/lilacsill/balancing/logic/attempts.py
@@ -1,170 +1,199 @@
-"""The attempt plan: sends, second copies, how attempts end, and the one final answer."""
+"""Attempts: how they are sent, what their end means for a request, and the one final answer."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from itertools import islice
-
-from .. import interface as q
+from typing import Protocol
+
+from ..interface import (
+    NEVER_RAN,
+    AttemptEnded,
+    Cancel,
+    ClientDisconnected,
+    Fail,
+    Outcome,
+    Reject,
+    Send,
+    StreamStarted,
+    UploadChanged,
+)
 from .concurrency_window import ConcurrencyWindow
-from .context import Core
-from .outcomes import tells_full
-from .outlier_detection import FAST
+from .load_probing import LoadProber
+from .outcomes import is_overload_rejection
+from .outlier_detection import FAST_FAILURE
+from .overdue_attempts import OverdueMonitor
 from .peer_reports import PeerReports
-from .records import Request, Server
+from .records import AttemptRecord, BackendRecord, RequestRecord
+from .retry_budget import RetryBudget
 from .sampling import Sampler
 from .tenant_quotas import TenantQuotas
 
-OVERDUE = 2.0  # an attempt out for so many typical latencies is asked about,
-LOOKS = 16  # for so many of the oldest requests in hand
-SURE = 0.5  # an echo may be off by less than this
-UNDER_WAY_US = 5_000  # an attempt sent so shortly before the probe may not have come when it was answered
-ADVICE = 4.0  # typical latencies until the refused may come back: sooner they compete, and are late
-RETRY_SHARE, RETRY_BURST = 0.15, 10.0  # repeats that may load the servers, as a share of first tries
+RETRY_AFTER_LATENCIES = 4.0  # advised time to a client's retry: sooner it competes with others, and is late
+
+
+class AttemptListener(Protocol):
+    """What the attempt manager calls when attempts have ended."""
+
+    def schedule(self, request: RequestRecord) -> None:
+        """Make another attempt for a request without any in flight, or finish it."""
+
+    def on_capacity_freed(self) -> None:
+        """Use the capacity that an ended attempt has freed."""
 
 
 class AttemptManager:
-    """The requests in hand, by id."""
-
-    def __init__(self, core: Core, sampler: Sampler, peers: PeerReports, shares: TenantQuotas) -> None:
-        self.core, self.sampler, self.peers, self.shares = core, sampler, peers, shares
-        self.table, self.health, self.cold = sampler.table, sampler.health, sampler.cold
-        self.requests: dict[int, Request] = {}
-        self.waiting: set[int] = set()  # requests held because all servers are busy
-        self.budget, self._beating = RETRY_BURST, False
-        self.room: Callable[[], None]  # an attempt has ended; admission sets it
-        self.look_again: Callable[[Server], None]  # asking sets it
-        self.start = ConcurrencyWindow(core.settings.balancer_count)
-        self.advance: Callable[[Request], None]  # what becomes of one whose attempt failed; admission sets it
-
-    def send(self, r: Request, s: Server, load: float) -> None:
-        now, attempt = self.core.now, r.sends
-        r.sends += 1
-        r.out[attempt] = (s, now, load)
-        r.may_have_run.append((attempt, s, now))
-        r.tried.append(s)
-        s.open[(r.id, attempt)] = s.sent_at = now
-        self.start.sent(now)
-        self.cold.sent(s, now)
-        if not self._beating:
-            self.core.beat(self._beats)
-        self.core.actions.append(q.Send(r.id, s.id, max(1, r.deadline - now - self.core.margin)))
-        if (
-            r.cls.idempotency is not q.Idempotency.NOT_IDEMPOTENT
-            and self.table.typical
-            and self.core.settings.can_hedge
-        ):
-            at = now + int(3 * self.table.typical)
-            if at + self.table.typical < r.aim_at:
-                self.core.later(at, self._overdue, (r, attempt))
-
-    def _beats(self) -> bool:
-        self._beating = self.start.out > 0
-        # The oldest in hand: is their answer late, or will it never come?
-        for r in islice(self.requests.values(), LOOKS):
-            for s, sent, _ in r.out.values():
-                if self._hangs(r, sent):
-                    self.look_again(s)
-        return self._beating
-
-    def _hangs(self, r: Request, sent: int) -> bool:
-        """Whether an attempt is overdue, and another one could still be made in its place."""
-        typical, now = self.table.typical, self.core.now
-        overdue = now - sent > OVERDUE * typical > 0 and now + typical < r.aim_at and not r.done
-        return overdue and r.cls.idempotency is not q.Idempotency.NOT_IDEMPOTENT and self.core.settings.can_cancel
-
-    def missing(self, s: Server, held: float, asked_at: int) -> None:
-        """A server that holds fewer than are out to it has ended one without an answer that could be read.
-        That attempt costs nothing any more, and what may be repeated is tried elsewhere."""
-        if held > len(s.open) - SURE or asked_at < s.sent_at + UNDER_WAY_US or not s.open:
-            return
-        (number, attempt), sent = next(iter(s.open.items()))
-        r = self.requests.get(number)
-        if r is not None and self._hangs(r, sent):
-            self.core.actions.append(q.Cancel(number, attempt))
-
-    def _overdue(self, what: tuple[Request, int]) -> None:
-        """An attempt takes unusually long: try elsewhere while the aim can still be made."""
-        r, attempt = what
-        if r.done or attempt not in r.out or len(r.out) > 1 or self.budget < 1.0:
-            return
-        pool = self.sampler.pool(r)
-        pair = self.sampler.two(r, pool) if pool and r.sends < self.core.settings.max_attempts else None
-        if pair is None:
+    """The open requests and their attempts.
+
+    Attributes:
+        requests: Open requests by number.
+        waiting: Numbers of the requests that are queued because all backends are busy.
+        window: The window on attempts in flight.
+        retry_budget: The budget of further attempts.
+        overdue: Watches the attempts in flight.
+    """
+
+    def __init__(
+        self,
+        sampler: Sampler,
+        peers: PeerReports,
+        quotas: TenantQuotas,
+        prober: LoadProber,
+        listener: AttemptListener,
+    ) -> None:
+        self._context, self._sampler, self._table = sampler.context, sampler, sampler.table
+        self._peers, self._quotas, self._listener = peers, quotas, listener
+        self.requests: dict[int, RequestRecord] = {}
+        self.waiting: set[int] = set()
+        self.retry_budget = RetryBudget()
+        self.window = ConcurrencyWindow(self._context.settings.balancer_count)
+        self.overdue = OverdueMonitor(sampler, prober, self)
+
+    def send(self, request: RequestRecord, backend: BackendRecord, load: float) -> None:
+        """Start an attempt.
+
+        Args:
+            request: The request.
+            backend: Where to send it.
+            load: Estimated load of the backend with this attempt.
+        """
+        now = self._context.now
+        attempt = AttemptRecord(request.attempt_count, backend, now, load)
+        request.attempt_count += 1
+        request.in_flight[attempt.number] = attempt
+        request.may_have_run.append(attempt)
+        request.tried.append(backend)
+        backend.in_flight[request.id, attempt.number] = backend.sent_at = now
+        self.window.record_send(now)
+        self._sampler.warm_up.record_send(backend, now)
+        self.overdue.start()
+        timeout_us = max(1, request.deadline - now - self._context.answer_margin_us)
+        self._context.actions.append(Send(request.id, backend.id, timeout_us))
+        self.overdue.plan_hedge(request, attempt.number)
+
+    def on_attempt_ended(self, event: AttemptEnded) -> None:
+        """Learn from the end of an attempt, then answer or retry its request."""
+        now, request = self._context.now, self.requests.get(event.request)
+        if request is None or event.attempt not in request.in_flight:
             return
-        server, load = self.sampler.lighter(r, pair)
-        if server is not r.out[attempt][0]:
-            self.budget -= 1.0
-            self.send(r, server, load)
-
-    def ended(self, e: q.AttemptEnded) -> None:
-        now, r = self.core.now, self.requests.get(e.request)
-        if r is None or e.attempt not in r.out:
+        self._sampler.saturation.clear()
+        attempt = request.in_flight.pop(event.attempt)
+        if attempt.backend.in_flight.pop((request.id, event.attempt), None) is not None:
+            self.window.record_end(now, event.outcome is Outcome.OK)
+        self._learn(event, attempt)
+        if event.outcome in NEVER_RAN:
+            request.may_have_run = [other for other in request.may_have_run if other.number != event.attempt]
+        if event.is_answered and not request.is_answered:
+            self._close(request)
+        if not request.in_flight:
+            if request.is_answered:
+                self.requests.pop(request.id, None)
+            else:
+                self._retry(request, event.outcome)
+        self._listener.on_capacity_freed()
+
+    def on_stream_started(self, event: StreamStarted) -> None:
+        """Regard the request as answered; while the response streams, the attempt is no load for its backend."""
+        request = self.requests.get(event.request)
+        if request is None or event.attempt not in request.in_flight:
             return
-        self.sampler.full.news()
-        s, sent, load = r.out.pop(e.attempt)
-        if s.open.pop((r.id, e.attempt), None) is not None:
-            self.start.ended(now, e.outcome is q.Outcome.OK)
-        self.table.ended(now, s, e, load, timed=sent >= self.core.stood_at)
-        if self.peers.tells and e.outcome is q.Outcome.OK and len(e.report) > self.table.column:
-            self.peers.tell(s, e.report[self.table.column] - 1)
-        # A time-out tells against a server only if it has answered nothing since: else it is late, not ill.
-        # One that says it is full answers: that is load, and the table has it.
-        full = tells_full(e, self.table.column, self.table.mean)
-        if not full and (e.outcome is not q.Outcome.TIMEOUT or s.answered_at <= sent):
-            self.health.ended(s, now, e.outcome, e.latency_us < FAST * self.table.typical)
-        self.shares.learn(len(s.open) + 1, max(0.0, s.others))
-        if e.outcome in q.NEVER_RAN:
-            r.may_have_run = [m for m in r.may_have_run if m[0] != e.attempt]
-        if e.is_answered and not r.done:
-            self._drop(r)
-        if r.done and not r.out:
-            self.requests.pop(r.id, None)
-        elif not r.out:
-            # Unpaid repeats at full servers made twenty attempts of a request. A failed connect loads none.
-            if e.outcome is not q.Outcome.CONNECT_FAILED:
-                if self.budget < 1.0:
-                    self.finish(r)
-                    return self.room()
-                self.budget -= 1.0
-            self.advance(r)
-        self.room()
-
-    def streaming(self, e: q.StreamStarted | q.UploadChanged) -> None:
-        """While its request is written, and while its answer streams, an attempt is no work for a server."""
-        r = self.requests.get(e.request)
-        if r is None or e.attempt not in r.out:
+        backend = request.in_flight[event.attempt].backend
+        self._suspend(request, event.attempt, is_answered=True)
+        request.is_answered, backend.answered_at = True, self._context.now
+        self._cancel_attempts(request, keep=event.attempt)
+        self._listener.on_capacity_freed()
+
+    def on_upload_changed(self, event: UploadChanged) -> None:
+        """Regard the attempt as no load for its backend until its request is sent completely."""
+        request, now = self.requests.get(event.request), self._context.now
+        if request is None or event.attempt not in request.in_flight:
             return
-        s, now, key = r.out[e.attempt][0], self.core.now, (r.id, e.attempt)
-        if s.open.pop(key, None) is not None:
-            self.start.ended(now, isinstance(e, q.StreamStarted))
-        if isinstance(e, q.StreamStarted):
-            r.done, s.answered_at = True, now
-            self._cancel(r, but=e.attempt)
-        elif e.complete:
-            self.start.sent(now)
-            s.open[key], r.out[e.attempt] = now, (s, now, r.out[e.attempt][2])
-        self.room()
-
-    def gone(self, e: q.ClientDisconnected) -> None:
-        r = self.requests.get(e.request)
-        if r is not None and not r.done:
-            self._drop(r)
-
-    def finish(self, r: Request) -> None:
-        """Give the one final answer."""
-        advice = min(int(ADVICE * self.table.typical), self.core.settings.max_retry_after_us)
-        advice *= self.core.settings.can_advise_retry
-        self.core.actions.append(q.Reject(r.id, advice) if r.may_refuse() else q.Fail(r.id))
-        self._drop(r)
-
-    def _drop(self, r: Request) -> None:
-        r.done = True
-        self.waiting.discard(r.id)
-        self._cancel(r)
-        if not r.out:
-            self.requests.pop(r.id, None)
-
-    def _cancel(self, r: Request, but: int = -1) -> None:
-        if self.core.settings.can_cancel:
-            self.core.actions.extend(q.Cancel(r.id, a) for a in r.out if a != but)
+        attempt = request.in_flight[event.attempt]
+        self._suspend(request, event.attempt, is_answered=False)
+        if event.complete:
+            self.window.record_send(now)
+            attempt.backend.in_flight[request.id, event.attempt] = now
+            request.in_flight[event.attempt] = AttemptRecord(event.attempt, attempt.backend, now, attempt.load)
+        self._listener.on_capacity_freed()
+
+    def on_client_disconnected(self, event: ClientDisconnected) -> None:
+        """Close the request: no answer is owed."""
+        request = self.requests.get(event.request)
+        if request is not None and not request.is_answered:
+            self._close(request)
+
+    def finish(self, request: RequestRecord) -> None:
+        """Answer a request finally without a response: rejected where that is truthful, failed otherwise."""
+        if request.may_reject():
+            self._context.actions.append(Reject(request.id, self._retry_after_us()))
+        else:
+            self._context.actions.append(Fail(request.id))
+        self._close(request)
+
+    def _learn(self, event: AttemptEnded, attempt: AttemptRecord) -> None:
+        """Update everything that is known about the backend of an attempt that has ended."""
+        now, backend, table = self._context.now, attempt.backend, self._table
+        is_timed = attempt.sent_at >= self._context.resumed_at
+        table.record_attempt(now, backend, event, attempt.load, is_timed)
+        load = table.reported_load(event.report)
+        if self._peers.fanout and event.outcome is Outcome.OK and load is not None:
+            self._peers.send_report(backend, load - 1)
+        # A time-out counts against a backend only if it has answered nothing since the start of the attempt; otherwise
+        # it is slow, not faulty. A backend that rejects for its load answers: the table has that load.
+        is_overloaded = is_overload_rejection(event, table.load_column, table.mean_load)
+        was_silent = event.outcome is not Outcome.TIMEOUT or backend.answered_at <= attempt.sent_at
+        if not is_overloaded and was_silent:
+            was_fast = event.latency_us < FAST_FAILURE * table.typical_latency_us
+            self._sampler.outliers.record_attempt(backend, now, event.outcome, was_fast)
+        self._quotas.record_traffic(len(backend.in_flight) + 1, max(0.0, backend.other_load))
+
+    def _retry(self, request: RequestRecord, outcome: Outcome) -> None:
+        # Unbounded retries at full backends made twenty attempts of a request. A failed connect loads no backend.
+        if outcome is not Outcome.CONNECT_FAILED:
+            if self.retry_budget.is_empty():
+                self.finish(request)
+                return
+            self.retry_budget.take()
+        self._listener.schedule(request)
+
+    def _suspend(self, request: RequestRecord, attempt: int, is_answered: bool) -> None:
+        """Take an attempt out of the load of its backend and out of the window."""
+        backend = request.in_flight[attempt].backend
+        if backend.in_flight.pop((request.id, attempt), None) is not None:
+            self.window.record_end(self._context.now, is_answered)
+
+    def _retry_after_us(self) -> int:
+        settings = self._context.settings
+        if not settings.can_advise_retry:
+            return 0
+        return min(int(RETRY_AFTER_LATENCIES * self._table.typical_latency_us), settings.max_retry_after_us)
+
+    def _close(self, request: RequestRecord) -> None:
+        """End a request that is owed no answer any more, as soon as its attempts have ended."""
+        request.is_answered = True
+        self.waiting.discard(request.id)
+        self._cancel_attempts(request)
+        if not request.in_flight:
+            self.requests.pop(request.id, None)
+
+    def _cancel_attempts(self, request: RequestRecord, keep: int | None = None) -> None:
+        if self._context.settings.can_cancel:
+            self._context.actions.extend(Cancel(request.id, number) for number in request.in_flight if number != keep)
--- a/lilacsill/balancing/mechanisms/decay.py
+++ b/lilacsill/balancing/mechanisms/decay.py
@@ -1,21 +1,29 @@
-"""A weight that loses its say by itself."""
+"""A weight that decays by itself."""
 
 from __future__ import annotations
 
 
 class DecayingWeight:
-    """A weight that nothing newer has replaced; it halves in `half_us`, then ever slower."""
+    """A count that decays hyperbolically: it halves within its half-life, and ever more slowly after that.
 
-    __slots__ = ("_weight", "since", "half_us")
+    Attributes:
+        since: Clock time of the latest addition, microseconds; 0 if there was none.
+        half_life_us: Time in which the weight halves, microseconds.
+    """
+
+    __slots__ = ("_weight", "since", "half_life_us")
 
     def __init__(self) -> None:
-        self._weight, self.since, self.half_us = 0.0, 0, 1
+        self._weight, self.since, self.half_life_us = 0.0, 0, 1
 
-    def at(self, now: int) -> float:
-        return self._weight and self._weight * self.half_us / (self.half_us + now - self.since)
+    def value_at(self, now: int) -> float:
+        """Return the weight that is left at `now`."""
+        return self._weight and self._weight * self.half_life_us / (self.half_life_us + now - self.since)
 
-    def add(self, now: int, half_us: int) -> None:
-        self._weight, self.since, self.half_us = self.at(now) + 1.0, now, half_us
+    def add(self, now: int, half_life_us: int) -> None:
+        """Add 1 to what is left of the weight, and decay the sum with this half-life from now on."""
+        self._weight, self.since, self.half_life_us = self.value_at(now) + 1.0, now, half_life_us
 
     def clear(self) -> None:
+        """Set the weight to 0."""
         self._weight = 0.0
