--- a/lilacsill/__main__.py
+++ b/lilacsill/__main__.py
@@ -13,7 +13,8 @@
 
 from lilacsill.clock import Clock
 from lilacsill.agent.config import Config, ConfigError, load
-from lilacsill.agent.run import Options, budget_for, check_reserve, serve
+from lilacsill.agent.assembly import Options, budget_for, check_reserve
+from lilacsill.agent.run import serve
 
 # Sub-commands of hosted mode, which bring a command line of their own.
 HOSTED = frozenset(("hosted", "tenants", "pools", "credentials", "events", "status", "store"))
--- a/lilacsill/agent/admin/door.py
+++ b/lilacsill/agent/admin/door.py
@@ -14,8 +14,8 @@
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Reader, encode_response
 
-from ..descriptors import Spare
-from ..inbound.accept import AcceptLoop, listen
+from ..descriptors import SpareDescriptor
+from ..inbound.accept import AcceptLoop, create_listener
 from .calls import JSON, Call, Refused, read_call
 
 CALLERS = 12  # at once; the one that has waited for longest makes way
@@ -70,7 +70,9 @@
 class Door:
     """Listens for operators. `carry_out` returns what is told with a yes, or raises Refused."""
 
-    def __init__(self, carry_out: Callable[[Call], Answer], spare: Spare, short: Callable[[str], None]) -> None:
+    def __init__(
+        self, carry_out: Callable[[Call], Answer], spare: SpareDescriptor, short: Callable[[str], None]
+    ) -> None:
         self._carry_out, self._spare, self._short = carry_out, spare, short
         self._loop = asyncio.get_running_loop()
         self._callers: dict[_Caller, asyncio.TimerHandle] = {}  # longest here first
@@ -78,7 +80,7 @@
 
     def listen(self, address: Address) -> int:
         """Returns the port, for an address whose port is 0. Raises OSError."""
-        sock = listen(address.host, address.port)
+        sock = create_listener(address.host, address.port)
         self._accepting = AcceptLoop(sock, self._spare, self._accepted, self._short, lambda: True)
         self._accepting.start()
         return int(sock.getsockname()[1])
--- a/lilacsill/agent/admin/operations.py
+++ b/lilacsill/agent/admin/operations.py
@@ -24,19 +24,19 @@
     """The clients' side."""
 
     @property
-    def draining(self) -> bool: ...
+    def is_draining(self) -> bool: ...
 
-    def send_away(self, idle_s: float) -> None: ...
+    def start_drain(self, idle_s: float) -> None: ...
 
-    def take_back(self) -> None: ...
+    def cancel_drain(self) -> None: ...
 
 
 class Backends(Protocol):
     """The backends' side."""
 
-    def knows(self, backend: str) -> bool: ...
+    def knows_backend(self, backend: str) -> bool: ...
 
-    def maintain(self, backend: str, out: bool) -> None: ...
+    def set_maintenance(self, backend: str, in_maintenance: bool) -> None: ...
 
 
 class Peers(Protocol):
@@ -154,23 +154,23 @@
             self._other = now.serving
         for backend in now.out - before.out:
             log.info("backend %s is out of service by an operator", backend)
-            self._backends.maintain(backend, True)
+            self._backends.set_maintenance(backend, True)
         for backend in before.out - now.out:
             log.info("backend %s may serve again by an operator", backend)
-            self._backends.maintain(backend, False)
+            self._backends.set_maintenance(backend, False)
         if now.draining != before.draining:
             log.info("clients are %s by an operator", "sent away" if now.draining else "taken back")
             if now.draining:
-                self._clients.send_away(IDLE_S)
+                self._clients.start_drain(IDLE_S)
             else:
-                self._clients.take_back()
+                self._clients.cancel_drain()
 
     # The calls
 
     def _ready(self, _: Call) -> Answer:
         if not self._serves:
             raise Refused(503, "this process does not serve yet")
-        return {"ready": True, "draining": self._clients.draining, "out": sorted(self._in_force.out)}
+        return {"ready": True, "draining": self._clients.is_draining, "out": sorted(self._in_force.out)}
 
     def _drain(self, _: Call) -> Answer:
         self._change(lambda s: replace(s, draining=True))
@@ -178,7 +178,7 @@
 
     def _resume(self, _: Call) -> Answer:
         self._change(lambda s: replace(s, draining=False))
-        return {"draining": self._clients.draining}
+        return {"draining": self._clients.is_draining}
 
     def _disable(self, call: Call) -> Answer:
         self._known(call.backend)
@@ -202,5 +202,5 @@
 
     def _known(self, backend: str) -> None:
         """One that left the list while it was out can still be let back."""
-        if not self._backends.knows(backend) and backend not in self._file.standing.out:
+        if not self._backends.knows_backend(backend) and backend not in self._file.standing.out:
             raise Refused(404, "no list has named such a backend")
--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -1,4 +1,4 @@
-"""The agent: the only caller of the decision module, which carries out what it decides."""
+"""The agent: the only caller of the decision module, whose actions it carries out."""
 
 from __future__ import annotations
 
@@ -20,43 +20,44 @@
 from .discovery.listing import Listing
 from .discovery.watch import Discovery
 from .inbound.validation import DownstreamRequest
-from .observers import Both, Observer
-from .outbound.attempts import Backends, Exchange
-from .outbound.terms import Result, UpstreamRequest
-from .watermarks import Sink
+from .observers import CombinedObserver, Observer
+from .outbound.backends import Backends
+from .outbound.exchange import Exchange
+from .outbound.requests import Result, UpstreamRequest
+from .streaming import ResponseSink
 
 log = logging.getLogger(__name__)
 
-# The module answers when a request's time is up; were it to fail, the agent answers this much later, within
-# the 50 ms that the protocol allows.
+# The module answers when the time of a request is up. If it fails to, the agent answers this much later, within the
+# 50 ms that the protocol allows.
 OVERDUE_US = 25_000
 
 
 @dataclass(slots=True, eq=False)
-class InFlight:
+class RequestInFlight:
     """A request without its final answer."""
 
     call: DownstreamRequest
-    overdue: Timer
+    overdue_timer: Timer
     attempts: int = 0
 
 
 class Agent:
-    """Hands events to the module one at a time, in order of arrival, and carries out its actions."""
+    """Passes events to the decision module one at a time, in order of arrival, and carries out its actions."""
 
     def __init__(self, balancer: Balancer, clock: Clock, backends: Backends, discovery: Discovery) -> None:
         self._balancer, self._clock = balancer, clock
         self._backends, self._discovery = backends, discovery
-        self._in_flight: dict[int, InFlight] = {}
-        self._out: dict[tuple[int, int], Exchange] = {}  # attempts without an end
+        self._in_flight: dict[int, RequestInFlight] = {}
+        self._exchanges: dict[tuple[int, int], Exchange] = {}  # attempts that have not ended, by request and attempt
         self._events: deque[q.Event] = deque()
-        self._handling = False
-        self._accepted = 0
+        self._is_handling = False
+        self._requests_accepted = 0
         self.observer: Observer | None = None
-        self.listed = asyncio.Event()  # discovery has told of the backends
-        self._carriers: dict[type, Callable[[Any], None]] = {
+        self.backends_known = asyncio.Event()  # set once discovery has answered
+        self._action_handlers: dict[type, Callable[[Any], None]] = {
             q.Send: self._send,
-            q.Reject: self._refuse,
+            q.Reject: self._reject,
             q.Fail: self._fail,
             q.Cancel: self._cancel,
             q.SetTimer: self._set_timer,
@@ -67,189 +68,198 @@
         }
 
     def start(self, known: Listing) -> None:
+        """Start with the list of backends of the configuration."""
         if self.observer is not None:
-            self.observer.listed(known)
+            self.observer.backends_listed(known)
         self._post(q.BackendsChanged(q.ListKind.CACHED, self._backends.apply(known)))
-        self._discovery.follow(self._listed)
+        self._discovery.follow(self._on_listing)
 
     def tenant_changed(self, number: int, about: q.Tenant | None) -> None:
-        """A tenant came, has another quota or is gone; what is in hand for it goes on."""
+        """Note that a tenant is new, has another quota or is gone (None); its requests in flight go on."""
         self._post(q.TenantChanged(number, about))
 
     def fleet_changed(self, event: q.FleetChanged | q.PeerHealthChanged) -> None:
-        """What other agents have told has come to this."""
+        """Pass on what other agents have reported."""
         self._post(event)
 
-    def learn(self) -> None:
-        """Ask for the whole list now: a watch would wait for something newer, and others wait for this agent."""
-        self._discovery.forget()
-        self._discovery.watch(self._listed)
+    def refresh_backends(self) -> None:
+        """Ask for the complete list now; a watch would wait for a newer revision."""
+        self._discovery.forget_revision()
+        self._discovery.watch(self._on_listing)
 
-    def move(self, discovery: Address) -> None:
-        """Learn of backends there from now on."""
-        self._discovery.move(discovery, self._listed)
+    def set_discovery(self, address: Address) -> None:
+        """Ask discovery at another address from now on."""
+        self._discovery.set_address(address, self._on_listing)
 
-    def knows(self, backend: q.BackendId) -> bool:
-        """Whether a list has named it."""
+    def knows_backend(self, backend: q.BackendId) -> bool:
+        """Return whether the list names a backend."""
         return self._backends.knows(backend)
 
-    def maintain(self, backend: q.BackendId, out: bool) -> None:
-        """An operator takes a backend out, or lets it serve again; in force on return."""
-        self._backends.maintain(backend, out)
-        self._post(q.MaintenanceChanged(backend, out))
+    def set_maintenance(self, backend: q.BackendId, in_maintenance: bool) -> None:
+        """Take a backend out for an operator, or let it serve again; in force on return."""
+        self._backends.set_maintenance(backend, in_maintenance)
+        self._post(q.MaintenanceChanged(backend, in_maintenance))
 
-    def observe(self, observer: Observer) -> None:
-        """One more that hears what this agent sees."""
-        self.observer = observer if self.observer is None else Both(self.observer, observer)
+    def add_observer(self, observer: Observer) -> None:
+        """Report to one more observer what this agent sees."""
+        self.observer = observer if self.observer is None else CombinedObserver(self.observer, observer)
 
-    def remember(self, pace: q.LatencyModelRestored) -> None:
-        """What answers took in an earlier life; 0 answers: nothing is known of that."""
-        if pace.answers:
-            self._post(pace)
+    def restore_latency_model(self, model: q.LatencyModelRestored) -> None:
+        """Restore the latencies that an earlier incarnation measured; a model of 0 answers is ignored."""
+        if model.answers:
+            self._post(model)
 
-    def pace(self) -> q.LatencyModelRestored:
-        """What answers take, for a later life."""
+    def latency_model(self) -> q.LatencyModelRestored:
+        """Return the measured latencies, for a later incarnation."""
         return self._balancer.latency_model()
 
-    def beliefs(self) -> list[q.BackendEstimate]:
-        """What the module holds true of the backends now."""
+    def estimates(self) -> list[q.BackendEstimate]:
+        """Return what the decision module estimates of the backends now."""
         return self._balancer.estimates(self._clock.now())
 
-    # The application's side
+    # Requests of the application (inbound.downstream.RequestHandler)
 
     def handle(self, call: DownstreamRequest) -> None:
-        self._accepted += 1
-        call.number = self._accepted
-        # The client's time counts from its last byte.
-        patience_us = call.rest_us + call.patience_us
-        overdue = self._clock.after(patience_us + OVERDUE_US, self._overdue, call.number)
-        self._in_flight[call.number] = InFlight(call, overdue)
+        """Take over a request."""
+        self._requests_accepted += 1
+        call.number = self._requests_accepted
+        # The client's time-out counts from its last byte.
+        timeout_us = call.body_timeout_us + call.timeout_us
+        overdue_timer = self._clock.after(timeout_us + OVERDUE_US, self._on_overdue, call.number)
+        self._in_flight[call.number] = RequestInFlight(call, overdue_timer)
         if self.observer is not None:
-            self.observer.arrived(call)
+            self.observer.request_arrived(call)
         self._post(
             q.RequestArrived(
-                call.number, call.request_class, patience_us, call.tenant, call.key, call.cost_us, call.is_retry
+                call.number, call.request_class, timeout_us, call.tenant, call.key, call.cost_us, call.is_retry
             )
         )
 
     def client_gone(self, call: DownstreamRequest) -> None:
-        if self._over(call.number) is not None:
+        """Give up a request whose client has gone."""
+        if self._finish_request(call.number) is not None:
             self._post(q.ClientDisconnected(call.number))
 
     def fail_all(self) -> None:
+        """Answer all requests in flight with an error."""
         for number in list(self._in_flight):
             self._give_up(number)
 
     @property
-    def in_hand(self) -> int:
-        """Requests without their final answer."""
+    def requests_in_flight(self) -> int:
+        """The number of requests without their final answer."""
         return len(self._in_flight)
 
-    def _overdue(self, number: int) -> None:
+    def _on_overdue(self, number: int) -> None:
         log.error("request %d: no answer from the module in time", number)
         self._give_up(number)
 
     def _give_up(self, number: int) -> None:
-        """The final answer where the module gave none. A failure is always true."""
+        """Answer a request that the module gave no answer; an error is always true."""
         if number in self._in_flight:
             self._answer(number, 500, [], b"failed\n")
             self._post(q.ClientDisconnected(number))
 
     def _answer(self, number: int, status: int, headers: Headers, body: bytes) -> None:
-        in_flight = self._over(number)
+        in_flight = self._finish_request(number)
         if in_flight is not None:
             if self.observer is not None:
-                self.observer.answered(number, status)
+                self.observer.request_answered(number, status)
             in_flight.call.respond(in_flight.call, status, headers, body)
 
-    def _over(self, number: int) -> InFlight | None:
-        """Nothing more goes out for this request: what is still out is closed before its answer is given."""
+    def _finish_request(self, number: int) -> RequestInFlight | None:
+        """Forget a request and cancel its attempts; the connections are closed before the answer is sent."""
         in_flight = self._in_flight.pop(number, None)
         if in_flight is not None:
-            in_flight.overdue.cancel()
+            in_flight.overdue_timer.cancel()
             for attempt in range(in_flight.attempts):
-                if (number, attempt) in self._out:
-                    self._out[number, attempt].cancel()
+                if (number, attempt) in self._exchanges:
+                    self._exchanges[number, attempt].cancel()
         return in_flight
 
-    # Events in
+    # Events for the module
 
     def _post(self, event: q.Event) -> None:
-        """Queued while another is handled: an action may end at once, and handle must not be re-entered."""
+        """Pass an event to the module.
+
+        It is queued while another is handled: an action may end at once, and the module must not be re-entered.
+        """
         self._events.append(event)
-        if self._handling:
+        if self._is_handling:
             return
-        self._handling = True
+        self._is_handling = True
         try:
             while self._events:
                 self._dispatch(self._events.popleft())
         finally:
-            self._handling = False
+            self._is_handling = False
 
     def _dispatch(self, event: q.Event) -> None:
         try:
             actions = self._balancer.handle(self._clock.now(), event)
         except Exception:
-            # The request that the module stumbled on is still owed its answer, and others are to go on.
+            # The request that the module failed on still gets an answer, and the others go on.
             log.exception("the module failed on %s", type(event).__name__)
-            number = getattr(event, "request", 0)
-            self._give_up(number)
+            self._give_up(getattr(event, "request", 0))
             return
         for action in actions:
             try:
-                self._carriers[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception:
                 log.exception("could not carry out %s", type(action).__name__)
                 self._give_up(getattr(action, "request", 0))
 
-    # Actions out
+    # Actions of the module
 
-    def _send(self, a: q.Send) -> None:
-        in_flight = self._in_flight.get(a.request)
+    def _send(self, action: q.Send) -> None:
+        in_flight = self._in_flight.get(action.request)
         if in_flight is None:
             return
-        number, attempt = a.request, in_flight.attempts
+        number, attempt = action.request, in_flight.attempts
         in_flight.attempts += 1
         call = in_flight.call
-        ask = UpstreamRequest(call.method, call.target, call.headers, call.body, send_timeout=True, known=call.known)
-        ask.sending = partial(self._sending, number, attempt)
+        request = UpstreamRequest(
+            call.method, call.target, call.headers, call.body, send_timeout=True, known_client=call.known_client
+        )
+        request.on_sending = partial(self._on_sending, number, attempt)
         if call.upload is not None:
-            ask.upload, ask.patience_us = call.upload, call.patience_us
+            request.upload, request.upload_timeout_us = call.upload, call.timeout_us
 
-        def done(result: Result) -> None:
-            self._out.pop((number, attempt), None)
-            self._attempt_ended(number, attempt, a.backend, result)
+        def on_done(result: Result) -> None:
+            self._exchanges.pop((number, attempt), None)
+            self._on_attempt_ended(number, attempt, action.backend, result)
 
-        def begin(answer: Message) -> Sink | None:
-            return self._begin(number, attempt, answer)
+        def begin_response(response: Message) -> ResponseSink | None:
+            return self._begin_response(number, attempt, response)
 
-        exchange = self._backends.exchange(a.backend, ask, a.timeout_us, done, begin)
+        exchange = self._backends.exchange(action.backend, request, action.timeout_us, on_done, begin_response)
         if not exchange.ended:
-            self._out[number, attempt] = exchange
+            self._exchanges[number, attempt] = exchange
 
-    def _sending(self, number: int, attempt: int, written: bool) -> None:
-        self._post(q.UploadChanged(number, attempt, written))
+    def _on_sending(self, number: int, attempt: int, is_written: bool) -> None:
+        self._post(q.UploadChanged(number, attempt, is_written))
 
-    def _begin(self, number: int, attempt: int, answer: Message) -> Sink | None:
-        """The answer of this attempt is the client's from now on; no other one, and no deadline, can take its place."""
+    def _begin_response(self, number: int, attempt: int, response: Message) -> ResponseSink | None:
+        """Stream the response of this attempt; no other attempt, and no deadline, can take its place from now on."""
         in_flight = self._in_flight.get(number)
-        if in_flight is None or in_flight.call.begin is None:
+        if in_flight is None or in_flight.call.begin_response is None:
             return None
-        del self._out[number, attempt]
-        self._over(number)
+        del self._exchanges[number, attempt]
+        self._finish_request(number)
         if self.observer is not None:
-            self.observer.answered(number, 200)
-        kind = answer.header(b"content-type")
-        sink = in_flight.call.begin(in_flight.call, [("Content-Type", kind)] if kind else [], answer.length)
+            self.observer.request_answered(number, 200)
+        content_type = response.header(b"content-type")
+        headers = [("Content-Type", content_type)] if content_type else []
+        sink = in_flight.call.begin_response(in_flight.call, headers, response.length)
         self._post(q.StreamStarted(number, attempt))
         return sink
 
-    def _attempt_ended(self, number: int, attempt: int, backend: q.BackendId, result: Result) -> None:
+    def _on_attempt_ended(self, number: int, attempt: int, backend: q.BackendId, result: Result) -> None:
         if self.observer is not None:
             self.observer.attempt_ended(number, attempt, backend, result.outcome, result.latency_us, result.report)
         if result.outcome is q.Outcome.OK and not result.streamed:
-            kind = [("Content-Type", result.content_type)] if result.content_type else []
-            self._answer(number, 200, kind, result.body)
+            headers = [("Content-Type", result.content_type)] if result.content_type else []
+            self._answer(number, 200, headers, result.body)
         self._post(
             q.AttemptEnded(
                 number,
@@ -262,42 +272,42 @@
             )
         )
 
-    def _refuse(self, a: q.Reject) -> None:
-        advice = [("Retry-After", f"{a.retry_after_us / 1e6:.6f}")] if a.retry_after_us else []
-        self._answer(a.request, 503, advice, b"refused\n")
+    def _reject(self, action: q.Reject) -> None:
+        advice = [("Retry-After", f"{action.retry_after_us / 1e6:.6f}")] if action.retry_after_us else []
+        self._answer(action.request, 503, advice, b"refused\n")
 
-    def _fail(self, a: q.Fail) -> None:
-        self._answer(a.request, 502, [], b"failed\n")
+    def _fail(self, action: q.Fail) -> None:
+        self._answer(action.request, 502, [], b"failed\n")
 
-    def _cancel(self, a: q.Cancel) -> None:
-        exchange = self._out.get((a.request, a.attempt))
+    def _cancel(self, action: q.Cancel) -> None:
+        exchange = self._exchanges.get((action.request, action.attempt))
         if exchange is not None:
             exchange.cancel()
 
-    def _set_timer(self, a: q.SetTimer) -> None:
-        self._clock.after(a.delay_us, self._post, q.TimerFired(a.token))
+    def _set_timer(self, action: q.SetTimer) -> None:
+        self._clock.after(action.delay_us, self._post, q.TimerFired(action.token))
 
-    def _probe(self, a: q.Probe) -> None:
-        def done(result: Result) -> None:
-            self._post(q.ProbeEnded(a.backend, result.outcome, result.latency_us, result.report))
+    def _probe(self, action: q.Probe) -> None:
+        def on_done(result: Result) -> None:
+            self._post(q.ProbeEnded(action.backend, result.outcome, result.latency_us, result.report))
 
-        self._backends.probe(a.backend, done)
+        self._backends.probe(action.backend, on_done)
 
-    def _watch(self, a: q.Watch) -> None:
-        self._discovery.watch(self._listed)
+    def _watch(self, action: q.Watch) -> None:
+        self._discovery.watch(self._on_listing)
 
-    def _fetch(self, a: q.Fetch) -> None:
-        self._discovery.fetch(self._listed)
+    def _fetch(self, action: q.Fetch) -> None:
+        self._discovery.fetch(self._on_listing)
 
-    def _listed(self, listing: Listing | None) -> None:
+    def _on_listing(self, listing: Listing | None) -> None:
         if listing is None:
             self._post(q.BackendsChanged(q.ListKind.FAILED, []))
             return
         if self.observer is not None:
-            self.observer.listed(listing)
-        self.listed.set()
+            self.observer.backends_listed(listing)
+        self.backends_known.set()
         kind = q.ListKind.FULL if listing.complete else q.ListKind.DELTA
         self._post(q.BackendsChanged(kind, self._backends.apply(listing)))
 
-    def _log(self, a: q.Log) -> None:
-        log.info("%s", a.text)
+    def _log(self, action: q.Log) -> None:
+        log.info("%s", action.text)
--- a/lilacsill/agent/cli.py
+++ b/lilacsill/agent/cli.py
@@ -1,4 +1,4 @@
-"""The command line, for whoever starts the agent with arguments."""
+"""The command line of the agent."""
 
 from __future__ import annotations
 
@@ -19,11 +19,14 @@
 
 
 class Arguments(argparse.Namespace):
+    """The parsed command line."""
+
     command: str
     operator: str | None
 
 
 def parse(argv: list[str]) -> Arguments:
+    """Parse the command line; exits with status 2 where it is wrong."""
     parser = argparse.ArgumentParser(
         prog="python -m lilacsill",
         description="A client-side load balancing agent.",
@@ -42,7 +45,7 @@
 
 
 def report_checked(checked: list[str]) -> int:
-    """What check-config prints when all is well."""
+    """Print the names of files that check-config found valid; return the exit status."""
     if not checked:
         print("lilacsill: nothing to check: neither RELAY_CONFIG nor an operator file is named", file=sys.stderr)
         return 2
--- a/lilacsill/agent/config.py
+++ b/lilacsill/agent/config.py
@@ -1,4 +1,4 @@
-"""RELAY_CONFIG as typed values."""
+"""The platform's configuration (the file RELAY_CONFIG) as typed values."""
 
 from __future__ import annotations
 
@@ -17,54 +17,66 @@
 
 
 class ConfigError(Exception):
-    """The configuration is missing or wrong; the text says what, in one line."""
+    """The configuration is missing or invalid; the text says what is wrong, in one line."""
 
 
 @dataclass(slots=True, frozen=True)
 class Config:
+    """The configuration of one agent."""
+
     name: str
     listen: Address
     discovery: Address
-    seed: int
-    sockets: int  # file descriptors this process may hold
-    memory_mb: float  # it may use
-    known: Listing
+    seed: int  # of all random numbers
+    sockets: int  # limit of file descriptors
+    memory_mb: float  # limit of memory
+    known: Listing  # the backends to start with
     parser: ListingParser
     settings: Settings
     connect_timeout_us: int
-    conn_idle_us: int
-    admin: Address | None = None  # where operators call; None: nowhere
-    listen_fd: int | None = None  # the clients' listener, inherited; None: one of its own
-    peers_allowed: bool = False  # the platform lets agents send each other datagrams
-    peer_listen: Address | None = None  # where they come
-    peers: tuple[Address, ...] = ()  # of all agents, this one among them, in the order of their numbers
+    conn_idle_us: int  # after which a backend closes an idle connection
+    admin: Address | None = None  # where operators call; None: there is no admin API
+    listen_fd: int | None = None  # an inherited listener for clients; None: the agent opens its own
+    peers_allowed: bool = False  # whether agents may send each other datagrams
+    peer_listen: Address | None = None  # where datagrams are received
+    peers: tuple[Address, ...] = ()  # of all agents, this one included, by number
 
 
 def load(env: Mapping[str, str], clock: Clock) -> Config:
-    """Read the file that RELAY_CONFIG names."""
+    """Read the file that RELAY_CONFIG names.
+
+    Raises:
+        ConfigError: The file is missing or invalid.
+    """
     path = env.get("RELAY_CONFIG")
     if not path:
         raise ConfigError("RELAY_CONFIG is not set")
     try:
         doc = json.loads(Path(path).read_text())
-    except OSError as e:
-        raise ConfigError(f"RELAY_CONFIG: {e}") from e
-    except ValueError as e:
-        raise ConfigError(f"RELAY_CONFIG: {e}") from None
+    except OSError as error:
+        raise ConfigError(f"RELAY_CONFIG: {error}") from error
+    except ValueError as error:
+        raise ConfigError(f"RELAY_CONFIG: {error}") from None
     try:
-        return _config(doc, env, clock)
-    except KeyError as e:
-        raise ConfigError(f"RELAY_CONFIG: {e} is missing") from None
-    except (TypeError, AttributeError, ValueError, OverflowError, SettingsError) as e:
-        raise ConfigError(f"RELAY_CONFIG: {e}") from None
+        return _parse_config(doc, env, clock)
+    except KeyError as error:
+        raise ConfigError(f"RELAY_CONFIG: {error} is missing") from None
+    except (TypeError, AttributeError, ValueError, OverflowError, SettingsError) as error:
+        raise ConfigError(f"RELAY_CONFIG: {error}") from None
+
+
+def reload(env: Mapping[str, str], clock: Clock) -> Config:
+    """Read the file again while running.
 
+    RELAY_DISCOVERY is as old as the process, so the file's address is used instead.
 
-def load_again(env: Mapping[str, str], clock: Clock) -> Config:
-    """Read it anew while running. RELAY_DISCOVERY is as old as the process: now the file's address counts."""
-    return load({k: v for k, v in env.items() if k != "RELAY_DISCOVERY"}, clock)
+    Raises:
+        ConfigError: The file is missing or invalid.
+    """
+    return load({name: value for name, value in env.items() if name != "RELAY_DISCOVERY"}, clock)
 
 
-def _config(doc: dict[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
+def _parse_config(doc: dict[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
     facts = doc["settings"]
     allowed = facts["allowed"]
     admin = env.get("RELAY_ADMIN_ADDR") or doc.get("admin_addr")
@@ -78,7 +90,7 @@
         memory_mb=float((doc.get("limits") or {}).get("memory_mb") or 192),
         known=parser.parse(doc["known"]),
         parser=parser,
-        # The module's own words between balancers are not carried: `lilacsill.agent.peers` talks for the agent.
+        # The decision module's own messages to other balancers are not carried: `lilacsill.agent.peers` sends them.
         settings=replace(parse_settings(facts), can_message_peers=False),
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
         conn_idle_us=int(allowed["connIdleUs"]),
--- a/lilacsill/agent/descriptors.py
+++ b/lilacsill/agent/descriptors.py
@@ -1,4 +1,4 @@
-"""The file descriptors of this process, as the system counts them."""
+"""The file descriptors of this process, as the operating system counts them."""
 
 from __future__ import annotations
 
@@ -8,61 +8,68 @@
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
 
-# What the kernel answers when it has none left, of the process's or of the machine's, or no memory for one.
+# Errors of the kernel where the process or the machine has no descriptor left, or no memory for one.
 EXHAUSTED = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM))
-USUAL = 16  # held at the start, where the system does not tell
+DEFAULT_COUNT = 16  # open at the start, where the system does not say
 
 
-def held() -> int:
-    """How many are open now."""
+def count_open() -> int:
+    """Return how many descriptors are open now."""
     try:
-        return len(os.listdir("/proc/self/fd")) - 1  # the listing itself holds one
+        return len(os.listdir("/proc/self/fd")) - 1  # the listing itself uses one
     except OSError:
-        return USUAL
+        return DEFAULT_COUNT
 
 
-def limit(stated: int) -> int:
-    """The lower of what the deployment states and of RLIMIT_NOFILE, which may change while the process runs."""
+def effective_limit(configured: int) -> int:
+    """Return the lower of the configured limit and of RLIMIT_NOFILE, which may change while the process runs."""
     soft, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return stated if soft == resource.RLIM_INFINITY else min(stated, soft)
+    return configured if soft == resource.RLIM_INFINITY else min(configured, soft)
 
 
 class SharedLimit:
-    """What this process may hold, where another of the same agent may run beside it under one limit."""
+    """The limit of this process, where its successor or predecessor may run under the same limit.
 
-    def __init__(self, stated: int) -> None:
-        self._stated = stated
-        self.beside: Callable[[], int] = lambda: 0  # the other's process id; 0: there is none
+    Attributes:
+        other_process: Returns the id of the other process of the agent; 0: there is none.
+    """
+
+    def __init__(self, configured: int) -> None:
+        self._configured = configured
+        self.other_process: Callable[[], int] = lambda: 0
 
     def __call__(self) -> int:
-        whole, other = limit(self._stated), self.beside()
+        """Return how many descriptors this process may use now."""
+        limit, other = effective_limit(self._configured), self.other_process()
         if not other:
-            return whole
+            return limit
         try:
             taken = len(os.listdir(f"/proc/{other}/fd"))
-        except OSError:  # the system does not tell, or it has just ended
-            taken = whole // 2
-        return max(whole // 4, whole - taken)
+        except OSError:  # the system does not say, or the other process has just ended
+            taken = limit // 2
+        return max(limit // 4, limit - taken)
+
 
+class SpareDescriptor:
+    """One descriptor in reserve, given up for a moment when there is no other.
 
-class Spare:
-    """One descriptor kept back, to be given up for a moment when there is no other: to accept a connection and
-    refuse it, or to read a file."""
+    It serves to accept a connection and refuse it, or to read a file.
+    """
 
     def __init__(self) -> None:
         self._fd: int | None = None
-        self.regain()
+        self.reacquire()
 
     def release(self) -> bool:
-        """Give it up. False: it is gone already."""
+        """Give the descriptor up; return whether it was there."""
         if self._fd is None:
             return False
         os.close(self._fd)
         self._fd = None
         return True
 
-    def regain(self) -> bool:
-        """Hold one again. False: there is none to be had."""
+    def reacquire(self) -> bool:
+        """Take a descriptor again; return whether there was one to take."""
         if self._fd is None:
             try:
                 self._fd = os.open(os.devnull, os.O_RDONLY | os.O_CLOEXEC)
@@ -71,10 +78,10 @@
         return True
 
     @contextmanager
-    def lent(self) -> Iterator[None]:
-        """Given up while the block runs."""
+    def released(self) -> Iterator[None]:
+        """Give the descriptor up while the block runs."""
         self.release()
         try:
             yield
         finally:
-            self.regain()
+            self.reacquire()
--- a/lilacsill/agent/discovery/__init__.py
+++ b/lilacsill/agent/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The list of backends: its form and the watch that keeps it up to date."""
+"""Service discovery: the list of backends, and the watch that keeps it up to date."""
--- a/lilacsill/agent/discovery/listing.py
+++ b/lilacsill/agent/discovery/listing.py
@@ -1,4 +1,4 @@
-"""The list of backends as discovery words it, and its parser."""
+"""The list of backends in the JSON form of discovery, and its parser."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 from lilacsill.balancing.interface import Backend, BackendState
 from lilacsill.clock import Clock
 
-STATES = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
-PHASES = {state: phase for phase, state in STATES.items()}
+STATE_OF_PHASE = {"SERVING": BackendState.READY, "DRAINING": BackendState.DRAINING, "DELETED": BackendState.GONE}
+PHASE_OF_STATE = {state: phase for phase, state in STATE_OF_PHASE.items()}
 
 
 @dataclass(slots=True, frozen=True)
 class Member:
+    """One entry of the list: a backend and its address."""
+
     backend: Backend
     address: Address
     started_unix_ms: int = 0  # as discovery states it; 0: long ago
 
     def same_process(self, other: Member | None) -> bool:
-        """Whether a connection to the one leads to the other."""
+        """Return whether a connection to one of the two leads to the other."""
         return (
             other is not None and self.address == other.address and self.backend.started_at == other.backend.started_at
         )
@@ -28,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """An answer of discovery: the whole list, or what has changed."""
+    """An answer of discovery: the complete list, or what has changed."""
 
     revision: int
     complete: bool
@@ -36,7 +38,10 @@
 
 
 class ListingParser:
-    """Turns discovery's JSON into a Listing; raises ValueError on anything that does not fit its form."""
+    """Converts between discovery's JSON and listings.
+
+    Zones and kinds are numbered in the order of the settings.
+    """
 
     def __init__(self, clock: Clock, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
         self._clock = clock
@@ -45,37 +50,42 @@
         self._zone_names, self._kind_names = zones, kinds
 
     def parse(self, doc: Any) -> Listing:
+        """Parse an answer of discovery.
+
+        Raises:
+            ValueError: The answer does not have the expected form.
+        """
         try:
-            members = tuple(self._member(m) for m in doc["members"])
+            members = tuple(self._parse_member(entry) for entry in doc["members"])
             return Listing(int(doc["revision"]), bool(doc["complete"]), members)
-        except (KeyError, TypeError, AttributeError, OverflowError) as e:
-            raise ValueError(f"list of backends: {type(e).__name__} {e}") from None
+        except (KeyError, TypeError, AttributeError, OverflowError) as error:
+            raise ValueError(f"list of backends: {type(error).__name__} {error}") from None
 
-    def _member(self, m: Any) -> Member:
+    def _parse_member(self, entry: Any) -> Member:
         backend = Backend(
-            str(m["id"]),
-            STATES[m["phase"]],
-            self._zones.get(m.get("locality"), 0),
-            int(m.get("cell") or 0),
-            self._kinds.get(m.get("flavor"), 0),
-            float(m.get("size") or 1.0),
-            self._clock.from_unix_ms(int(m.get("up_since_ms") or 0)),
+            str(entry["id"]),
+            STATE_OF_PHASE[entry["phase"]],
+            self._zones.get(entry.get("locality"), 0),
+            int(entry.get("cell") or 0),
+            self._kinds.get(entry.get("flavor"), 0),
+            float(entry.get("size") or 1.0),
+            self._clock.from_unix_ms(int(entry.get("up_since_ms") or 0)),
         )
-        return Member(backend, parse_address(m["host_port"]), int(m.get("up_since_ms") or 0))
+        return Member(backend, parse_address(entry["host_port"]), int(entry.get("up_since_ms") or 0))
 
-    def word(self, m: Member) -> dict[str, Any]:
-        """One entry as discovery words it: what `parse` makes the same member of."""
-        b, host = m.backend, m.address.host
+    def encode(self, member: Member) -> dict[str, Any]:
+        """Return an entry in discovery's form, which `parse` makes the same member of."""
+        backend, (host, port) = member.backend, member.address
         doc: dict[str, Any] = {
-            "id": str(b.id),
-            "host_port": f"{f'[{host}]' if ':' in host else host}:{m.address.port}",
-            "phase": PHASES[b.state],
-            "up_since_ms": m.started_unix_ms,
-            "cell": b.cell,
-            "size": b.capacity_hint,
+            "id": str(backend.id),
+            "host_port": f"{f'[{host}]' if ':' in host else host}:{port}",
+            "phase": PHASE_OF_STATE[backend.state],
+            "up_since_ms": member.started_unix_ms,
+            "cell": backend.cell,
+            "size": backend.capacity_hint,
         }
-        if b.zone < len(self._zone_names):
-            doc["locality"] = self._zone_names[b.zone]
-        if b.kind < len(self._kind_names):
-            doc["flavor"] = self._kind_names[b.kind]
+        if backend.zone < len(self._zone_names):
+            doc["locality"] = self._zone_names[backend.zone]
+        if backend.kind < len(self._kind_names):
+            doc["flavor"] = self._kind_names[backend.kind]
         return doc
--- a/lilacsill/agent/discovery/watch.py
+++ b/lilacsill/agent/discovery/watch.py
@@ -22,56 +22,65 @@
 log = logging.getLogger(__name__)
 
 PATH = "/catalog/members"
-WAIT_MS = 20_000  # long: each call costs discovery, which all agents share
-ANSWER_S = 2.0  # what discovery has to tell counts as told this long after the wait is over
-# Where lists are pushed a call is answered on this machine at no cost. One that discovery lets hang while it is
-# down holds back what comes after, so none waits for long.
+WATCH_WAIT_MS = 20_000  # how long a call may wait for news: long, since all agents share discovery
+RESPONSE_TIMEOUT_S = 2.0  # for the response, on top of the wait
+# Where lists are pushed, a call is answered on this machine at no cost. The wait is short: a call that hangs while
+# discovery is down delays the updates that follow.
 PUSHED_WAIT_MS = 2_000
-AGAIN_S, AGAIN_MOST_S = 0.05, 1.0  # until a watch that broke is taken up again, doubled each time
-ANSWER_BYTES = 4 * 1024 * 1024  # of an answer
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 1.0  # before a broken watch is resumed; doubled each time
+MAX_RESPONSE_BYTES = 4 * 1024 * 1024
 
 
-class _CatalogConnection(Connection):
-    """A connection to discovery; one call at a time."""
+class _DiscoveryConnection(Connection):
+    """A connection to discovery, with one call at a time."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._reader = Reader(HttpResponseParser, ANSWER_BYTES)
+        self._reader = Reader(HttpResponseParser, MAX_RESPONSE_BYTES)
         self._answer: asyncio.Future[bytes] | None = None
 
     async def get(self, target: str) -> bytes:
-        """The body of a 200; anything else raises."""
+        """Return the body of a response 200.
+
+        Raises:
+            ConnectionError: The response has another status, or the connection ended.
+            InvalidMessageError: The response is malformed or too long.
+        """
         self._answer = asyncio.get_running_loop().create_future()
         self.send(encode_request(b"GET", target.encode(), [(b"Host", b"discovery")]))
         return await self._answer
 
     def connection_lost(self) -> None:
+        """Release the reader."""
         super().connection_lost()
         self._reader.end()
 
     def on_data(self, data: bytes) -> None:
-        whole = self._reader.feed(data)
-        if not whole or self._answer is None:
-            # Bytes that no one answered for are no answer to the next call.
+        """Read a response."""
+        complete = self._reader.feed(data)
+        if not complete or self._answer is None:
+            # Bytes outside of a call must not become the response to the next one.
             if self._reader.error is not None or self._answer is None:
-                self._broken(self._reader.error or ConnectionError("unasked bytes"))
+                self._fail(self._reader.error or ConnectionError("unasked bytes"))
             return
-        answer = whole[0]
-        if not answer.keep_alive or len(whole) > 1 or self._reader.error is not None:
+        response = complete[0]
+        if not response.keep_alive or len(complete) > 1 or self._reader.error is not None:
             self.closed = self.discarding = True
-        self._end(None if answer.status == 200 else ConnectionError(f"status {answer.status}"), answer.body)
+        self._finish(None if response.status == 200 else ConnectionError(f"status {response.status}"), response.body)
 
     def on_fault(self) -> None:
-        self._broken(ConnectionError("fault while reading"))
+        """Fail the call."""
+        self._fail(ConnectionError("fault while reading"))
 
     def on_end(self) -> None:
-        self._broken(ConnectionError("connection ended"))
+        """Fail the call."""
+        self._fail(ConnectionError("connection ended"))
 
-    def _broken(self, error: Exception) -> None:
+    def _fail(self, error: Exception) -> None:
         self.closed = self.discarding = True
-        self._end(error)
+        self._finish(error)
 
-    def _end(self, error: Exception | None, body: bytes | bytearray = b"") -> None:
+    def _finish(self, error: Exception | None, body: bytes | bytearray = b"") -> None:
         answer, self._answer = self._answer, None
         if answer is None or answer.done():
             return
@@ -82,10 +91,13 @@
 
 
 class Discovery:
-    """Asks discovery. A watch goes on by itself from call to call until a call fails.
+    """The client of discovery. A watch goes on by itself from call to call until a call fails.
+
+    Where lists are polled, the decision module says when to watch and is told of each failure. Where lists are
+    `pushed`, it expects them to arrive by themselves: `follow` then keeps the watch up, and failures are not reported.
 
-    Where lists are asked for, the module says when to watch and hears of each failure. Where they are `pushed` it
-    expects them to come by themselves: `follow` then keeps the watch up, and a failure is nobody's event.
+    Attributes:
+        descriptors_exhausted: Called with what a descriptor was needed for and how many, where the kernel had none.
     """
 
     def __init__(
@@ -101,31 +113,33 @@
         self._clock = clock
         self._address, self._parser, self._connect_s = address, parser, connect_s
         self._pushed, self._rng = pushed, Random(seed)
-        self._wait_ms = PUSHED_WAIT_MS if pushed else WAIT_MS
-        self._revision: int | None = revision  # None: the next call asks for the whole list
+        self._wait_ms = PUSHED_WAIT_MS if pushed else WATCH_WAIT_MS
+        self._revision: int | None = revision  # None: the next call asks for the complete list
         self._watching: asyncio.Task[None] | None = None
-        self.short_of_descriptors: Callable[[str, int], None] = lambda what, needs: None
+        self.descriptors_exhausted: Callable[[str, int], None] = lambda what, needs: None
         self._fetches: set[asyncio.Task[None]] = set()
 
     def watch(self, on_listing: Callable[[Listing | None], None]) -> None:
-        """Report every change from now on; None, once, when the watch has broken."""
+        """Report every change from now on; None, once, when the watch breaks."""
         if self._watching is None or self._watching.done():
             self._watching = asyncio.get_running_loop().create_task(self._watch(on_listing))
 
     def follow(self, on_listing: Callable[[Listing | None], None]) -> None:
-        """Report every change from now on, across breaks, where lists are pushed; else wait to be asked."""
+        """Report every change from now on, across breaks, where lists are pushed; else do nothing."""
         if self._pushed:
             self._watching = asyncio.get_running_loop().create_task(self._follow(on_listing))
 
     def fetch(self, on_listing: Callable[[Listing | None], None]) -> None:
-        """Report the whole list once, or None."""
+        """Report the complete list once, or None where the call fails."""
         task = asyncio.get_running_loop().create_task(self._fetch(on_listing))
         self._fetches.add(task)
         task.add_done_callback(self._fetches.discard)
 
-    def move(self, address: Address, on_listing: Callable[[Listing | None], None]) -> None:
-        """Leave the old address, whose calls end unreported, and begin at the new one with the whole list:
-        versions of the one mean nothing to the other."""
+    def set_address(self, address: Address, on_listing: Callable[[Listing | None], None]) -> None:
+        """Ask at another address from now on, for the complete list first.
+
+        Calls to the old address end unreported. Revisions of the old one mean nothing to the new one.
+        """
         if address == self._address:
             return
         self.stop()
@@ -135,8 +149,8 @@
         else:
             self.watch(on_listing)
 
-    def forget(self) -> None:
-        """The next call asks for the whole list, whatever version is held."""
+    def forget_revision(self) -> None:
+        """Make the next call ask for the complete list."""
         self._revision = None
 
     def stop(self) -> None:
@@ -147,65 +161,65 @@
 
     async def _watch(self, on_listing: Callable[[Listing | None], None]) -> None:
         await self._until_broken(on_listing)
-        self._watching = None  # before the report: the answer to it may be the next watch
+        self._watching = None  # before the report, which may start the next watch
         on_listing(None)
 
     async def _follow(self, on_listing: Callable[[Listing | None], None]) -> None:
-        again_s = AGAIN_S
+        delay_s = RETRY_DELAY_S
         while True:
             answered = await self._until_broken(on_listing)
-            again_s = AGAIN_S if answered else min(2 * again_s, AGAIN_MOST_S)
-            await asyncio.sleep(again_s * (0.5 + self._rng.random()))
+            delay_s = RETRY_DELAY_S if answered else min(2 * delay_s, MAX_RETRY_DELAY_S)
+            await asyncio.sleep(delay_s * (0.5 + self._rng.random()))
 
     async def _until_broken(self, on_listing: Callable[[Listing | None], None]) -> bool:
-        """Call after call. Returns whether any was answered before the one that failed."""
-        call: _CatalogConnection | None = None
+        """Call until a call fails; return whether any was answered before."""
+        call: _DiscoveryConnection | None = None
         answered = False
         try:
             while True:
-                call = await self._connected(call)
+                call = await self._open(call)
                 if self._revision is None:
-                    listing = await self._ask(call, PATH, ANSWER_S)
+                    listing = await self._ask(call, PATH, RESPONSE_TIMEOUT_S)
                 else:
                     target = f"{PATH}?index={self._revision}&wait={self._wait_ms}"
-                    listing = await self._ask(call, target, self._wait_ms / 1000 + ANSWER_S)
+                    listing = await self._ask(call, target, self._wait_ms / 1000 + RESPONSE_TIMEOUT_S)
                 self._revision, answered = listing.revision, True
                 if listing.members or listing.complete:
                     on_listing(listing)
-        except Exception as e:
-            _failed(e)
+        except Exception as error:
+            _log_failure(error)
         finally:
             if call is not None:
                 call.drop()
         return answered
 
     async def _fetch(self, on_listing: Callable[[Listing | None], None]) -> None:
-        call: _CatalogConnection | None = None
+        call: _DiscoveryConnection | None = None
         listing: Listing | None = None
         try:
-            call = await self._connected(None)
-            listing = await self._ask(call, PATH, ANSWER_S)
-        except Exception as e:
-            _failed(e)
+            call = await self._open(None)
+            listing = await self._ask(call, PATH, RESPONSE_TIMEOUT_S)
+        except Exception as error:
+            _log_failure(error)
         finally:
             if call is not None:
                 call.drop()
         on_listing(listing)
 
-    async def _connected(self, call: _CatalogConnection | None) -> _CatalogConnection:
-        """The same connection while discovery keeps it, else a new one."""
+    async def _open(self, call: _DiscoveryConnection | None) -> _DiscoveryConnection:
+        """Return the same connection while discovery keeps it open, else a new one."""
         if call is not None:
             if not call.closed:
                 return call
             call.drop()
         try:
             sock = await connect(self._clock, self._address, self._connect_s)
-        except OSError as e:
-            if e.errno in EXHAUSTED:
-                # The call fails, and the module asks again soon; by then a client has made way.
-                self.short_of_descriptors("a call to discovery", 1)
+        except OSError as error:
+            if error.errno in EXHAUSTED:
+                # The call fails, and the module retries soon; by then a client's connection has been closed.
+                self.descriptors_exhausted("a call to discovery", 1)
             raise
-        call = _CatalogConnection()
+        call = _DiscoveryConnection()
         try:
             call.attach(sock)
         except OSError:
@@ -213,13 +227,13 @@
             raise
         return call
 
-    async def _ask(self, call: _CatalogConnection, target: str, limit_s: float) -> Listing:
-        # Bounded: a machine that is cut off says nothing, and the watch would wait for ever.
+    async def _ask(self, call: _DiscoveryConnection, target: str, limit_s: float) -> Listing:
+        # Bounded: across a network partition nothing comes back, and the watch would wait for ever.
         async with asyncio.timeout(limit_s):
             return self._parser.parse(json.loads(await call.get(target)))
 
 
-def _failed(e: Exception) -> None:
-    """What discovery does wrong is one line; a fault of the agent's own shows where it is."""
-    foreseen = isinstance(e, OSError | ValueError | InvalidMessageError)
-    log.warning("call to discovery failed: %s", str(e) or type(e).__name__, exc_info=not foreseen)
+def _log_failure(error: Exception) -> None:
+    """Log an error of discovery in one line, and a fault of the agent with its traceback."""
+    is_expected = isinstance(error, OSError | ValueError | InvalidMessageError)
+    log.warning("call to discovery failed: %s", str(error) or type(error).__name__, exc_info=not is_expected)
--- a/lilacsill/agent/inbound/__init__.py
+++ b/lilacsill/agent/inbound/__init__.py
@@ -1,1 +1,1 @@
-"""The application's side: listener, downstream connections, what a request must be."""
+"""The application's side: the listener, downstream connections and the validation of requests."""
--- a/lilacsill/agent/inbound/downstream.py
+++ b/lilacsill/agent/inbound/downstream.py
@@ -1,4 +1,4 @@
-"""One connection of the application: requests read from it one at a time, answers written to it."""
+"""One connection of the application: requests are read from it one at a time, and answered on it."""
 
 from __future__ import annotations
 
@@ -12,34 +12,41 @@
 
 from ..admission.connections import ConnectionRecord
 from ..admission.policy import ConnectionState
-from ..watermarks import Sink, Watermarks
-from .answering import AnswerStream
+from ..streaming import ResponseSink
+from ..watermarks import Watermarks
+from .response_stream import ResponseStream
 from .upload import Upload
 from .validation import DownstreamRequest, Respond
 
-API, HEALTH = b"/api", b"/_health"
-BODY_LIMIT = 40 * 1024 * 1024  # they come with 32 MB
-SMALL = 64 * 1024  # a body that needs no leave to be kept whole
-REST_US, REST_BYTE_US = 1_000_000, 20  # for a body that comes by and by, and on top of that for each byte of it
+API_PATH, HEALTH_PATH = b"/api", b"/_health"
+BODY_LIMIT = 40 * 1024 * 1024  # bytes; bodies of 32 MB occur
+SMALL_BODY_BYTES = 64 * 1024  # a body up to this size is kept complete without a reservation
+# The time for a streamed body to arrive, in microseconds, and what is added for each byte of it.
+BODY_TIMEOUT_US, BODY_TIMEOUT_BYTE_US = 1_000_000, 20
 
 
 class RequestHandler(Protocol):
-    """Who takes the calls."""
+    """Handles validated requests."""
 
-    def handle(self, call: DownstreamRequest) -> None: ...
+    def handle(self, call: DownstreamRequest) -> None:
+        """Take over a request; `call.respond` or `call.begin_response` answers it."""
 
     def client_gone(self, call: DownstreamRequest) -> None:
-        """The client has gone."""
+        """Note that the client of a request has gone."""
 
     def fail_all(self) -> None:
-        """Answer at once whatever is held."""
+        """Answer all requests in flight at once."""
 
 
 class Validator(Protocol):
-    """Who says what a request must be."""
+    """Validates requests."""
 
     def validate(self, request: Message, respond: Respond) -> DownstreamRequest:
-        """Raises InvalidMessageError for one that is not taken."""
+        """Return the request in the handler's form.
+
+        Raises:
+            InvalidMessageError: The request is not accepted.
+        """
         ...
 
 
@@ -49,54 +56,56 @@
     handler: RequestHandler
     validator: Validator
     open_request_ids: set[bytes]
-    marks: Watermarks
+    watermarks: Watermarks
 
     @property
-    def draining(self) -> bool: ...
+    def is_draining(self) -> bool:
+        """Whether answers close their connection."""
 
     @property
-    def healthy(self) -> bool: ...
+    def is_healthy(self) -> bool:
+        """Whether the health check succeeds."""
 
-    def entered(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        """The connection stands differently from now on."""
+    def state_changed(self, connection: DownstreamConnection, state: ConnectionState) -> None:
+        """Note the new state of a connection."""
 
     def keeps_alive(self, connection: DownstreamConnection) -> bool:
-        """Whether the answer that goes out now leaves it open."""
+        """Return whether the answer that goes out now leaves the connection open."""
 
-    def served(self, connection: DownstreamConnection) -> None:
-        """A good answer goes out."""
+    def request_served(self, connection: DownstreamConnection) -> None:
+        """Note that a good answer goes out."""
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
-        """Its descriptor is free."""
+        """Note that the descriptor of a connection is free."""
 
 
 class DownstreamConnection(Connection):
-    """A connection of the application; one request at a time."""
+    """A connection of the application, with one request at a time."""
 
     def __init__(self, owner: ConnectionOwner, record: ConnectionRecord) -> None:
         super().__init__()
         self._owner = owner
-        self.record = record  # what admission knows of it
+        self.record = record  # its admission record
         self._reader = Reader(HttpRequestParser, BODY_LIMIT)
-        self._request: Message | None = None  # the one in hand
-        self._call: DownstreamRequest | None = None
-        self._ahead = False  # more came while it was
-        self._last = False  # the stream that goes out is the last answer here
-        self._continued: Message | None = None  # has been asked for its body
-        self._answering: AnswerStream | None = None  # what goes out while it comes in
-        self._upload: Upload | None = None  # what goes on while it comes in
-        self._kept = 0  # bytes of the request's body that were given leave to be kept
+        self._message: Message | None = None  # the request in flight, as received
+        self._call: DownstreamRequest | None = None  # the request in flight, validated
+        self._has_extra_bytes = False  # bytes of a further request came while one was in flight
+        self._closes_after_response = False  # the streamed response is the last answer on this connection
+        self._continued: Message | None = None  # the request that was answered with 100 Continue
+        self._response: ResponseStream | None = None  # the response that is being streamed
+        self._upload: Upload | None = None  # the request body that is being streamed
+        self._reserved_bytes = 0  # memory that was reserved to keep the request's body complete
 
-    # Its state
+    # State
 
     @property
-    def in_hand(self) -> bool:
-        """Whether a request of it has no final answer yet."""
+    def has_request(self) -> bool:
+        """Whether a request on it has no final answer yet."""
         return self._call is not None
 
     @property
-    def idle(self) -> bool:
-        """Nothing of a request has come, as far as the kernel knows, and no answer is still going out."""
+    def is_idle(self) -> bool:
+        """Whether nothing of a request has come, as far as the kernel knows, and no answer is still going out."""
         return (
             self._call is None
             and self._reader.current is None
@@ -106,8 +115,8 @@
         )
 
     @property
-    def may_make_way(self) -> bool:
-        """Whether it can be closed now with no request taken and no answer cut short."""
+    def can_evict(self) -> bool:
+        """Whether it can be closed now without losing an accepted request or truncating an answer."""
         if not self.open:
             return False
         if self.record.state is ConnectionState.LINGERING:
@@ -115,227 +124,254 @@
         return self._call is None and self.written and self.nothing_to_read()
 
     def expire(self) -> None:
-        """It has stayed as it is for too long."""
+        """Act on the time-out of its state."""
         if self.record.state is ConnectionState.LINGERING or self.discarding:
             self.drop()
         elif self._upload is not None and self.stream is not None and self.stream.paused:
-            pass  # others have not taken what has come, and the client must wait for them
+            pass  # the backend has not taken what came, and the client has to wait for it
         elif self._reader.current is not None:
-            self._leave()
-            self._error(InvalidMessageError(408, "request not complete in time"))
-        elif not self.written:  # its answer is not read; closing would wait for that
+            self._abandon_request()
+            self._reject(InvalidMessageError(408, "request not complete in time"))
+        elif not self.written:  # the client does not read its answer, and `close` would wait for that
             self.drop()
         elif self.nothing_to_read():
             self.close()
 
-    # What comes in
+    # Reading
 
     def connection_lost(self) -> None:
+        """Release the reader and report the end to the server."""
         super().connection_lost()
         self._reader.end()
         self._owner.connection_closed(self)
 
     def on_data(self, data: bytes) -> None:
-        if self._upload is not None and not self._upload.whole:
-            return self._on_body(data, self._upload)
+        """Read requests, or the rest of a streamed body."""
+        if self._upload is not None and not self._upload.is_complete:
+            self._on_streamed_body(data, self._upload)
+            return
         if self._call is not None:
-            # Nothing behind a request in hand is looked at; line ends between messages mean nothing.
-            self._ahead = self.discarding = bool(data.strip(b"\r\n"))
+            # Nothing after a request in flight is parsed; line breaks between messages mean nothing.
+            self._has_extra_bytes = self.discarding = bool(data.strip(b"\r\n"))
             return
-        whole = self._reader.feed(data)
+        complete = self._reader.feed(data)
         current, error = self._reader.current, self._reader.error
-        if whole and (len(whole) > 1 or current is not None or error is not None):
-            self._error(InvalidMessageError(400, "one request at a time"))
+        if complete and (len(complete) > 1 or current is not None or error is not None):
+            self._reject_pipelining()
         elif error is not None:
-            self._error(error)
-        elif whole:
-            self._take(whole[0])
+            self._reject(error)
+        elif complete:
+            self._accept_request(complete[0])
             if self._call is None:
-                self._release()
+                self._release_request()
         elif current is not None:
-            # On the wire, framing too: it is most of a body in small chunks.
-            begun = self.record.state is ConnectionState.BODY
-            self.record.received = self.record.received + len(data) if begun else current.received
-            self._owner.entered(self, ConnectionState.BODY if self._reader.in_body else ConnectionState.READING)
-            self._continue(current)
-            if self._reader.in_body and not self._keeps(current):
-                self._take(current, REST_US + REST_BYTE_US * (BODY_LIMIT if current.length is None else current.length))
-
-    def _keeps(self, request: Message) -> bool:
-        """Whether the body can be kept whole: then the request is passed on once its last byte is here, and may be
-        sent more than once."""
+            self._on_incomplete_request(current, len(data))
+
+    def _on_incomplete_request(self, request: Message, nbytes: int) -> None:
+        # Bytes on the wire count, framing too: with small chunks it is most of a body.
+        is_first = self.record.state is not ConnectionState.BODY
+        self.record.received = request.received if is_first else self.record.received + nbytes
+        self._owner.state_changed(self, ConnectionState.BODY if self._reader.in_body else ConnectionState.READING)
+        self._send_continue(request)
+        if self._reader.in_body and not self._keeps_body(request):
+            max_bytes = BODY_LIMIT if request.length is None else request.length
+            self._accept_request(request, BODY_TIMEOUT_US + BODY_TIMEOUT_BYTE_US * max_bytes)
+
+    def _keeps_body(self, request: Message) -> bool:
+        """Return whether the body can be kept complete.
+
+        The request is then accepted once its last byte is here, and may be sent more than once.
+        """
         size = request.received if request.length is None else request.length
-        more = size - self._kept
-        if size <= SMALL or more <= 0:
+        unreserved = size - self._reserved_bytes
+        if size <= SMALL_BODY_BYTES or unreserved <= 0:
             return True
-        if not self._owner.marks.keeps(more):
+        if not self._owner.watermarks.reserve_body(unreserved):
             return False
-        self._kept += more
+        self._reserved_bytes += unreserved
         return True
 
-    def _on_body(self, data: bytes, upload: Upload) -> None:
-        """More of a body that is passed on as it comes."""
+    def _on_streamed_body(self, data: bytes, upload: Upload) -> None:
         request = self._reader.current
-        whole = self._reader.feed(data)
+        complete = self._reader.feed(data)
         assert request is not None
-        if self._reader.error is not None and not whole:
-            self._leave()
-            return self._error(self._reader.error)
+        if self._reader.error is not None and not complete:
+            self._abandon_request()
+            self._reject(self._reader.error)
+            return
         self.record.received += len(data)
-        upload.received(request.take_body())
-        if whole:
-            self._ahead = len(whole) > 1 or self._reader.current is not None or self._reader.error is not None
-            self._owner.entered(self, ConnectionState.IN_FLIGHT)
-            upload.finished()
+        upload.add(request.take_body())
+        if complete:
+            self._has_extra_bytes = (
+                len(complete) > 1 or self._reader.current is not None or self._reader.error is not None
+            )
+            self._owner.state_changed(self, ConnectionState.IN_FLIGHT)
+            upload.finish()
 
     def pause_body(self) -> None:
+        """Read nothing until `resume_body`."""
         if self.stream is not None:
             self.stream.pause()
 
     def resume_body(self) -> None:
+        """Read again."""
         if self.stream is not None:
             self.stream.resume()
 
-    def read_within(self, limit: Callable[[], int] | None) -> None:
+    def limit_reads(self, limit: Callable[[], int] | None) -> None:
+        """Read at most `limit()` bytes at once; None: no limit."""
         if self.stream is not None:
             self.stream.read_limit = limit
 
     def on_fault(self) -> None:
-        self._leave()
+        """Give the request up and answer with 500."""
+        self._abandon_request()
         if self.open:
-            self._error(InvalidMessageError(500, "internal error"))
+            self._reject(InvalidMessageError(500, "internal error"))
 
     def on_end(self) -> None:
-        self._leave()
-
-    def _leave(self) -> None:
-        call, answering = self._release(), self._answering
-        if answering is not None:
-            self._answering = None
-            if answering.end():
-                answering.left()
+        """Give the request up: its client has gone."""
+        self._abandon_request()
+
+    def _abandon_request(self) -> None:
+        call, response = self._release_request(), self._response
+        if response is not None:
+            self._response = None
+            if response.end():
+                response.on_client_gone()
         elif call is not None:
             self._owner.handler.client_gone(call)
 
     def flushed(self) -> None:
+        """Tell the streamed response, if there is one, that all is written."""
         super().flushed()
-        if self._answering is not None:
-            self._answering.flushed()
+        if self._response is not None:
+            self._response.flushed()
 
-    def _release(self) -> DownstreamRequest | None:
+    def _release_request(self) -> DownstreamRequest | None:
         call, self._call = self._call, None
         upload, self._upload = self._upload, None
         if upload is not None:
-            upload.drop()
+            upload.discard()
             self.resume_body()
-            self.read_within(None)
-        if self._kept:
-            self._owner.marks.kept_no_more(self._kept)
-            self._kept = 0
+            self.limit_reads(None)
+        if self._reserved_bytes:
+            self._owner.watermarks.release_body(self._reserved_bytes)
+            self._reserved_bytes = 0
         if call is not None:
             self._owner.open_request_ids.discard(call.id)
         return call
 
-    def _continue(self, request: Message) -> None:
-        wanted = request.fields.get(b"expect", b"").lower() == b"100-continue"
-        if wanted and self._reader.in_body and self._continued is not request:
+    def _send_continue(self, request: Message) -> None:
+        is_expected = request.fields.get(b"expect", b"").lower() == b"100-continue"
+        if is_expected and self._reader.in_body and self._continued is not request:
             self._continued = request
             self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def _take(self, request: Message, rest_us: int = 0) -> None:
-        """`rest_us`: its body is still coming, for so long at the most."""
-        self._request = request
+    def _accept_request(self, request: Message, body_timeout_us: int = 0) -> None:
+        """Validate a request and pass it to the handler, or answer it.
+
+        Args:
+            request: The request.
+            body_timeout_us: How long its body may still take; 0: the body is complete.
+        """
+        self._message = request
         try:
             request.target = origin_form(request.target)
             path = request.target.partition(b"?")[0]
-            if path == HEALTH:
-                return self._respond(200 if self._owner.healthy else 503, [], b"")
-            if path != API:
+            if path == HEALTH_PATH:
+                self._respond(200 if self._owner.is_healthy else 503, [], b"")
+                return
+            if path != API_PATH:
                 raise InvalidMessageError(404, "no such path")
             call = self._owner.validator.validate(request, self._answer)
             if call.id in self._owner.open_request_ids:
                 raise InvalidMessageError(409, "this Request-Id is open")
-        except InvalidMessageError as e:
-            return self._respond(e.status, [], f"{e}\n".encode())
-        call.known, call.begin = self.record.known, self._begin
+        except InvalidMessageError as error:
+            self._respond(error.status, [], f"{error}\n".encode())
+            return
+        call.known_client, call.begin_response = self.record.known, self._begin_response
         self._call = call
         self._owner.open_request_ids.add(call.id)
-        if rest_us:
-            self._upload = call.upload = Upload(self, self._owner.marks, request.length)
-            call.rest_us = rest_us
-            self._upload.received(call.body)
+        if body_timeout_us:
+            self._upload = call.upload = Upload(self, self._owner.watermarks, request.length)
+            call.body_timeout_us = body_timeout_us
+            self._upload.add(call.body)
             call.body = b""
         else:
-            self._owner.entered(self, ConnectionState.IN_FLIGHT)
+            self._owner.state_changed(self, ConnectionState.IN_FLIGHT)
         self._owner.handler.handle(call)
 
-    # What goes out
+    # Answering
 
     def _answer(self, call: DownstreamRequest, status: int, headers: Headers, body: bytes) -> None:
         if self._call is not call:
             return
-        self._release()
+        self._release_request()
         if status == 200:
-            self._owner.served(self)
+            self._owner.request_served(self)
         self._respond(status, headers, body)
-        if self._ahead:
-            self._error(InvalidMessageError(400, "one request at a time"))
+        if self._has_extra_bytes:
+            self._reject_pipelining()
 
-    def _begin(self, call: DownstreamRequest, headers: Headers, length: int | None) -> Sink | None:
-        """The answer comes by and by."""
+    def _begin_response(self, call: DownstreamRequest, headers: Headers, length: int | None) -> ResponseSink | None:
         if self._call is not call or not self.open:
             return None
-        assert self._request is not None
-        self._owner.served(self)
-        last = (
-            self._is_last(self._request)
-            or self._reader.current is self._request
-            or (length is None and self._request.version != "1.1")
+        assert self._message is not None
+        self._owner.request_served(self)
+        self._closes_after_response = (
+            self._closes_after(self._message)
+            or self._reader.current is self._message
+            or (length is None and self._message.version != "1.1")
         )
-        if last:
+        if self._closes_after_response:
             headers = [*headers, ("Connection", "close")]
-        self._last = last
-        self._answering = AnswerStream(self, self._owner.marks, self._request, headers, length)
-        return self._answering
-
-    def streamed(self) -> None:
-        self._answering = self._request = None
-        self._release()
-        self._owner.entered(self, ConnectionState.IDLE)
-        if self._last or self._owner.draining:
+        self._response = ResponseStream(self, self._owner.watermarks, self._message, headers, length)
+        return self._response
+
+    def response_sent(self) -> None:
+        """Note that the streamed response is complete."""
+        self._response = self._message = None
+        self._release_request()
+        self._owner.state_changed(self, ConnectionState.IDLE)
+        if self._closes_after_response or self._owner.is_draining:
             self.close()
-        elif self._ahead:
-            self._error(InvalidMessageError(400, "one request at a time"))
+        elif self._has_extra_bytes:
+            self._reject_pipelining()
 
-    def _is_last(self, request: Message) -> bool:
-        return self._owner.draining or not request.keep_alive or not self._owner.keeps_alive(self)
+    def _closes_after(self, request: Message) -> bool:
+        return self._owner.is_draining or not request.keep_alive or not self._owner.keeps_alive(self)
 
     def _respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """The answer to a request."""
+        """Answer the request in flight."""
         if not self.open:
             return
-        request, self._request = self._request, None
+        request, self._message = self._message, None
         assert request is not None
-        if self._reader.current is request:  # its body is still coming, and what is behind cannot be told from it
-            return self._last_answer(status, headers, body)
-        last = self._is_last(request)
-        if last:
+        if self._reader.current is request:  # its body is still coming, and what follows cannot be told from it
+            self._send_last_response(status, headers, body)
+            return
+        closes = self._closes_after(request)
+        if closes:
             headers = [*headers, ("Connection", "close")]
         self.send(encode_response(status, headers, body, request.method == b"HEAD"))
-        self._owner.entered(self, ConnectionState.IDLE)
-        if last:
+        self._owner.state_changed(self, ConnectionState.IDLE)
+        if closes:
             self.close()
 
-    def _error(self, e: InvalidMessageError, advice: Headers | None = None) -> None:
-        """The answer to what is not, or not yet, a request."""
-        self._last_answer(e.status, advice or [], f"{e}\n".encode())
+    def _reject_pipelining(self) -> None:
+        self._reject(InvalidMessageError(400, "one request at a time"))
+
+    def _reject(self, error: InvalidMessageError, headers: Headers | None = None) -> None:
+        """Answer bytes that are no request, or not a complete one."""
+        self._send_last_response(error.status, headers or [], f"{error}\n".encode())
 
-    def _last_answer(self, status: int, headers: Headers, body: bytes) -> None:
-        """The rest is read and dropped: closing on unread bytes would reset the answer away."""
+    def _send_last_response(self, status: int, headers: Headers, body: bytes) -> None:
         if not self.open:
             return
         self.send(encode_response(status, [("Connection", "close"), *headers], body))
+        # What still comes is read and dropped: closing a socket with unread bytes would reset the answer away.
         self.discarding = True
-        self._owner.entered(self, ConnectionState.LINGERING)
+        self._owner.state_changed(self, ConnectionState.LINGERING)
         assert self.stream is not None
         self.stream.half_close()
--- a/lilacsill/agent/inbound/server.py
+++ b/lilacsill/agent/inbound/server.py
@@ -1,4 +1,4 @@
-"""The application's side: carries out what admission decides, and takes leave of the clients in order."""
+"""The listener for the application: it does what admission decides, and drains the clients before a stop."""
 
 from __future__ import annotations
 
@@ -14,98 +14,114 @@
 from ..admission.connections import ConnectionRecord
 from ..admission.controller import AdmissionController, Admitted
 from ..admission.policy import ConnectionState
-from ..descriptors import Spare
+from ..descriptors import SpareDescriptor
 from ..watermarks import Watermarks
-from .accept import AcceptLoop, inherited, listen
+from .accept import AcceptLoop, adopt_listener, create_listener
 from .downstream import DownstreamConnection, RequestHandler, Validator
-from .leave import POLL_S, DrainTimes, Leave
-from .refusals import Refusals
+from .draining import POLL_S, Drain, DrainTimes
+from .refused_connections import RefusedConnections
 
-SWEEP_S = 0.25  # all time limits of connections are looked at together, so far apart
-TICK_S = 0.002
-RESTED_US = 100_000  # idle for so long before it is closed in a drain: one just accepted or answered is about to ask
+SWEEP_S = 0.25  # interval at which the time-outs of all connections are checked
+LAG_PROBE_S = 0.002  # delay of the timer that measures the lag of the event loop
+MIN_IDLE_US = 100_000  # idle for this long before a drain closes it: one just accepted or answered is about to ask
 
 
 class IdleUpstreams(Protocol):
-    """The connections to backends, as far as this side may have one of them."""
+    """The idle connections to backends, one of which may be closed for a client."""
 
-    def has_idle(self) -> bool: ...
+    def has_idle(self) -> bool:
+        """Return whether there is an idle connection."""
 
-    def close_longest_idle(self) -> None: ...
+    def close_longest_idle(self) -> None:
+        """Close the connection that has been idle for longest."""
 
 
 class Server:
-    """Listens for the application."""
+    """The listener and all downstream connections.
+
+    Invariant: a connection is in `connections` from its admission until its descriptor is free.
+    """
 
     def __init__(
         self,
         validator: Validator,
-        most_advice_s: float,
+        max_retry_after_s: float,
         handler: RequestHandler,
-        gate: AdmissionController,
+        admission: AdmissionController,
         clock: Clock,
-        spare: Spare,
+        spare: SpareDescriptor,
         upstreams: IdleUpstreams,
-        limit: Callable[[], int],
-        refusing: int,
-        marks: Watermarks,
+        descriptor_limit: Callable[[], int],
+        max_refusals: int,
+        watermarks: Watermarks,
         sweep_s: float = SWEEP_S,
     ) -> None:
         self.handler = handler
         self.validator = validator
-        self.gate, self._clock, self._spare = gate, clock, spare
-        self._upstreams, self._limit = upstreams, limit
+        self.admission, self._clock, self._spare = admission, clock, spare
+        self._upstreams, self._descriptor_limit = upstreams, descriptor_limit
         self._loop = asyncio.get_running_loop()
         self._sweep_s = sweep_s
-        self.marks = marks
-        self._sweeping: asyncio.TimerHandle | None = None
-        self._timing = False
-        self._most_advice_s = most_advice_s  # 0: a refusal carries none
+        self.watermarks = watermarks
+        self._next_sweep: asyncio.TimerHandle | None = None
+        self._is_measuring_lag = False
+        self._max_retry_after_s = max_retry_after_s  # of a refusal; 0: it has no Retry-After
         self.connections: dict[ConnectionRecord, DownstreamConnection] = {}
-        self.open_request_ids: set[bytes] = set()  # of the requests in hand
-        self.leave = Leave(self._close_idle)
-        self.succeeded = False  # another process of the agent accepts, and this one no more
-        self.refusals = Refusals(refusing)
-        self._accepting: AcceptLoop | None = None
+        self.open_request_ids: set[bytes] = set()  # of the requests in flight
+        self._drain = Drain(self._close_idle)
+        self.has_successor = False  # another process of the agent accepts, and this one no longer does
+        self.refused = RefusedConnections(max_refusals)
+        self._accept_loop: AcceptLoop | None = None
 
     def make_connection(self, record: ConnectionRecord) -> DownstreamConnection:
+        """Return a new connection for an admission record."""
         return DownstreamConnection(self, record)
 
     def listen(self, address: Address, shared: bool = False, descriptor: int | None = None) -> int:
-        """Returns the port, for an address whose port is 0. `shared`: with other processes. `descriptor`: of a listener
-        that is there already. Raises OSError."""
-        sock = listen(address.host, address.port, shared) if descriptor is None else inherited(descriptor)
+        """Listen, and return the port.
+
+        Args:
+            address: Where to listen; port 0: any free one.
+            shared: Whether other processes listen there, too.
+            descriptor: An inherited listener, used in place of the address.
+
+        Raises:
+            OSError: The address cannot be listened on, or the descriptor is no listener.
+        """
+        sock = create_listener(address.host, address.port, shared) if descriptor is None else adopt_listener(descriptor)
         port = int(sock.getsockname()[1])
-        self._accepting = AcceptLoop(sock, self._spare, self._accepted, self.short_of_descriptors, self.accepts_more)
-        self._accepting.start()
+        self._accept_loop = AcceptLoop(
+            sock, self._spare, self._on_accepted, self.descriptors_exhausted, self.may_accept_more
+        )
+        self._accept_loop.start()
         self._sweep()
         return port
 
     @property
-    def draining(self) -> bool:
-        """Answers ask the client to close."""
-        return self.leave.on
+    def is_draining(self) -> bool:
+        """Whether answers ask the client to close."""
+        return self._drain.is_active
 
     @property
-    def healthy(self) -> bool:
-        """Whether clients may go on being sent to the agent: its other process takes them, where there is one."""
-        return self.succeeded or not self.leave.on
+    def is_healthy(self) -> bool:
+        """Whether the agent serves: while this process drains, its successor does, where there is one."""
+        return self.has_successor or not self._drain.is_active
 
     # Arrivals
 
-    def accepts_more(self) -> bool:
-        """Whether another connection may be accepted in this turn of the loop."""
+    def may_accept_more(self) -> bool:
+        """Return whether another connection may be accepted in this iteration of the event loop."""
         return True
 
-    def _accepted(self, sock: socket.socket, host: str, tight: bool) -> None:
-        """Decided on the peer's address, before anything is allocated for the connection."""
-        if self.gate.watches_lag and not self._timing:
-            self._timing = True
-            due = self._loop.time() + TICK_S
-            self._loop.call_at(due, self._tick, due)
-        decision = self.gate.admit(host, self._clock.now(), self._fit, self._upstreams.has_idle)
+    def _on_accepted(self, sock: socket.socket, host: str, on_spare: bool) -> None:
+        # Decided by the peer's address, before anything is allocated for the connection.
+        if self.admission.watches_lag and not self._is_measuring_lag:
+            self._is_measuring_lag = True
+            due_s = self._loop.time() + LAG_PROBE_S
+            self._loop.call_at(due_s, self._measure_lag, due_s)
+        decision = self.admission.admit(host, self._clock.now(), self._can_evict, self._upstreams.has_idle)
         if not isinstance(decision, Admitted):
-            self.refusals.refuse(sock, min(decision.retry_after_s, self._most_advice_s), may_wait=not tight)
+            self.refused.refuse(sock, min(decision.retry_after_s, self._max_retry_after_s), may_wait=not on_spare)
             return
         if decision.evicted is not None:
             self.connections[decision.evicted].drop()
@@ -118,98 +134,109 @@
             connection.attach(sock)
         except OSError:
             sock.close()
-            return self.connection_closed(connection)
+            self.connection_closed(connection)
+            return
         assert connection.stream is not None
-        connection.stream.receive()  # a client that asks as soon as it has connected has asked already
+        connection.stream.receive()  # most clients have sent their request by now
 
-    def _tick(self, due: float) -> None:
-        """How late this comes is how far the loop is behind. Timed only while connections arrive."""
-        self._timing = False
-        self.gate.record_lag(self._clock.now(), int((self._loop.time() - due) * 1e6))
+    def _measure_lag(self, due_s: float) -> None:
+        # How late this is called is how far the loop is behind. It is measured only while connections arrive.
+        self._is_measuring_lag = False
+        self.admission.record_lag(self._clock.now(), int((self._loop.time() - due_s) * 1e6))
 
-    def _fit(self, record: ConnectionRecord) -> bool:
-        """Whether this connection can be closed now without harm."""
-        return self.connections[record].may_make_way
+    def _can_evict(self, record: ConnectionRecord) -> bool:
+        return self.connections[record].can_evict
 
-    def make_way_for_upstream(self) -> bool:
-        """Close a connection here so that one to a backend can be opened."""
-        record = self.gate.evict_for_upstream(self._clock.now(), self._fit)
+    def evict_for_upstream(self) -> bool:
+        """Close a connection so that one to a backend can be opened; return whether there was one to close."""
+        record = self.admission.evict_for_upstream(self._clock.now(), self._can_evict)
         if record is None:
             return False
         self.connections[record].drop()
         return True
 
-    def short_of_descriptors(self, what: str, needs: int = 0) -> None:
-        """The kernel had none for this; the next sweep frees so many."""
-        self.gate.descriptors_exhausted(self._clock.now(), what, needs)
+    def descriptors_exhausted(self, what: str, needs: int = 0) -> None:
+        """Note that the kernel had no descriptor.
+
+        Args:
+            what: What it was for, in words for the log.
+            needs: How many descriptors the next sweep is to free for it.
+        """
+        self.admission.descriptors_exhausted(self._clock.now(), what, needs)
 
-    # The life of a connection
+    # Events of a connection (ConnectionOwner)
 
-    def entered(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        self.gate.state_changed(connection.record, state, self._clock.now())
+    def state_changed(self, connection: DownstreamConnection, state: ConnectionState) -> None:
+        """Note the new state of a connection."""
+        self.admission.state_changed(connection.record, state, self._clock.now())
 
     def keeps_alive(self, connection: DownstreamConnection) -> bool:
-        return self.gate.keeps_alive(connection.record)
+        """Return whether the answer that goes out now leaves the connection open."""
+        return self.admission.keeps_alive(connection.record)
 
-    def served(self, connection: DownstreamConnection) -> None:
-        self.gate.request_served(connection.record, self._clock.now())
+    def request_served(self, connection: DownstreamConnection) -> None:
+        """Note that a good answer goes out."""
+        self.admission.request_served(connection.record, self._clock.now())
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
+        """Note that the descriptor of a connection is free."""
         if self.connections.pop(connection.record, None) is not None:
-            self.gate.connection_closed(connection.record)
+            self.admission.connection_closed(connection.record)
 
     def _sweep(self) -> None:
-        """Close or answer what has stayed as it is for too long, and see to the limit of descriptors."""
-        self._sweeping = self._loop.call_later(self._sweep_s, self._sweep)
-        self._spare.regain()
+        # Act on the time-outs of connections, and on a limit of descriptors that was lowered.
+        self._next_sweep = self._loop.call_later(self._sweep_s, self._sweep)
+        self._spare.reacquire()
         now = self._clock.now()
-        self.gate.poll(now, self._limit())
-        while (record := self.gate.evict_over_limit(now, self._fit)) is not None:
+        self.admission.poll(now, self._descriptor_limit())
+        while (record := self.admission.evict_over_limit(now, self._can_evict)) is not None:
             self.connections[record].drop()
-        for record in self.gate.connections.expired(now):
+        for record in self.admission.connections.expired(now):
             self.connections[record].expire()
 
-    # The end
+    # Draining
 
-    def send_away(self, idle_s: float) -> None:
-        """An operator's drain: goes on until `take_back`, and ends nothing but connections."""
-        self.leave.begin(idle_s)
+    def start_drain(self, idle_s: float) -> None:
+        """Start an operator's drain, which ends connections only, after `idle_s` seconds the idle ones."""
+        self._drain.begin(idle_s)
 
-    def take_back(self) -> None:
-        self.leave.end()
+    def cancel_drain(self) -> None:
+        """End an operator's drain."""
+        self._drain.cancel()
 
     def hand_over(self) -> None:
-        """Another process of the agent takes what is not accepted yet, and all that comes."""
-        self.succeeded = True
-        if self._accepting is not None:
-            self._accepting.stop()
+        """Leave the listener to another process of the agent, which accepts all connections from now on."""
+        self.has_successor = True
+        if self._accept_loop is not None:
+            self._accept_loop.stop()
 
     async def drain(self, times: DrainTimes) -> None:
-        """Take leave of the clients: nothing that was taken is lost."""
+        """Drain the clients and stop; every accepted request is answered."""
         loop = self._loop
-        began = loop.time()
-        # A request that crosses the close of an idle connection is sent again on a new one; these still come.
-        self.leave.begin(times.idle_s, final=True)
+        began_s = loop.time()
+        # A client whose request crosses the close of an idle connection sends it again on a new one, still accepted.
+        self._drain.begin(times.idle_s, final=True)
         await asyncio.sleep(times.serve_s)
-        while self.connections and loop.time() < began + times.end_s:
+        while self.connections and loop.time() < began_s + times.end_s:
             await asyncio.sleep(POLL_S)
         self.handler.fail_all()
-        while any(not c.written for c in self.connections.values()) and loop.time() < began + times.end_s + POLL_S:
+        while any(not c.written for c in self.connections.values()) and loop.time() < began_s + times.end_s + POLL_S:
             await asyncio.sleep(POLL_S / 10)
-        # Open to the end: closing it resets what has come in and is not accepted yet.
+        # The listener stays open to the end: closing it resets connections that are not accepted yet.
         self.stop()
 
     def stop(self) -> None:
-        if self._sweeping is not None:
-            self._sweeping.cancel()
-        self.leave.stop()
-        if self._accepting is not None:
-            self._accepting.stop()
+        """Close the listener and the refused connections."""
+        if self._next_sweep is not None:
+            self._next_sweep.cancel()
+        self._drain.stop()
+        if self._accept_loop is not None:
+            self._accept_loop.stop()
         with suppress(OSError):
-            self.refusals.close()
+            self.refused.close()
         self._spare.release()
 
     def _close_idle(self) -> None:
-        rested = self._clock.now() - RESTED_US
-        for connection in [c for c in self.connections.values() if c.record.state_since <= rested and c.idle]:
+        idle_since = self._clock.now() - MIN_IDLE_US
+        for connection in [c for c in self.connections.values() if c.record.state_since <= idle_since and c.is_idle]:
             connection.close()
--- a/lilacsill/agent/inbound/upload.py
+++ b/lilacsill/agent/inbound/upload.py
@@ -1,89 +1,88 @@
-"""A request's body that is passed on while it comes."""
+"""A request body that is passed on to a backend while it is being received from the client."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import Protocol
 
+from ..streaming import BodyReceiver
 from ..watermarks import Watermarks
 
 
-class Source(Protocol):
+class BodySource(Protocol):
     """The client's connection."""
 
-    def pause_body(self) -> None: ...
+    def pause_body(self) -> None:
+        """Read nothing until `resume_body`."""
 
-    def resume_body(self) -> None: ...
+    def resume_body(self) -> None:
+        """Read again."""
 
-    def read_within(self, limit: Callable[[], int] | None) -> None: ...
-
-
-class Taker(Protocol):
-    """An attempt that passes it on."""
-
-    def on_body(self, data: bytes) -> int:
-        """Returns how many bytes are not written; if there are any, it says `relieved` when they are."""
-
-    def on_body_end(self) -> None:
-        """That was all."""
+    def limit_reads(self, limit: Callable[[], int] | None) -> None:
+        """Read at most `limit()` bytes at once; None: no limit."""
 
 
 class Upload:
-    """What has come is kept until it is more than the watermark; while all of it is, another attempt can be made."""
+    """A streamed request body (see `streaming.StreamedBody`).
+
+    What has been received is kept until it exceeds the watermark. While all of it is kept, another attempt can be made.
+    """
 
-    def __init__(self, source: Source, marks: Watermarks, length: int | None) -> None:
-        self._source, self._share = source, marks.opened()
-        self.length = length  # as the head states it
-        self.whole = False
+    def __init__(self, source: BodySource, watermarks: Watermarks, length: int | None) -> None:
+        self._source, self._share = source, watermarks.open_stream()
+        self.length = length
+        self.is_complete = False
         self._kept = bytearray()
-        self._lost = False  # some of it is no longer here
-        self._taker: Taker | None = None
-        source.read_within(self._share.high)
+        self._is_truncated = False  # some of what was received is no longer kept
+        self._receiver: BodyReceiver | None = None
+        source.limit_reads(self._share.high_watermark)
 
-    # The client's side
+    # For the client's connection
 
-    def received(self, data: bytes) -> None:
-        """Some more has come. Nothing, where it was but framing: an empty piece would end a chunked body."""
+    def add(self, data: bytes) -> None:
+        """Pass bytes of the body on. None at all is no event: an empty chunk would end a chunked body."""
         if not data:
             return
-        if self._taker is None or (not self._lost and len(self._kept) + len(data) <= self._share.high()):
+        is_kept = not self._is_truncated and len(self._kept) + len(data) <= self._share.high_watermark()
+        if self._receiver is None or is_kept:
             self._kept += data
         else:
-            self._lost = True
+            self._is_truncated = True
             self._kept.clear()
-        unwritten = self._taker.on_body(data) if self._taker is not None else 0
-        if self._share.holds(len(self._kept) + unwritten) or unwritten:
+        unwritten = self._receiver.on_body(data) if self._receiver is not None else 0
+        if self._share.set_buffered(len(self._kept) + unwritten) or unwritten:
             self._source.pause_body()
 
-    def finished(self) -> None:
-        """It is whole."""
-        self.whole = True
-        if self._taker is not None:
-            self._taker.on_body_end()
+    def finish(self) -> None:
+        """End a complete body."""
+        self.is_complete = True
+        if self._receiver is not None:
+            self._receiver.on_body_end()
 
-    def drop(self) -> None:
-        """The request has its answer, or its client has gone."""
-        self._share.end()
-        self._taker = None
+    def discard(self) -> None:
+        """Forget the body: the request has its answer, or its client has gone."""
+        self._share.close()
+        self._receiver = None
         self._kept.clear()
-        self._lost = True
+        self._is_truncated = True
 
-    # An attempt's side
+    # For an attempt
 
-    def take(self, taker: Taker) -> bytes | None:
-        """What has come so far; the rest goes to the taker. None: it cannot be had from its beginning any more."""
-        if self._lost or self._taker is not None:
+    def attach(self, receiver: BodyReceiver) -> bytes | None:
+        """Return the bytes received so far and pass the rest to `receiver`; None: they are not all kept any more."""
+        if self._is_truncated or self._receiver is not None:
             return None
-        self._taker = taker
+        self._receiver = receiver
         self._source.resume_body()
         return bytes(self._kept)
 
-    def leave(self, taker: Taker) -> None:
-        """This attempt is over."""
-        if self._taker is taker:
-            self._taker = None
+    def detach(self, receiver: BodyReceiver) -> None:
+        """Pass nothing more to a receiver that is done."""
+        if self._receiver is receiver:
+            self._receiver = None
 
-    def relieved(self, taker: Taker) -> None:
-        if self._taker is taker:
-            self._share.holds(len(self._kept))
+    def drained(self, receiver: BodyReceiver) -> None:
+        """Note that the receiver has written all that it was given."""
+        if self._receiver is receiver:
+            self._share.set_buffered(len(self._kept))
             self._source.resume_body()
--- a/lilacsill/agent/observers.py
+++ b/lilacsill/agent/observers.py
@@ -1,4 +1,4 @@
-"""Who hears what the agent sees."""
+"""Observers of the agent: the recorder, and what is saved for the next start."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 
 class Observer(Protocol):
-    """Hears what the agent sees, and has no say in it."""
+    """Is told what the agent sees, and does not influence it."""
 
-    def arrived(self, call: DownstreamRequest) -> None: ...
+    def request_arrived(self, call: DownstreamRequest) -> None:
+        """Note a new request."""
 
     def attempt_ended(
         self,
@@ -24,23 +25,27 @@
         outcome: q.Outcome,
         latency_us: int,
         report: tuple[float, ...],
-    ) -> None: ...
+    ) -> None:
+        """Note the end of an attempt of the request with this number."""
 
-    def answered(self, number: int, status: int) -> None: ...
+    def request_answered(self, number: int, status: int) -> None:
+        """Note the final answer to a request."""
 
-    def listed(self, listing: Listing) -> None: ...
+    def backends_listed(self, listing: Listing) -> None:
+        """Note a list of backends."""
 
 
 @dataclass(slots=True, frozen=True)
-class Both:
+class CombinedObserver:
     """Two observers in the place of one."""
 
     first: Observer
     second: Observer
 
-    def arrived(self, call: DownstreamRequest) -> None:
-        self.first.arrived(call)
-        self.second.arrived(call)
+    def request_arrived(self, call: DownstreamRequest) -> None:
+        """Tell both."""
+        self.first.request_arrived(call)
+        self.second.request_arrived(call)
 
     def attempt_ended(
         self,
@@ -51,13 +56,16 @@
         latency_us: int,
         report: tuple[float, ...],
     ) -> None:
+        """Tell both."""
         self.first.attempt_ended(number, attempt, backend, outcome, latency_us, report)
         self.second.attempt_ended(number, attempt, backend, outcome, latency_us, report)
 
-    def answered(self, number: int, status: int) -> None:
-        self.first.answered(number, status)
-        self.second.answered(number, status)
+    def request_answered(self, number: int, status: int) -> None:
+        """Tell both."""
+        self.first.request_answered(number, status)
+        self.second.request_answered(number, status)
 
-    def listed(self, listing: Listing) -> None:
-        self.first.listed(listing)
-        self.second.listed(listing)
+    def backends_listed(self, listing: Listing) -> None:
+        """Tell both."""
+        self.first.backends_listed(listing)
+        self.second.backends_listed(listing)
--- a/lilacsill/agent/outbound/__init__.py
+++ b/lilacsill/agent/outbound/__init__.py
@@ -1,1 +1,1 @@
-"""The backends' side: attempts, probes and the pool of upstream connections."""
+"""The backends' side: attempts, health checks and the pool of connections."""
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backends: opened within a limit, kept for reuse while they can be trusted."""
+"""Connections to backends: opened within a limit of descriptors, and reused while that is safe."""
 
 from __future__ import annotations
 
@@ -19,219 +19,254 @@
 from ..descriptors import EXHAUSTED
 from ..discovery.listing import Member
 
-IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection; then it is retired here
-SETTLE_US = 2_000  # not used again till then: bytes that do not belong to an answer come right behind it
-ANSWER_BYTES = 40 * 1024 * 1024  # they come with 32 MB; one that claims more is spoilt
+IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection: the pool closes it then
+SETTLE_US = 2_000  # idle time before reuse: bytes that do not belong to a response follow it within that time
+MAX_RESPONSE_BYTES = 40 * 1024 * 1024  # responses of 32 MB occur
 
 
 class ConnectionUser(Protocol):
-    """Who has the connection in hand."""
+    """The exchange that uses a connection."""
 
-    def on_answer(self, answer: Message) -> None: ...
+    def on_response(self, response: Message) -> None:
+        """Handle a complete response."""
 
-    def on_part(self, answer: Message) -> None:
-        """Its head has come, and some of its body."""
+    def on_part(self, response: Message) -> None:
+        """Handle the head and a part of the body of a response."""
 
     def on_written(self) -> None:
-        """All that was sent is with the kernel."""
+        """Handle that the kernel has accepted all bytes sent."""
 
-    def on_spoilt(self) -> None:
-        """What comes is no answer that can be used; the connection is still open."""
+    def on_invalid_response(self) -> None:
+        """Handle bytes that are no usable response; the connection is still open."""
 
     def on_end(self) -> None:
-        """The backend has closed it."""
+        """Handle that the backend has closed the connection."""
 
 
 class UpstreamConnection(Connection):
-    """A connection to a backend; idle, or in the hands of one exchange."""
+    """A connection to a backend, idle or used by one exchange."""
 
     def __init__(self, pool: Pool, member: Member) -> None:
         super().__init__()
         self.member, self._pool = member, pool
-        self._reader = Reader(HttpResponseParser, ANSWER_BYTES, until_close=True)
+        self._reader = Reader(HttpResponseParser, MAX_RESPONSE_BYTES, until_close=True)
         self.user: ConnectionUser | None = None
-        self.clean = True  # nothing has come but the answers that were answered for, and it may be used again
+        self.reusable = True  # nothing but responses to its requests has come
         self.idle_since = 0
-        self.making_way = False  # its descriptor is no longer counted as open
-        self.retire: Timer | None = None
+        self.evicted = False  # its descriptor is counted as closing already
+        self.idle_timer: Timer | None = None
 
     def on_data(self, data: bytes) -> None:
+        """Read a response; bytes outside of one make the connection unusable."""
         if self.user is None:
-            # No one answered: whatever it is, it must not become the answer to the next request.
-            return self._pool.discard(self)
-        whole = self._reader.feed(data)
-        if whole:
-            more = len(whole) > 1 or self._reader.current is not None or self._reader.error is not None
-            self.clean = whole[0].keep_alive and not more
-            self.user.on_answer(whole[0])
+            # No request is open: these bytes must not become the response to the next one.
+            self._pool.discard(self)
+            return
+        complete = self._reader.feed(data)
+        if complete:
+            has_extra_bytes = len(complete) > 1 or self._reader.current is not None or self._reader.error is not None
+            self.reusable = complete[0].keep_alive and not has_extra_bytes
+            self.user.on_response(complete[0])
         elif self._reader.error is not None:
-            self.clean = False
-            self.user.on_spoilt()
+            self.reusable = False
+            self.user.on_invalid_response()
         elif self._reader.current is not None and self._reader.in_body:
             self.user.on_part(self._reader.current)
 
     def flushed(self) -> None:
+        """Tell the user that all is written."""
         super().flushed()
         if self.user is not None:
             self.user.on_written()
 
     def on_fault(self) -> None:
-        self.clean = False
+        """Treat a fault while reading like an invalid response."""
+        self.reusable = False
         if self.user is not None:
-            self.user.on_spoilt()
+            self.user.on_invalid_response()
         self._pool.discard(self)
 
     def on_end(self) -> None:
+        """Complete a response that ends with its connection, or report the end to the user."""
         self.closed = True
         in_order = self.stream is not None and not self.stream.reset
-        whole = self._reader.close() if in_order and self.user is not None else None
-        if whole is not None and self.user is not None:
-            self.user.on_answer(whole)
+        response = self._reader.close() if in_order and self.user is not None else None
+        if response is not None and self.user is not None:
+            self.user.on_response(response)
         elif self.user is not None:
             self.user.on_end()
         else:
             self._pool.discard(self)
 
     def connection_lost(self) -> None:
+        """Release the reader and give the descriptor back."""
         super().connection_lost()
         self._reader.end()
-        self._pool.lost(self)
+        self._pool.connection_lost(self)
+
+    def is_usable(self) -> bool:
+        """Return whether an idle connection is open, as far as the kernel knows.
 
-    def usable(self) -> bool:
-        """Idle and, as far as the kernel knows, open: one with anything to read was closed by the peer, or
-        holds what no one answered for."""
+        One with anything to read was closed by the backend, or has got bytes that are no response.
+        """
         return not self.closed and self.nothing_to_read()
 
 
 class Reservation:
     """A descriptor taken for one connection that is about to be opened."""
 
-    def __init__(self, ledger: DescriptorAccount) -> None:
-        self._ledger = ledger
-        ledger.acquire(Side.UPSTREAM)
-        self.used = False  # by a connection, whose end gives the descriptor back
+    def __init__(self, descriptors: DescriptorAccount) -> None:
+        self._descriptors = descriptors
+        descriptors.acquire(Side.UPSTREAM)
+        self.used = False  # by a connection, which gives the descriptor back at its end
 
     def release(self, *_: object) -> None:
-        """Whatever became of the opening, also where it never began."""
+        """Give the descriptor back, unless a connection uses it."""
         if not self.used:
             self.used = True
-            self._ledger.release(Side.UPSTREAM)
+            self._descriptors.release(Side.UPSTREAM)
 
 
 class Pool:
-    """The connections to all backends."""
+    """The connections to all backends.
+
+    Attributes:
+        evict_downstream: Closes a client's connection where both sides are full; returns whether there was one.
+        descriptors_exhausted: Called with what a descriptor was needed for, where the kernel had none.
+    """
 
     def __init__(
         self,
         clock: Clock,
         connect_timeout_us: int,
         conn_idle_us: int,
-        ledger: DescriptorAccount,
+        descriptors: DescriptorAccount,
         settle_us: int = SETTLE_US,
     ) -> None:
         self._clock = clock
         self._connect_s = connect_timeout_us / 1e6
         self._idle_us = int(conn_idle_us * IDLE_SHARE)
         self._settle_us = settle_us
-        self._ledger = ledger
-        self.downstream_makes_way: Callable[[], bool] = lambda: False  # where both sides are full
-        self.short_of_descriptors: Callable[[str], None] = lambda what: None
+        self._descriptors = descriptors
+        self.evict_downstream: Callable[[], bool] = lambda: False  # closes a client's connection, if there is one
+        self.descriptors_exhausted: Callable[[str], None] = lambda what: None
         self._idle: dict[BackendId, list[UpstreamConnection]] = {}
 
     def reserve(self, known: bool) -> Reservation | None:
-        """Take a descriptor for one more connection, which `open` then uses; the longest idle one makes way, or
-        a client between two requests where the clients hold more than their floor. None: there is none."""
-        if not self._ledger.has_room_for_attempt(known) and not self._make_way():
+        """Reserve a descriptor for one more connection, for `open`; None: there is none.
+
+        Where all are used, the longest idle connection is closed, or one of a client between two requests where the
+        clients use more than their floor.
+
+        Args:
+            known: Whether the connection is for a known client's request.
+        """
+        if not self._descriptors.has_room_for_attempt(known) and not self._free_descriptor():
             return None
-        return Reservation(self._ledger)
+        return Reservation(self._descriptors)
 
-    def _make_way(self) -> bool:
-        if self.has_idle() and self._ledger.may_close:
+    def _free_descriptor(self) -> bool:
+        if self.has_idle() and self._descriptors.may_close:
             self.close_longest_idle()
             return True
-        return self.downstream_makes_way()
+        return self.evict_downstream()
 
     def has_idle(self) -> bool:
+        """Return whether there is an idle connection."""
         return any(self._idle.values())
 
     def close_longest_idle(self) -> None:
-        """Its descriptor is given away at once; the kernel frees it a turn later."""
-        longest = min((kept[0] for kept in self._idle.values() if kept), key=lambda c: c.idle_since)
-        longest.making_way = True
-        self._ledger.start_closing(Side.UPSTREAM)
+        """Close the connection that has been idle for longest.
+
+        Its descriptor counts as closing at once; the kernel frees it in the next iteration of the event loop.
+        """
+        longest = min((idle[0] for idle in self._idle.values() if idle), key=lambda c: c.idle_since)
+        longest.evicted = True
+        self._descriptors.start_closing(Side.UPSTREAM)
         self.discard(longest)
 
     def open(
         self,
         member: Member,
         reservation: Reservation,
-        opened: Callable[[UpstreamConnection], None],
-        failed: Callable[[OSError], None],
+        on_connected: Callable[[UpstreamConnection], None],
+        on_failed: Callable[[OSError], None],
     ) -> ConnectAttempt:
-        """A connection that `begin` opens. One of the two hears what became of it; the reservation is seen to."""
+        """Return an attempt to open a connection, which its `begin` starts.
+
+        Exactly one of the callbacks is called. The reservation is used, or released where the attempt fails.
+        """
 
-        def could_not(e: OSError) -> None:
+        def fail(error: OSError) -> None:
             reservation.release()
-            if e.errno in EXHAUSTED:
-                self.short_of_descriptors("a connection to a backend")
-            failed(e)
+            if error.errno in EXHAUSTED:
+                self.descriptors_exhausted("a connection to a backend")
+            on_failed(error)
 
-        def connected(sock: socket.socket) -> None:
+        def attach(sock: socket.socket) -> None:
             connection = UpstreamConnection(self, member)
             try:
                 connection.attach(sock)
-            except OSError as e:
+            except OSError as error:
                 sock.close()
-                return could_not(e)
+                fail(error)
+                return
             reservation.used = True
-            opened(connection)
+            on_connected(connection)
 
-        return ConnectAttempt(self._clock, member.address, self._connect_s, connected, could_not)
+        return ConnectAttempt(self._clock, member.address, self._connect_s, attach, fail)
 
-    def lost(self, connection: UpstreamConnection) -> None:
-        """Its descriptor is free."""
-        if connection.making_way:
-            self._ledger.finish_closing()
+    def connection_lost(self, connection: UpstreamConnection) -> None:
+        """Note that the descriptor of a connection is free."""
+        if connection.evicted:
+            self._descriptors.finish_closing()
         else:
-            self._ledger.release(Side.UPSTREAM)
+            self._descriptors.release(Side.UPSTREAM)
 
     def take(self, member: Member) -> UpstreamConnection | None:
-        """The idle connection used last, if there is one that can be trusted."""
-        kept = self._idle.get(member.backend.id)
-        rested = self._clock.now() - self._settle_us
-        resting: list[UpstreamConnection] = []
+        """Return the idle connection that was used last, if one is safe to use; None: there is none."""
+        idle = self._idle.get(member.backend.id)
+        settled_since = self._clock.now() - self._settle_us
+        unsettled: list[UpstreamConnection] = []
         found: UpstreamConnection | None = None
-        while kept and found is None:
-            connection = kept.pop()
-            if connection.idle_since > rested:
-                resting.append(connection)
-            elif member.same_process(connection.member) and connection.usable():
+        while idle and found is None:
+            connection = idle.pop()
+            if connection.idle_since > settled_since:
+                unsettled.append(connection)
+            elif member.same_process(connection.member) and connection.is_usable():
                 found = connection
-                if connection.retire is not None:
-                    connection.retire.cancel()
+                if connection.idle_timer is not None:
+                    connection.idle_timer.cancel()
             else:
                 self.discard(connection)
-        if kept is not None:
-            kept.extend(reversed(resting))
+        if idle is not None:
+            idle.extend(reversed(unsettled))
         return found
 
     def release(self, connection: UpstreamConnection, answered: bool, ready: Member | None) -> None:
-        """Keep a connection whose exchange is over in good order; close any other."""
+        """Keep a connection whose exchange ended in order; close any other.
+
+        Args:
+            connection: The connection.
+            answered: Whether its exchange had a complete response.
+            ready: The member that the backend has now; None: it takes no requests.
+        """
         connection.user = None
         if (
             not answered
-            or not connection.clean
+            or not connection.reusable
             or connection.closed
             or not connection.written
             or not connection.member.same_process(ready)
         ):
-            return self.discard(connection)
+            self.discard(connection)
+            return
         connection.idle_since = self._clock.now()
-        connection.retire = self._clock.after(self._idle_us, self.discard, connection)
+        connection.idle_timer = self._clock.after(self._idle_us, self.discard, connection)
         self._idle.setdefault(connection.member.backend.id, []).append(connection)
 
     def forget(self, backend: BackendId) -> None:
-        """Close its idle connections."""
+        """Close the idle connections of a backend."""
         for connection in self._idle.pop(backend, []):
             self.discard(connection)
 
@@ -241,12 +276,13 @@
             self.forget(backend)
 
     def discard(self, connection: UpstreamConnection) -> None:
-        if connection.retire is not None:
-            connection.retire.cancel()
+        """Close a connection, idle or not."""
+        if connection.idle_timer is not None:
+            connection.idle_timer.cancel()
         backend = connection.member.backend.id
-        kept = self._idle.get(backend)
-        if kept is not None and connection in kept:
-            kept.remove(connection)
-        if not kept:
+        idle = self._idle.get(backend)
+        if idle is not None and connection in idle:
+            idle.remove(connection)
+        if not idle:
             self._idle.pop(backend, None)
         connection.drop()
--- a/lilacsill/agent/peers/channel.py
+++ b/lilacsill/agent/peers/channel.py
@@ -45,9 +45,9 @@
         )
         self.fleet = Fleet(settings, clock.now(), life or time.time_ns() // 1_000_000)
         self._feed = Feed(
-            clock, self.fleet, config.settings.zone, config.settings.warm_up_us, agent.fleet_changed, agent.beliefs
+            clock, self.fleet, config.settings.zone, config.settings.warm_up_us, agent.fleet_changed, agent.estimates
         )
-        agent.observe(self._feed)
+        agent.add_observer(self._feed)
         self._shell = Shell(clock, self.fleet, listen, config.peers, self._changed)
         self._feed.wake = self._shell.wake
         if section.records or section.metrics:
--- a/lilacsill/agent/peers/feed.py
+++ b/lilacsill/agent/peers/feed.py
@@ -58,7 +58,7 @@
 
     # What the agent sees
 
-    def arrived(self, call: DownstreamRequest) -> None:
+    def request_arrived(self, call: DownstreamRequest) -> None:
         self._calls[call.number] = min(call.tenant, 255), min(call.request_class, 255)
         if len(self._calls) > CALLS:  # an attempt may end after its request; a client that left is not told of
             self._calls.popitem(last=False)
@@ -82,11 +82,11 @@
             self._bad = True
             self._clock.after(LOOK_US, self.wake)  # nothing need come from others before the look
 
-    def answered(self, number: int, status: int) -> None:
+    def request_answered(self, number: int, status: int) -> None:
         if status == REFUSED:
             self._count(REFUSALS, number)
 
-    def listed(self, listing: Listing) -> None:
+    def backends_listed(self, listing: Listing) -> None:
         if listing.complete:
             self._zones.clear()
             self._started.clear()
--- a/lilacsill/agent/recorder/ring.py
+++ b/lilacsill/agent/recorder/ring.py
@@ -54,7 +54,7 @@
 
     # The agent's side
 
-    def arrived(self, call: DownstreamRequest) -> None:
+    def request_arrived(self, call: DownstreamRequest) -> None:
         self._add(
             [
                 form.REQUEST,
@@ -62,7 +62,7 @@
                 call.number,
                 call.request_class,
                 call.tenant,
-                call.patience_us // 1000,
+                call.timeout_us // 1000,
                 int(call.is_retry),
             ]
         )
@@ -78,7 +78,7 @@
     ) -> None:
         self._add([form.ATTEMPT, self._now(), number, attempt, str(backend), outcome.value, latency_us, report])
 
-    def answered(self, number: int, status: int) -> None:
+    def request_answered(self, number: int, status: int) -> None:
         self._add([form.FINAL, self._now(), number, status])
         now = self._now()
         due = now - self._believed_at >= self._beliefs_every_us > 0
@@ -103,7 +103,7 @@
                 ]
             )
 
-    def listed(self, listing: Listing) -> None:
+    def backends_listed(self, listing: Listing) -> None:
         self._add(
             [
                 form.LISTING,
--- a/lilacsill/agent/recovery/room.py
+++ b/lilacsill/agent/recovery/room.py
@@ -39,7 +39,7 @@
         self.config = replace(config, known=self.start.known)
         self.life = max(time.time_ns() // 1_000_000, self.start.life + 1)
         self.phases = Phases(clock.now())
-        self._learned = Learned(config.parser.word)
+        self._learned = Learned(config.parser.encode)
         self._pace: Callable[[], q.LatencyModelRestored] = lambda: q.LatencyModelRestored(0, 0, 0)
         self._out: Callable[[], frozenset[str]] = frozenset
         self._saved: State | None = None  # as it was written last, but for times and pace
@@ -91,7 +91,7 @@
 
     # What the agent sees
 
-    def arrived(self, call: DownstreamRequest) -> None:
+    def request_arrived(self, call: DownstreamRequest) -> None:
         pass
 
     def attempt_ended(
@@ -105,13 +105,13 @@
     ) -> None:
         pass
 
-    def answered(self, number: int, status: int) -> None:
+    def request_answered(self, number: int, status: int) -> None:
         self.phases.answered(status == 200, self._clock.now())
         changes, self.phases.changes = self.phases.changes, []
         for _, phase in changes:
             log.info("recovery: %s", phase.value)
 
-    def listed(self, listing: Listing) -> None:
+    def backends_listed(self, listing: Listing) -> None:
         self._learned.heard(listing)
         self._soon()
 
--- a/lilacsill/agent/watermarks.py
+++ b/lilacsill/agent/watermarks.py
@@ -1,102 +1,85 @@
-"""How much of bodies may be buffered: one budget for all streams, shared out among those there are. No I/O."""
+"""The memory for buffered bodies: one budget for all streams, divided among those that are open. No I/O."""
 
 from __future__ import annotations
 
-from collections.abc import Callable
-from typing import Protocol
-
-MOST, LEAST = 64 * 1024, 4 * 1024  # of a watermark, in bytes
-MEMORY_PART = 4  # the budget is so much of the memory limit
-LEFT_PART = 8  # a watermark is so much of what the budget has left
-KEPT_PART = 4  # one body may be so much of what all that are kept whole may hold
-
-
-class Sink(Protocol):
-    """Where a body goes while it comes."""
-
-    relieved: Callable[[], None]  # called when all of it that came is written
-    left: Callable[[], None]  # called when nobody is there any more to take it
-
-    def read_limit(self) -> int:
-        """How much may be read for it at once."""
-
-    def write(self, data: bytes) -> bool:
-        """Returns whether the reading side has to wait until `relieved`."""
-
-    def finish(self) -> None:
-        """It is whole."""
-
-    def abort(self) -> None:
-        """The rest will never come."""
+MAX_WATERMARK_BYTES, MIN_WATERMARK_BYTES = 64 * 1024, 4 * 1024
+MEMORY_DIVISOR = 4  # the budget is this part of the memory limit
+FREE_DIVISOR = 8  # a watermark is this part of what is free of the budget
+BODY_DIVISOR = 4  # one body that is kept complete may use this part of the budget for such bodies
 
 
 class Watermarks:
-    """The books of all streams of a process.
+    """The buffered bytes of all streams of a process.
 
-    Invariant: what is held never exceeds `budget`, but for `LEAST` that any stream may read however little is left:
-    without it a few clients that stand still would stop everybody else.
+    Invariant: `buffered` never exceeds `budget`, except for `MIN_WATERMARK_BYTES` that any stream may read however
+    little is free: otherwise a few clients that stand still would stop everybody else.
     """
 
     def __init__(self, budget: int) -> None:
-        self.budget = budget // 2  # of the streams; the other half is for bodies that are kept whole
-        self._whole = budget - self.budget
+        self.budget = budget // 2  # bytes for streams; the other half is for bodies that are kept complete
+        self._body_budget = budget - self.budget
         self.streams = 0
-        self.held = 0  # bytes that streams hold
-        self.kept = 0  # bytes of bodies that are kept whole
+        self.buffered = 0  # bytes that streams hold
+        self.reserved = 0  # bytes for bodies that are kept complete
 
-    def opened(self) -> Share:
-        """One more stream; the share ends with it."""
+    def open_stream(self) -> StreamShare:
+        """Count one more stream; closing its share ends it."""
         self.streams += 1
-        return Share(self)
+        return StreamShare(self)
 
     @property
-    def high(self) -> int:
-        """A part of what is left and of what is each one's: neither who came first nor who is slow has it all."""
-        left, even = (self.budget - self.held) // LEFT_PART, self.budget // (2 * max(1, self.streams))
-        return min(MOST, max(LEAST, min(left, even)))
-
-    def keeps(self, nbytes: int) -> bool:
-        """Whether a body of so many bytes may be kept whole; if so, `kept_no_more` is owed."""
-        if nbytes > self._whole // KEPT_PART or self.kept + nbytes > self._whole:
+    def high_watermark(self) -> int:
+        """The bytes that a stream may buffer now: a part of what is free, bounded by an equal share.
+
+        So neither early nor slow streams get all of the budget.
+        """
+        free_part = (self.budget - self.buffered) // FREE_DIVISOR
+        equal_share = self.budget // (2 * max(1, self.streams))
+        return min(MAX_WATERMARK_BYTES, max(MIN_WATERMARK_BYTES, min(free_part, equal_share)))
+
+    def reserve_body(self, nbytes: int) -> bool:
+        """Reserve memory to keep a body complete; return whether there is room. `release_body` gives it back."""
+        if nbytes > self._body_budget // BODY_DIVISOR or self.reserved + nbytes > self._body_budget:
             return False
-        self.kept += nbytes
+        self.reserved += nbytes
         return True
 
-    def kept_no_more(self, nbytes: int) -> None:
-        self.kept -= nbytes
-        assert self.kept >= 0
+    def release_body(self, nbytes: int) -> None:
+        """Give reserved memory back."""
+        self.reserved -= nbytes
+        assert self.reserved >= 0
 
 
-class Share:
-    """What one stream holds."""
+class StreamShare:
+    """The buffered bytes of one stream."""
 
-    __slots__ = ("_marks", "_held", "_over")
+    __slots__ = ("_watermarks", "_buffered", "_closed")
 
-    def __init__(self, marks: Watermarks) -> None:
-        self._marks, self._held, self._over = marks, 0, False
+    def __init__(self, watermarks: Watermarks) -> None:
+        self._watermarks, self._buffered, self._closed = watermarks, 0, False
 
-    def high(self) -> int:
-        """The high watermark now, and the most to read at once."""
-        return self._marks.high
+    def high_watermark(self) -> int:
+        """Return the high watermark now, which is also the most to read at once, in bytes."""
+        return self._watermarks.high_watermark
 
-    def holds(self, nbytes: int) -> bool:
-        """It holds so much now. Returns whether that is above the watermark."""
-        if not self._over:
-            self._marks.held += nbytes - self._held
-            self._held = nbytes
-        return nbytes > self._marks.high
+    def set_buffered(self, nbytes: int) -> bool:
+        """Set how many bytes the stream buffers; return whether that is above the watermark."""
+        if not self._closed:
+            self._watermarks.buffered += nbytes - self._buffered
+            self._buffered = nbytes
+        return nbytes > self._watermarks.high_watermark
 
-    def end(self) -> bool:
-        """Returns whether it was not over before."""
-        if self._over:
+    def close(self) -> bool:
+        """End the stream; return whether it was open until now."""
+        if self._closed:
             return False
-        self.holds(0)
-        self._over = True
-        self._marks.streams -= 1
-        assert self._marks.held >= 0 and self._marks.streams >= 0
+        self.set_buffered(0)
+        self._closed = True
+        self._watermarks.streams -= 1
+        assert self._watermarks.buffered >= 0 and self._watermarks.streams >= 0
         return True
 
 
-def budget_of(memory_mb: float, processes: int) -> int:
-    """Bytes that bodies may hold in each of so many processes under one limit."""
-    return int(memory_mb * 2**20 / MEMORY_PART / processes)
+def buffer_budget(memory_mb: float, processes: int) -> int:
+    """Return the bytes that bodies may use in each of `processes` that share a memory limit."""
+    return int(memory_mb * 2**20 / MEMORY_DIVISOR / processes)
--- a/lilacsill/hosted/worker/front.py
+++ b/lilacsill/hosted/worker/front.py
@@ -10,11 +10,12 @@
 
 from lilacsill.agent.admission.connections import ConnectionRecord
 from lilacsill.agent.admission.controller import AdmissionController
-from lilacsill.agent.descriptors import Spare
+from lilacsill.agent.descriptors import SpareDescriptor
 from lilacsill.agent.inbound.downstream import DownstreamConnection
 from lilacsill.agent.inbound.server import IdleUpstreams, Server
 from lilacsill.agent.inbound.validation import DownstreamRequest, Respond
-from lilacsill.agent.watermarks import Sink, Watermarks
+from lilacsill.agent.streaming import ResponseSink
+from lilacsill.agent.watermarks import Watermarks
 
 from ...clock import Clock
 from ...http1.message import Headers, Message, InvalidMessageError
@@ -65,7 +66,7 @@
 
     def may_read(self) -> bool:
         """If not, it waits for its turn. Behind a request in hand comes nothing but the client's leaving."""
-        return self.discarding or self.in_hand or not self._server.holds_back(self)
+        return self.discarding or self.has_request or not self._server.holds_back(self)
 
     def data_received(self, data: bytes) -> None:
         began, turn = perf_counter_ns(), self.turn
@@ -85,12 +86,12 @@
         self.waiting_since = None
         if self.stream is not None and self.open:
             self._server.tenancy.refused(self.tenant, "turn")
-            self._error(InvalidMessageError(503, "others go first"), [("Retry-After", f"{TURN_ADVICE_S}")])
+            self._reject(InvalidMessageError(503, "others go first"), [("Retry-After", f"{TURN_ADVICE_S}")])
             self.stream.resume()
 
-    def _take(self, request: Message, rest_us: int = 0) -> None:
+    def _accept_request(self, request: Message, body_timeout_us: int = 0) -> None:
         self._server.taking = self
-        super()._take(request, rest_us)
+        super()._accept_request(request, body_timeout_us)
 
 
 class HostedServer(Server):
@@ -104,7 +105,7 @@
         most_advice_s: float,
         gate: AdmissionController,
         clock: Clock,
-        spare: Spare,
+        spare: SpareDescriptor,
         upstreams: IdleUpstreams,
         limit: Callable[[], int],
         refusing: int,
@@ -133,7 +134,7 @@
     def close_idle_of(self, tenant: int) -> None:
         """The connections of a tenant that leaves; those with a request in hand end with its answer."""
         for connection in list(self.connections.values()):
-            if isinstance(connection, HostedConnection) and connection.tenant == tenant and connection.idle:
+            if isinstance(connection, HostedConnection) and connection.tenant == tenant and connection.is_idle:
                 connection.close()
 
     # Turns
@@ -159,13 +160,13 @@
         self.tenancy.turns.charge(turn, cost_us, self._clock.now())
         self.tenancy.read(connection.tenant, nbytes, cost_us)
 
-    def accepts_more(self) -> bool:
+    def may_accept_more(self) -> bool:
         """What the others leave: in a storm of new connections one a turn of the loop, the rest stays in the kernel."""
         return not self.tenancy.turns.ahead(ANONYMOUS)
 
-    def _accepted(self, sock: socket.socket, host: str, tight: bool) -> None:
+    def _on_accepted(self, sock: socket.socket, host: str, on_spare: bool) -> None:
         began, self._read_us = perf_counter_ns(), 0.0
-        super()._accepted(sock, host, tight)
+        super()._on_accepted(sock, host, on_spare)
         took_us = (perf_counter_ns() - began) / 1000 - self._read_us
         self.tenancy.turns.charge(ANONYMOUS, took_us, self._clock.now())
 
@@ -233,7 +234,7 @@
                 self._tenancy.refused(held.uid, over.cause)
                 raise InvalidMessageError(429, f"too many: {over.cause}")
             connection.tenant = connection.turn = held.uid
-            self._server.gate.assign_group(connection.record, held.uid, held.weight)
+            self._server.admission.assign_group(connection.record, held.uid, held.weight)
         call = pool.validator.validate(request, respond)
         # Two tenants may use one id or key; a server that drops repeats must not take the one for the other.
         scope = held.name.encode() + b"~"
@@ -258,7 +259,7 @@
                 pool.excess.ended()
             return self._refuse(call, held, over)
         callback = self._in_hand[call] = Callback(self, call, held, pool, now, beyond)
-        call.respond, call.begin = callback.answered, callback.began
+        call.respond, call.begin_response = callback.answered, callback.began
         self._server.taking.turn = held.uid
         pool.taken(held.uid)
         self._tenancy.took(held)
@@ -293,13 +294,13 @@
     ) -> None:
         self._front, self._call, self.held, self.pool, self._began = front, call, held, pool, began
         self._beyond = beyond  # its tenant's share
-        self._respond, self._begin, self._done = call.respond, call.begin, False
+        self._respond, self._begin, self._done = call.respond, call.begin_response, False
 
     def answered(self, call: DownstreamRequest, status: int, headers: Headers, body: bytes) -> None:
         self.released(status, len(body))
         self._respond(call, status, headers, body)
 
-    def began(self, call: DownstreamRequest, headers: Headers, length: int | None) -> Sink | None:
+    def began(self, call: DownstreamRequest, headers: Headers, length: int | None) -> ResponseSink | None:
         """A stream counts as answered from its first bytes on."""
         self.released(200, length or 0)
         return self._begin(call, headers, length) if self._begin is not None else None
@@ -309,7 +310,7 @@
         if self._done:
             return
         self._done = True
-        self._call.respond, self._call.begin = self._respond, self._begin  # the two no longer hold each other
+        self._call.respond, self._call.begin_response = self._respond, self._begin  # the two no longer hold each other
         tenancy = self._front._tenancy
         took_us = tenancy.now() - self._began
         self.held.holdings.answered(len(self._call.body), took_us / 1e6)
--- a/lilacsill/hosted/worker/pools.py
+++ b/lilacsill/hosted/worker/pools.py
@@ -12,7 +12,7 @@
 from lilacsill.agent.discovery.listing import Listing, ListingParser
 from lilacsill.agent.discovery.watch import Discovery
 from lilacsill.agent.inbound.validation import RequestValidator
-from lilacsill.agent.outbound.attempts import Backends
+from lilacsill.agent.outbound.backends import Backends
 from lilacsill.agent.outbound.pool import Pool as Connections
 from lilacsill.balancing import interface as q
 from lilacsill.balancing.logic import Balancer
@@ -51,8 +51,8 @@
         )
         allowed = facts["allowed"]
         self.connections = Connections(clock, allowed["connectTimeoutUs"], allowed["connIdleUs"], ledger)
-        self.connections.downstream_makes_way = downstream_makes_way
-        self.connections.short_of_descriptors = lambda what: short(what, 0)
+        self.connections.evict_downstream = downstream_makes_way
+        self.connections.descriptors_exhausted = lambda what: short(what, 0)
         backends = Backends(clock, settings.report_fields, self.connections)
         parser = ListingParser(clock, tuple(facts.get("localities") or ()), tuple(facts.get("skus") or ()))
         self._discovery = Discovery(
@@ -64,7 +64,7 @@
             settings.discovery is q.DiscoveryMode.PUSH,
             seed,
         )
-        self._discovery.short_of_descriptors = short
+        self._discovery.descriptors_exhausted = short
         self.agent = Agent(Balancer(self.settings, seed), clock, backends, self._discovery)
         self.validator = RequestValidator(settings.classes, ())
         self.in_hand = 0
@@ -97,7 +97,7 @@
 
     def move(self, pool: Pool) -> None:
         self.pool = pool
-        self.agent.move(parse_address(pool.spec.discovery))
+        self.agent.set_discovery(parse_address(pool.spec.discovery))
 
     def leave(self) -> None:
         """Nothing new comes; all goes with the last request in hand."""
@@ -128,7 +128,7 @@
         self._end_if_idle()
 
     def figures(self) -> PoolFigures:
-        beliefs, excess = self.agent.beliefs(), self.excess
+        beliefs, excess = self.agent.estimates(), self.excess
         return PoolFigures(
             len(beliefs),
             sum(b.healthy for b in beliefs),
--- a/lilacsill/hosted/worker/process.py
+++ b/lilacsill/hosted/worker/process.py
@@ -23,8 +23,8 @@
 from lilacsill.agent.admission.descriptor_account import DescriptorAccount
 from lilacsill.agent.admission.settings import AdmissionSettings, DescriptorBudget, ConnectionTimeouts
 from ...clock import Clock
-from lilacsill.agent.descriptors import Spare
-from lilacsill.agent.inbound.leave import DrainTimes
+from lilacsill.agent.descriptors import SpareDescriptor
+from lilacsill.agent.inbound.draining import DrainTimes
 from lilacsill.agent.watermarks import Watermarks
 from lilacsill.agent.operator.file import load as load_operator
 from ..decisions.directory import Directory
@@ -76,7 +76,7 @@
     def __init__(self, config: WorkerConfig, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self._config, self._reader, self._writer = config, reader, writer
         self._clock = Clock()
-        budget = DescriptorBudget(descriptors.limit(config.sockets), descriptors.held() + 1)
+        budget = DescriptorBudget(descriptors.effective_limit(config.sockets), descriptors.count_open() + 1)
         self._ledger = DescriptorAccount(budget)
         admission = AdmissionSettings()
         if config.operator is not None:
@@ -90,9 +90,9 @@
             ADVICE_S,
             gate,
             self._clock,
-            Spare(),
+            SpareDescriptor(),
             self,
-            lambda: descriptors.limit(config.sockets),
+            lambda: descriptors.effective_limit(config.sockets),
             budget.refusals,
             Watermarks(BODIES),
         )
@@ -107,8 +107,8 @@
             self._config.seed,
             self._config.workers,
             self._config.me,
-            self._server.make_way_for_upstream,
-            self._server.short_of_descriptors,
+            self._server.evict_for_upstream,
+            self._server.descriptors_exhausted,
         )
         runtime.start()
         return runtime
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_door.py
@@ -13,14 +13,14 @@
 from lilacsill.agent.admin.door import CALLERS, Door
 from lilacsill.agent.admin.file import StandingFile
 from lilacsill.agent.admin.operations import Operations
-from lilacsill.agent.descriptors import Spare
+from lilacsill.agent.descriptors import SpareDescriptor
 from tests.loopback import Conversation, World, post, world
 
 
 @contextlib.asynccontextmanager
 async def opened(w: World, folder: str | None = None) -> AsyncIterator[int]:
     operations = Operations(w.server, w.agent, StandingFile(folder))
-    door = Door(operations.carry_out, Spare(), lambda what: None)
+    door = Door(operations.carry_out, SpareDescriptor(), lambda what: None)
     operations.start()
     operations.serves()
     try:
@@ -136,7 +136,7 @@
     async def run() -> None:
         async with world(tmp_path) as w, opened(w) as port:
             assert await call(port, "POST /-/resume") == 200  # without a drain nothing changes
-            w.server.leave.begin(0.0, final=True)
+            w.server._drain.begin(0.0, final=True)
             assert await call(port, "POST /-/resume") == 200
             assert await health(w) == 503
 
@@ -188,10 +188,10 @@
                     pass
                 assert (await (await other.ask(post())).read()).status == 503
             async with world(tmp_path) as later, opened(later, folder):
-                assert later.server.draining
+                assert later.server.is_draining
                 assert (await (await later.ask(post())).read()).status == 503
             assert await call(port, "POST /-/resume") == 200
-            assert not w.server.draining
+            assert not w.server.is_draining
 
     asyncio.run(run())
 
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -1,4 +1,4 @@
-"""An upgrade: two processes on one inherited listener, which count as one agent."""
+"""An upgrade: two processes on one adopt_listener listener, which count as one agent."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from lilacsill.agent.descriptors import SharedLimit
-from lilacsill.agent.inbound.accept import inherited
+from lilacsill.agent.inbound.accept import adopt_listener
 from tests.admin.test_door import call, connect
 from tests.loopback import Conversation, Peer, Running, config_doc, member, post
 from tests.test_reload import whole
@@ -114,7 +114,7 @@
 
 def test_a_listener_that_others_hold_outlives_this_one() -> None:
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        mine = inherited(listener.dup().detach())
+        mine = adopt_listener(listener.dup().detach())
         mine.close()
         with socket.create_connection(listener.getsockname()) as client, listener.accept()[0]:
             assert client.getpeername() == listener.getsockname()
@@ -124,7 +124,7 @@
     one, other = socket.socketpair()
     with one, other:
         try:
-            inherited(one.fileno())
+            adopt_listener(one.fileno())
         except OSError as e:
             assert "no listening socket" in str(e)
         else:
@@ -138,10 +138,10 @@
 
     limit = SharedLimit(100)
     assert limit() == 100
-    limit.beside = os.getpid
+    limit.other_process = os.getpid
     held = len(os.listdir("/proc/self/fd"))
     assert 100 - held - 2 <= limit() <= 100 - held + 2
-    limit.beside = lambda: 2**22 + 1  # it has just ended
+    limit.other_process = lambda: 2**22 + 1  # it has just ended
     assert limit() == 50
 
 
--- a/tests/backends.py
+++ b/tests/backends.py
@@ -8,8 +8,8 @@
 from tests.loopback import Message, Peer, member, shared
 
 from lilacsill.balancing.interface import Outcome
-from lilacsill.agent.outbound.attempts import Backends
-from lilacsill.agent.outbound.terms import Result, UpstreamRequest
+from lilacsill.agent.outbound.backends import Backends
+from lilacsill.agent.outbound.requests import Result, UpstreamRequest
 from lilacsill.agent.admission.descriptor_account import DescriptorAccount
 from lilacsill.clock import Clock
 from lilacsill.agent.discovery.listing import Listing, ListingParser
--- a/tests/hosted/test_turns.py
+++ b/tests/hosted/test_turns.py
@@ -258,7 +258,7 @@
             quiet = await w.client()
             assert await w.served(quiet, QUIET) == 200
             w.ahead(ANONYMOUS)
-            assert not w.worker._server.accepts_more()
+            assert not w.worker._server.may_accept_more()
             new = [await w.client() for _ in range(20)]
             for c in new:
                 await w.ask(c, LOUD)
@@ -268,25 +268,25 @@
             w.rest()
             for c in new:
                 assert (await c.read()).status in (200, 429)
-            assert w.worker._server.accepts_more() or w.turns.ahead(ANONYMOUS)
+            assert w.worker._server.may_accept_more() or w.turns.ahead(ANONYMOUS)
 
     asyncio.run(run())
 
 
 def test_who_holds_all_descriptors_makes_way_for_another_tenant() -> None:
     async def run() -> None:
-        async with world(sockets=descriptors.held() + 90) as w:
-            w.worker._server.gate.apply_settings(AdmissionSettings(keep_alive=1000))
+        async with world(sockets=descriptors.count_open() + 90) as w:
+            w.worker._server.admission.apply_settings(AdmissionSettings(keep_alive=1000))
             loud = [await w.client()]
             while await w.served(loud[-1], LOUD) == 200 and not loud[0].told_of_close():
                 loud.append(await w.client())
-            full = w.worker._server.gate.groups.size(LOUD)
+            full = w.worker._server.admission.groups.size(LOUD)
             # Both addresses are one, and none of these has been idle for long: by them nobody would make way.
             quiet = []
             for _ in range(3):
                 quiet.append(await w.client())
                 assert await w.served(quiet[-1], QUIET) == 200
-            crowds = w.worker._server.gate.groups
+            crowds = w.worker._server.admission.groups
             assert crowds.size(QUIET) == 3 and crowds.size(LOUD) <= full - 2
 
     asyncio.run(run())
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -20,7 +20,7 @@
 from lilacsill.clock import Clock
 from lilacsill.agent.config import Config, load
 from lilacsill.agent.inbound.server import SWEEP_S, Server
-from lilacsill.agent.run import assemble
+from lilacsill.agent.assembly import assemble
 
 KEYED, UNSAFE = "registro-servicio", "vale-almacen"
 LOAD = b"inflight=0,queue=0,util=0.1"
--- a/tests/recovery/test_decisions.py
+++ b/tests/recovery/test_decisions.py
@@ -112,14 +112,14 @@
 def test_the_list_is_saved_in_words_that_mean_the_same_again(members: list[SavedMember]) -> None:
     unique = list({m.id: m for m in members}.values())
     told = PARSER.parse(listing_doc(state(members=unique)))
-    learned = Learned(PARSER.word)
+    learned = Learned(PARSER.encode)
     learned.heard(told)
     again = PARSER.parse(listing_doc(state(members=list(learned.members.values()))))
     assert again == told
 
 
 def test_the_saved_list_follows_changes() -> None:
-    learned = Learned(PARSER.word)
+    learned = Learned(PARSER.encode)
     at = Address("::1", 80)
     learned.heard(Listing(1, True, (Member(Backend("x"), at), Member(Backend("y"), at))))
     learned.heard(
--- a/tests/streams/test_framing.py
+++ b/tests/streams/test_framing.py
@@ -9,7 +9,7 @@
 from httptools import HttpRequestParser, HttpResponseParser
 
 from lilacsill.http1.message import Reader
-from lilacsill.agent.watermarks import LEAST, Share, Watermarks, budget_of
+from lilacsill.agent.watermarks import MIN_WATERMARK_BYTES, StreamShare, Watermarks, buffer_budget
 from tests.loopback import post
 
 MB = 1024 * 1024
@@ -33,39 +33,39 @@
 def test_streams_that_keep_to_the_watermark_stay_within_the_budget(budget: int, steps: list[tuple[str, int]]) -> None:
     """Each reads what it may at once, pauses above the watermark, and is written or not as it comes."""
     marks = Watermarks(budget)
-    streams: list[tuple[Share, int]] = []
+    streams: list[tuple[StreamShare, int]] = []
     for what, which in steps:
         if what == "open":
-            streams.append((marks.opened(), 0))
+            streams.append((marks.open_stream(), 0))
         elif streams:
             at = which % len(streams)
             share, held = streams[at]
             if what == "end":
-                assert share.end() and not share.end()
+                assert share.close() and not share.close()
                 del streams[at]
             elif what == "written":
-                share.holds(0)
+                share.set_buffered(0)
                 streams[at] = share, 0
-            elif held <= share.high():
-                share.holds(held + share.high())
-                streams[at] = share, marks.held - sum(h for s, h in streams if s is not share)
-        assert marks.held == sum(h for _, h in streams) and marks.streams == len(streams)
-        assert marks.held <= marks.budget + 2 * LEAST * len(streams)
+            elif held <= share.high_watermark():
+                share.set_buffered(held + share.high_watermark())
+                streams[at] = share, marks.buffered - sum(h for s, h in streams if s is not share)
+        assert marks.buffered == sum(h for _, h in streams) and marks.streams == len(streams)
+        assert marks.buffered <= marks.budget + 2 * MIN_WATERMARK_BYTES * len(streams)
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(min_value=0, max_value=8 * MB)), max_size=60))
 def test_bodies_kept_whole_stay_within_their_half(steps: list[tuple[bool, int]]) -> None:
-    marks, kept = Watermarks(budget_of(80, 1)), []
+    marks, kept = Watermarks(buffer_budget(80, 1)), []
     for keep, size in steps:
-        if keep and marks.keeps(size):
+        if keep and marks.reserve_body(size):
             kept.append(size)
         elif kept and not keep:
-            marks.kept_no_more(kept.pop())
-        assert marks.kept == sum(kept) <= budget_of(80, 1) // 2
+            marks.release_body(kept.pop())
+        assert marks.reserved == sum(kept) <= buffer_budget(80, 1) // 2
     with contextlib.suppress(IndexError):
         while True:
-            marks.kept_no_more(kept.pop())
-    assert marks.kept == 0
+            marks.release_body(kept.pop())
+    assert marks.reserved == 0
 
 
 def test_an_answer_of_unknown_length_is_not_whole_until_its_connection_ends() -> None:
--- a/tests/streams/test_streams.py
+++ b/tests/streams/test_streams.py
@@ -14,7 +14,7 @@
 from lilacsill.agent.admission.settings import AdmissionSettings, ConnectionTimeouts
 from lilacsill.http1.message import origin_form
 from lilacsill.agent.inbound import downstream
-from lilacsill.agent.inbound.leave import DrainTimes
+from lilacsill.agent.inbound.draining import DrainTimes
 from tests.loopback import UNSAFE, Conversation, Message, World, post, world
 
 MB = 1024 * 1024
@@ -56,7 +56,7 @@
         assert again.peer is got.peer
         await again.answer()
         assert (await client.read()).status == 200
-        assert w.server.marks.streams == 0
+        assert w.server.watermarks.streams == 0
 
     played(tmp_path, play)
 
@@ -96,7 +96,7 @@
         await got.peer.write(b"HTTP/1.1 200 X\r\n\r\n" + LONG[:size])
         got.peer.close()
         _, fields = await head_of(client)
-        if size > downstream.SMALL:
+        if size > downstream.SMALL_BODY_BYTES:
             assert await client.chunks() == LONG[:size]
         else:
             assert await client.reader.readexactly(int(fields["content-length"])) == LONG[:size]
@@ -120,7 +120,7 @@
             assert fields["transfer-encoding"] == "chunked" and not rest.endswith(b"0\r\n\r\n")
         else:
             assert len(rest) < len(LONG)
-        assert w.nothing_sent() and w.server.marks.streams == 0
+        assert w.nothing_sent() and w.server.watermarks.streams == 0
 
     played(tmp_path, play, backends=2)
 
@@ -148,7 +148,7 @@
         await head_of(client)
         client.reset()
         await got.peer.ended()
-        assert w.server.marks.streams == 0
+        assert w.server.watermarks.streams == 0
         asking = await w.ask(post(Request_Id="next"))
         await (await w.request()).answer()
         assert (await asking.read()).status == 200
@@ -161,7 +161,7 @@
 
     async def play(w: World) -> None:
         # The loop and these peers share one process, so what counts is the books: what is read and not written.
-        w.server.marks.budget = budget = 2 * MB
+        w.server.watermarks.budget = budget = 2 * MB
         clients, writing = [], []
         for number in range(many):
             client = await w.ask(post(Request_Id=f"r{number}"))
@@ -197,7 +197,7 @@
 
 async def no_leave(w: World) -> None:
     """No body is kept whole."""
-    w.server.marks.kept = 10 * 2**30
+    w.server.watermarks.reserved = 10 * 2**30
 
 
 @pytest.mark.parametrize("kept", [True, False])
@@ -219,7 +219,7 @@
             await client.write(post(Request_Id="next"))
             await (await w.request()).answer()
             assert (await client.read()).status == 200
-        assert w.server.marks.streams == 0 and w.server.marks.kept in (0, 10 * 2**30)
+        assert w.server.watermarks.streams == 0 and w.server.watermarks.reserved in (0, 10 * 2**30)
 
     played(tmp_path, play)
 
@@ -249,7 +249,7 @@
         client = await w.client()
         await client.write(HEAD + UPLOAD[:100_000])
         assert (await client.read()).status == 408
-        assert w.server.marks.streams == 0 and w.agent.in_hand == 0
+        assert w.server.watermarks.streams == 0 and w.agent.requests_in_flight == 0
 
     played(tmp_path, play, times=ConnectionTimeouts(body_us=50_000, body_byte_us=0), sweep_s=0.01)
 
--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -10,16 +10,16 @@
 
 import pytest
 
-from lilacsill.agent.descriptors import Spare
-from lilacsill.agent.inbound.accept import ACCEPTS, AcceptLoop, listen
-from lilacsill.agent.inbound.refusals import Refusals
+from lilacsill.agent.descriptors import SpareDescriptor
+from lilacsill.agent.inbound.accept import MAX_ACCEPTS, AcceptLoop, create_listener
+from lilacsill.agent.inbound.refused_connections import RefusedConnections
 
 
 class Scripted:
     """A listening socket whose accepts go by a script of errors; then it is the real one again."""
 
     def __init__(self, script: list[int]) -> None:
-        self.real = listen("127.0.0.1", 0)
+        self.real = create_listener("127.0.0.1", 0)
         self.script = script
         self.accepts = 0
 
@@ -49,7 +49,7 @@
 
 def loop_on(
     listener: Scripted,
-    spare: Spare,
+    spare: SpareDescriptor,
     seen: Seen,
     take: Callable[[socket.socket, str, bool], None] | None = None,
     more: bool = True,
@@ -58,9 +58,9 @@
     return AcceptLoop(listener, spare, took, short, lambda: more)  # type: ignore[arg-type]
 
 
-def run(script: list[int], body: Callable[[Scripted, Seen, Spare], Any]) -> None:
+def run(script: list[int], body: Callable[[Scripted, Seen, SpareDescriptor], Any]) -> None:
     async def whole() -> None:
-        listener, seen, spare = Scripted(script), Seen(), Spare()
+        listener, seen, spare = Scripted(script), Seen(), SpareDescriptor()
         accepting = loop_on(listener, spare, seen)
         accepting.start()
         try:
@@ -79,7 +79,7 @@
 
 @pytest.mark.parametrize("error", [errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM])
 def test_with_no_descriptor_left_the_spare_one_takes_the_connection(error: int) -> None:
-    async def body(listener: Scripted, seen: Seen, spare: Spare) -> None:
+    async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
         with client(listener) as c:
             sock, host, tight = await seen.accepted.get()
             assert tight and host == "127.0.0.1" and seen.short == ["a new connection"]
@@ -94,7 +94,7 @@
 
 
 def test_with_not_even_the_spare_one_the_loop_rests_and_goes_on() -> None:
-    async def body(listener: Scripted, seen: Seen, spare: Spare) -> None:
+    async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
         with client(listener):
             sock, _, _ = await seen.accepted.get()
             assert not listener.script and listener.accepts >= 7
@@ -105,7 +105,7 @@
 
 @pytest.mark.parametrize("error", [errno.ECONNABORTED, errno.EPROTO, errno.EPERM, errno.ENETUNREACH])
 def test_a_connection_that_ended_in_the_queue_does_not_stop_the_others(error: int) -> None:
-    async def body(listener: Scripted, seen: Seen, spare: Spare) -> None:
+    async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
         with client(listener):
             sock, _, tight = await seen.accepted.get()
             assert not tight and not seen.short and listener.accepts >= 3
@@ -115,7 +115,7 @@
 
 
 def test_an_error_that_no_one_knows_is_no_spin(caplog: pytest.LogCaptureFixture) -> None:
-    async def body(listener: Scripted, seen: Seen, spare: Spare) -> None:
+    async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
         with client(listener):
             sock, _, _ = await seen.accepted.get()
             sock.close()
@@ -125,11 +125,11 @@
 
 
 def test_a_turn_accepts_a_bounded_number_and_leaves_none_in_the_queue() -> None:
-    async def body(listener: Scripted, seen: Seen, spare: Spare) -> None:
-        clients = [client(listener) for _ in range(3 * ACCEPTS)]
+    async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
+        clients = [client(listener) for _ in range(3 * MAX_ACCEPTS)]
         await asyncio.sleep(0)
         await asyncio.sleep(0)
-        assert seen.accepted.qsize() <= 2 * ACCEPTS
+        assert seen.accepted.qsize() <= 2 * MAX_ACCEPTS
         for c in clients:
             (await seen.accepted.get())[0].close()
             c.close()
@@ -140,7 +140,7 @@
 def test_a_full_backlog_loses_no_client(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("lilacsill.agent.inbound.accept.BACKLOG", 4)
 
-    async def body(listener: Scripted, seen: Seen, spare: Spare) -> None:
+    async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
         # More than the kernel queues before the loop has a turn: what it drops, the clients send again.
         clients = []
         for _ in range(8):
@@ -157,7 +157,7 @@
 
 
 def test_a_fault_with_one_connection_closes_that_one(caplog: pytest.LogCaptureFixture) -> None:
-    async def body(listener: Scripted, seen: Seen, spare: Spare) -> None:
+    async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
         taken, faults = seen.take, [ValueError("once")]
 
         def take(sock: socket.socket, host: str, tight: bool) -> None:
@@ -178,15 +178,15 @@
 
 
 def test_the_spare_descriptor_is_lent_and_had_again() -> None:
-    spare = Spare()
-    with spare.lent():
+    spare = SpareDescriptor()
+    with spare.released():
         assert not spare.release()
-    assert spare.release() and spare.regain() and spare.regain() and spare.release()
+    assert spare.release() and spare.reacquire() and spare.reacquire() and spare.release()
 
 
 def test_a_refused_client_that_leaves_or_resets_is_forgotten() -> None:
     async def whole() -> None:
-        refusals = Refusals(2)
+        refusals = RefusedConnections(2)
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         refusals.refuse(ours, 0.5, may_wait=True)
@@ -206,11 +206,11 @@
 
 def test_where_no_more_may_follow_one_is_accepted_in_a_turn() -> None:
     async def whole() -> None:
-        listener, seen, spare = Scripted([]), Seen(), Spare()
+        listener, seen, spare = Scripted([]), Seen(), SpareDescriptor()
         accepting = loop_on(listener, spare, seen, more=False)
         clients = [client(listener) for _ in range(3)]
         for number in range(1, 4):
-            accepting._ready()
+            accepting._on_readable()
             assert seen.accepted.qsize() == number
         accepting.stop()
         spare.release()
--- a/tests/test_admission_storm.py
+++ b/tests/test_admission_storm.py
@@ -98,7 +98,7 @@
                 held.append(sock)
             refused = [asyncio.create_task(answer(s)) for s in held]
             taken = [await w.request() for _ in range(8)]
-            assert w.server.gate.connections.count(ConnectionState.IN_FLIGHT) == 8
+            assert w.server.admission.connections.count(ConnectionState.IN_FLIGHT) == 8
             client = await w.ask(post(Request_Id="known"), KNOWN)
             await (got := await w.request()).answer()
             assert got.headers["request-id"] == "known" and (await client.read()).status == 200
@@ -116,7 +116,7 @@
 def test_half_open_heads_make_way_for_a_known_client_alone(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path, budget=TWENTY, times=NEVER, admission=LISTED) as w:
-            table = w.server.gate.connections
+            table = w.server.admission.connections
             slow = [await connect(w.port, s) for s in strangers(30)]
             for byte in (b"P", b"O", b"S"):
                 for sock in slow:
@@ -153,7 +153,7 @@
             await silent.ended()
             await got.answer()
             assert (await held.read()).status == 200
-            assert w.agent._accepted == 1
+            assert w.agent._requests_accepted == 1
 
     asyncio.run(run())
 
@@ -166,7 +166,7 @@
             others = [await w.client() for _ in range(40)]
             for other in others[:-3]:
                 await other.ended()
-            assert len(w.server.refusals) <= 3
+            assert len(w.server.refused) <= 3
             await got.answer()
             assert (await held.read()).status == 200
 
--- a/tests/test_agent.py
+++ b/tests/test_agent.py
@@ -192,7 +192,7 @@
     async def run() -> None:
         # One connection to backends at most, and that one is busy: the next attempt ends unsent, at once.
         async with world(tmp_path, budget=shared(4)) as w:
-            w.server.gate.descriptors.acquire(Side.UPSTREAM)
+            w.server.admission.descriptors.acquire(Side.UPSTREAM)
             first = await w.ask(post())
             got = await w.request()
             second = await w.ask(post(UNSAFE, Request_Id="9b20"))
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -6,6 +6,10 @@
 from collections.abc import Callable
 
 import pytest
+
+from lilacsill.agent.outbound.requests import Result, parse_report
+from lilacsill.balancing.interface import Outcome
+from lilacsill.clock import Clock
 from tests.backends import (
     ASK,
     FIELDS,
@@ -15,10 +19,6 @@
 )
 from tests.loopback import Message, Peer
 
-from lilacsill.balancing.interface import Outcome
-from lilacsill.agent.outbound.terms import Result, parse_report
-from lilacsill.clock import Clock
-
 
 @pytest.mark.parametrize(
     "text, report",
@@ -44,8 +44,8 @@
 
     def __init__(self) -> None:
         self.body, self.whole = b"", False
-        self.relieved: Callable[[], None] = lambda: None
-        self.left: Callable[[], None] = lambda: None
+        self.on_drained: Callable[[], None] = lambda: None
+        self.on_client_gone: Callable[[], None] = lambda: None
 
     def read_limit(self) -> int:
         return 10_000
@@ -97,14 +97,14 @@
         exchange = made.exchange("s", ASK, 60_000_000, end.set_result)
         got = await peer.requests.get()
         await got.peer.write(OK + b"Server-Load: inflight=1,queue=0,util=0\r\nContent-Length: 4\r\n\r\nha")
-        while not exchange._first_us:
+        while not exchange._first_part_us:
             await asyncio.sleep(0)
         before = clock.now()
         clock.ahead_us = 60_000
         await got.peer.write(b"lf")
         result = await end
         assert (result.outcome, result.body) == (Outcome.OK, b"half")
-        assert result.latency_us <= before - exchange._began
+        assert result.latency_us <= before - exchange._started_at
         assert not result.report  # it is as old as the head
         await peer.stop()
 
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -25,7 +25,7 @@
 from tests.loopback import Message, Peer, member
 
 from lilacsill.balancing.interface import Outcome
-from lilacsill.agent.outbound.terms import Result, UpstreamRequest
+from lilacsill.agent.outbound.requests import Result, UpstreamRequest
 from lilacsill.http1.connection import Connection
 from lilacsill.agent.discovery.listing import ListingParser
 
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -20,7 +20,7 @@
 def test_an_idle_connection_to_a_backend_makes_way_for_a_client(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=1, budget=shared(4), times=NEVER) as w:
-            ledger = w.server.gate.descriptors
+            ledger = w.server.admission.descriptors
             clients = [await w.ask(post(Request_Id=f"r{i}")) for i in range(2)]
             got = [await w.request() for _ in clients]
             assert ledger.open_count(Side.UPSTREAM) == 2
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -71,7 +71,7 @@
         recorder = Recorder(str(path), 2**20, "n0", Settings(classes=(SAFE,)), clock, belief, every)
         for step, status in enumerate((503, 503, 200, 503)):
             clock.at += 3 * MS * step
-            recorder.answered(step, status)
+            recorder.request_answered(step, status)
         recorder.close()
         head, events = parse(path.read_bytes(), path.name)
         found = [e for e in events if e[0] == "b"]
--- a/tests/test_pushed.py
+++ b/tests/test_pushed.py
@@ -13,7 +13,7 @@
 from lilacsill.agent.discovery import watch
 from lilacsill.agent.discovery.listing import Listing, ListingParser
 from lilacsill.agent.discovery.watch import Discovery
-from lilacsill.agent.run import assemble
+from lilacsill.agent.assembly import assemble
 from tests.loopback import Peer, Running, config_doc, load_config, member, post
 from tests.test_discovery import body
 
@@ -46,7 +46,7 @@
 
 def test_a_watch_that_breaks_or_is_left_silent_goes_on_by_itself(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch, "PUSHED_WAIT_MS", 1)
-    monkeypatch.setattr(watch, "ANSWER_S", 0.01)
+    monkeypatch.setattr(watch, "RESPONSE_TIMEOUT_S", 0.01)
 
     async def run() -> None:
         peer, told = await Peer().start(), asyncio.Queue[Listing | None]()
@@ -74,7 +74,7 @@
         agent = assemble(config, Clock()).agent
         agent.start(config.known)
         watched = await old.requests.get()
-        agent.move(Address("127.0.0.1", new.port))
+        agent.set_discovery(Address("127.0.0.1", new.port))
         call = await new.requests.get()
         assert call.first == "GET /catalog/members HTTP/1.1"
         await watched.peer.ended()
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -67,7 +67,7 @@
         config = load_config(tmp_path, config_doc(9, []), Clock())
         r = Recorder(path, 10**6, "n0", config.settings, Clock())
         for number in range(9000):
-            r.answered(number, 200)
+            r.request_answered(number, 200)
         r.close()
     assert [m.split(":")[0] for m in caplog.messages] == ["the recording ends"] * 2
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -11,8 +11,9 @@
 
 import pytest
 
+from lilacsill.agent.assembly import Options, assemble, budget_for
+from lilacsill.agent.reload import Reload
 from lilacsill.clock import Clock
-from lilacsill.agent.run import Options, Reload, assemble, budget_for
 from tests.loopback import Message, Peer, Running, config_doc, load_config, member, post
 
 
@@ -109,7 +110,7 @@
     """SIGHUP at the limit of descriptors: the new discovery must not be missed."""
 
     async def run() -> None:
-        monkeypatch.setattr("lilacsill.agent.run.READ_AGAIN_S", 0.001)
+        monkeypatch.setattr("lilacsill.agent.reload.RETRY_DELAY_S", 0.001)
         discovery = await Peer().start()
         clock = Clock()
         config = load_config(tmp_path, config_doc(discovery.port, []), clock)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -93,7 +93,7 @@
         async with world(tmp_path) as w:
             client = await w.ask(request)
             assert (await client.read()).status == status
-            assert not w.agent._in_flight and not w.agent._accepted
+            assert not w.agent._in_flight and not w.agent._requests_accepted
             # And the next one is served.
             client = await w.ask(post(body=b"x" * 65_536))
             await (await w.request()).answer()
@@ -125,7 +125,7 @@
             await got.answer()
             assert (await client.read()).status == 200
             assert (await client.read()).status == 400
-            assert w.agent._accepted == 1 and w.nothing_sent()
+            assert w.agent._requests_accepted == 1 and w.nothing_sent()
 
     asyncio.run(run())
 
@@ -139,7 +139,7 @@
             assert (await other.read()).status == 409
             await got.answer(200, b"owner's")
             assert (await owner.read()).body == b"owner's"
-            assert w.agent._accepted == 1 and w.nothing_sent()
+            assert w.agent._requests_accepted == 1 and w.nothing_sent()
             await other.write(post())  # the id is free again
             await (await w.request()).answer()
             assert (await other.read()).status == 200
@@ -188,7 +188,7 @@
             if status is not None:
                 assert (await client.read()).status == status
             await client.ended()
-            assert not w.agent._accepted
+            assert not w.agent._requests_accepted
 
     asyncio.run(run())
 
