--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -15,7 +15,7 @@
 from lilacsill.mesh.proxy.watch_list import WatchList
 from lilacsill.mesh.registry.config_cache import ConfigCache
 from lilacsill.mesh.registry.directory import Directory
-from lilacsill.mesh.runtime.frames import frame
+from lilacsill.mesh.runtime.frames import encode_frame
 from lilacsill.mesh.runtime.messages import Endpoint, Freshness, Item, Load, PollReply, decode, encode
 from lilacsill.mesh.store.draft import Draft
 from lilacsill.mesh.store.state import ConfigState
@@ -101,7 +101,7 @@
 def full_reply(size: int) -> bytes:
     """All endpoints in one answer."""
     registries = [f"10.1.0.{i}:7660" for i in range(TARGET.control_machines)]
-    return frame(
+    return encode_frame(
         1, encode(PollReply(fleet.BORN, size, fleet.endpoints(size), [], 1, [], 1, Freshness(0, 0), registries))
     )
 
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -22,8 +22,8 @@
 from lilacsill.mesh.proxy.table import Table
 from lilacsill.mesh.runtime.messages import Endpoint, Message
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Peers
-from lilacsill.mesh.runtime.settings import Settings
+from lilacsill.mesh.runtime.rpc import RpcClientPool
+from lilacsill.mesh.runtime.settings import Settings, TimingBounds
 
 from . import fleet
 
@@ -36,23 +36,23 @@
     told = fleet.endpoint(number, services, network)
     return Settings(
         path="",
-        node=told.node,
+        node_name=told.node,
         zone=told.zone,
         ip=told.host,
-        ports=(told.port, told.port + 15),
+        internal_ports=(told.port, told.port + 15),
         seeds=seeds,
-        fresh=False,
-        counts=False,
-        lost_machines=1,
-        lost_places=0,
-        data="",
-        beat_us=500_000,
-        bounds={},
+        fresh_start=False,
+        loss_counts=False,
+        max_lost_machines=1,
+        max_lost_zones=0,
+        data_dir="",
+        heartbeat_interval_us=500_000,
+        timing=TimingBounds(),
         listen={},
-        app=Address(told.host, told.port + 16),
+        backend_address=Address(told.host, told.port + 16),
         service=told.service,
-        memory_mb=300,
-        files=4096,
+        max_memory_mb=300,
+        max_open_files=4096,
         link_mbps=1000.0,
         disk_mb=0,
     )
@@ -78,7 +78,7 @@
     """A proxy's questions to its neighbours, while it is there."""
 
     def __init__(self, reactor: Reactor, proxy: HollowProxy) -> None:
-        self.now, self._reactor, self._proxy, self.peers = reactor.now, reactor, proxy, Peers(reactor)
+        self.now, self._reactor, self._proxy, self.peers = reactor.now, reactor, proxy, RpcClientPool(reactor)
 
     def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> object:
         return None if self._proxy.over else self._reactor.after(delay_us, call, *arguments)
@@ -87,7 +87,7 @@
         if self._proxy.cut:
             self._reactor.after(timeout_us, answered, None)
         else:
-            self.peers.to(parse_address(address)).ask(message, timeout_us, answered)
+            self.peers.client(parse_address(address)).request(message, timeout_us, answered)
 
 
 class HollowDiscovery(DiscoveryClient):
@@ -108,7 +108,7 @@
         super()._endpoint_told(endpoint if self.shared is None else self.shared.one(endpoint), now)
 
     def close_links(self) -> None:
-        self._peers.keep(set())
+        self._peers.retain(set())
 
 
 class HollowProxy:
@@ -126,11 +126,11 @@
         """Raises OSError."""
         self.number, self.settings, self._reactor = number, settings, reactor
         self.over = self.cut = False
-        assert settings.app is not None
+        assert settings.backend_address is not None
         self._life = Life(1_000_000)
-        self._gateway = BackendGateway(reactor, self._life, settings.app)
+        self._gateway = BackendGateway(reactor, self._life, settings.backend_address)
         self.carrier = Forwarder(
-            reactor, Routes(), self._gateway, settings.node, settings.service, BOUNDS, Random(number)
+            reactor, Routes(), self._gateway, settings.node_name, settings.service, BOUNDS, Random(number)
         )
         if shared is not None:
             self.carrier.tables = shared.tables
@@ -138,7 +138,7 @@
         self.news.proxy, self.news.shared = self, shared
         self.news.on_news = lambda: on_news(self)
         self._links = Links(reactor, self)
-        self.neighbours = Neighbours(self._links, settings.node, self.news.others, self._accused)
+        self.neighbours = Neighbours(self._links, settings.node_name, self.news.others, self._accused)
         self._gateway.look = self.neighbours.look
         self._listen()
         self._life.answered(f"i-{number:08x}-{self.news.endpoint().incarnation}", settings.service, SLOTS)
@@ -147,7 +147,9 @@
             self.neighbours.start()
 
     def _listen(self) -> None:
-        self._offers = OfferServer(self._reactor, Address(self.settings.ip, self.settings.ports[0]), self._gateway)
+        self._offers = OfferServer(
+            self._reactor, Address(self.settings.ip, self.settings.internal_ports[0]), self._gateway
+        )
 
     def _accused(self) -> None:
         self.news.accused = self.neighbours.accused
@@ -174,7 +176,7 @@
 
     def _close(self) -> None:
         self.news.close_links()
-        self._links.peers.keep(set())
+        self._links.peers.retain(set())
         self._offers.close()
         for sink in list(self._offers.sinks):
             sink.link.close()
--- a/benchmarks/capacity/host.py
+++ b/benchmarks/capacity/host.py
@@ -138,7 +138,7 @@
             applied.append((seq, now))
         if self._changed[proxy.number][0] != known:
             self._changed[proxy.number] = (known, now)
-        self._late_us = max(self._late_us, self._reactor.late_us)
+        self._late_us = max(self._late_us, self._reactor.loop_delay_us)
 
     def _report(self, order: Order) -> Report:
         times = Spread()
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -15,13 +15,13 @@
 from statistics import mean, median
 from time import process_time
 
-from lilacsill.mesh.registry.config_cache import ConfigCache
-from lilacsill.mesh.simulation.load_reports import Fair, Environment
-from lilacsill.mesh.simulation.failure_detection import Street
-from lilacsill.mesh.runtime.frames import frame
 from lilacsill.mesh.proxy.neighbours import WATCHED
 from lilacsill.mesh.proxy.watch_list import WatchList
+from lilacsill.mesh.registry.config_cache import ConfigCache
+from lilacsill.mesh.runtime.frames import encode_frame
 from lilacsill.mesh.runtime.messages import Endpoint, Freshness, Item, Poll, PollReply, encode
+from lilacsill.mesh.simulation.failure_detection import Street
+from lilacsill.mesh.simulation.load_reports import Environment, Fair
 
 SIZES = (8, 16, 32, 64, 128, 256, 400)
 USE = 0.75
@@ -40,12 +40,12 @@
     if not routes:
         ask = Poll(endpoint, BORN, nodes, 1, 1, 700, [])
         news = PollReply(BORN, nodes, [], [], 1, [], 1, FRESHNESS, registries)
-        return round(2 * (len(frame(1, encode(ask))) + len(frame(1, encode(news)))) / 0.7)
+        return round(2 * (len(encode_frame(1, encode(ask))) + len(encode_frame(1, encode(news)))) / 0.7)
     copy, sent, seq = ConfigCache(), 0, 1
     copy.take([Item("route", f"r-x73d3z{i}", 7, i + 2, b"x" * 260) for i in range(routes)], routes + 1)
     while seq < copy.seq:
         items, seq = copy.piece(seq)
-        sent += len(frame(1, encode(PollReply(1, nodes, [], [], seq, items, copy.seq, FRESHNESS, registries))))
+        sent += len(encode_frame(1, encode(PollReply(1, nodes, [], [], seq, items, copy.seq, FRESHNESS, registries))))
     return sent
 
 
--- a/lilacsill/mesh/credit/home.py
+++ b/lilacsill/mesh/credit/home.py
@@ -17,7 +17,7 @@
 
 import msgspec
 
-from lilacsill.mesh.runtime.hashing import chosen
+from lilacsill.mesh.runtime.hashing import rendezvous_select
 
 from .account import Account, of_state
 from .allowance import LEASE_US
@@ -67,10 +67,10 @@
 
 def pair_of(nodes: dict[str, str], caller: str) -> tuple[str, str]:
     """Home node and copy, which is in another region where there is one; empty if there is no other node."""
-    home = chosen(caller, nodes, 1)[0]
+    home = rendezvous_select(caller, nodes, 1)[0]
     away = [node for node, region in nodes.items() if region != nodes[home]]
     others = away or [node for node in nodes if node != home]
-    return home, next(iter(chosen(caller, others, 1)), "")
+    return home, next(iter(rendezvous_select(caller, others, 1)), "")
 
 
 @dataclass(slots=True)
--- a/lilacsill/mesh/proxy/control_api.py
+++ b/lilacsill/mesh/proxy/control_api.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from lilacsill.address import Address
-from lilacsill.mesh.runtime.link import Link
+from lilacsill.mesh.runtime.link import Link, Listener
 from lilacsill.mesh.runtime.messages import (
     BodyChunk,
     IndirectPing,
@@ -20,7 +20,6 @@
     StatusReply,
 )
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Listener
 
 from .far import PILE, BackendGateway, BackendRequest
 
@@ -42,7 +41,7 @@
             message.body_complete if isinstance(message, Response) else message.last
         ):
             self._request = None
-        if not self.link.open:
+        if not self.link.is_open:
             return 0
         return self.link.send(message, self._number)
 
@@ -71,13 +70,13 @@
             link.close()
 
     def _saw(self, number: int, seen: Message) -> None:
-        if self.link.open:
+        if self.link.is_open:
             self.link.send(seen, number)
 
     def _resume(self) -> None:
         if self._request is not None and self._request.unsent > PILE // 2:
             self._gateway.after(RESUME_US, self._resume)
-        elif self.link.open:
+        elif self.link.is_open:
             self.link.stream.resume()
 
     def _flushed(self) -> None:
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -11,12 +11,12 @@
 from functools import partial
 
 from lilacsill.address import Address, parse_address
-from lilacsill.mesh.runtime.freshness import Evidence
-from lilacsill.mesh.runtime.hashing import chosen
+from lilacsill.mesh.runtime.freshness import FreshnessTracker
+from lilacsill.mesh.runtime.hashing import rendezvous_select
 from lilacsill.mesh.runtime.incarnation import Incarnation
 from lilacsill.mesh.runtime.messages import Endpoint, Message, Poll, PollReply
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Peers
+from lilacsill.mesh.runtime.rpc import RpcClientPool
 from lilacsill.mesh.runtime.settings import Settings
 
 from .forwarding import Forwarder
@@ -37,8 +37,8 @@
 
     def __init__(self, settings: Settings, reactor: Reactor, carrier: Forwarder, life: Life) -> None:
         self._settings, self._reactor, self._carrier, self._life = settings, reactor, carrier, life
-        self._peers = Peers(reactor)
-        self._registries = {f"{seed.host}:{settings.ports[0]}" for seed in settings.seeds}
+        self._peers = RpcClientPool(reactor)
+        self._registries = {f"{seed.host}:{settings.internal_ports[0]}" for seed in settings.seeds}
         self.vector: dict[str, tuple[int, int]] = {}  # of each registry: its life, version of its directory
         self._hanging: dict[str, int] = {}  # registry: number of the question that is out
         self._shunned: dict[str, int] = {}
@@ -46,7 +46,7 @@
         self._newest = 0  # number of the configuration that is known to be there
         self._behind: set[str] = set()  # registries to be asked for items out of turn
         self._incarnation = Incarnation(time.time_ns() // 1000)
-        self.evidence = Evidence(CURRENT_US)  # that the configuration here is the one in force
+        self.evidence = FreshnessTracker(CURRENT_US)  # that the configuration here is the one in force
         self.leaving = False
         self.endpoints: dict[str, Endpoint] = {}
         self._others: dict[str, str] | None = None  # None: to be made anew
@@ -63,7 +63,7 @@
 
     def changed(self) -> None:
         """The own endpoint has: tell at once."""
-        self._incarnation.changed()
+        self._incarnation.next_version()
         self.tell()
 
     def tell(self) -> None:
@@ -75,11 +75,11 @@
         cold_us = life.cold_until - self._reactor.now()
         state = "leaving" if self.leaving else life.state
         return Endpoint(
-            settings.node,
+            settings.node_name,
             self._incarnation.number,
             self._incarnation.version,
             settings.ip,
-            settings.ports[0],
+            settings.internal_ports[0],
             settings.zone,
             life.service or settings.service,
             life.server,
@@ -94,7 +94,7 @@
             self._others = {
                 n: f"{s.host}:{s.port}"
                 for n, s in self.endpoints.items()
-                if n != self._settings.node and s.state != "leaving"
+                if n != self._settings.node_name and s.state != "leaving"
             }
         return self._others
 
@@ -103,7 +103,7 @@
         self._reactor.after(REST_US, self._turn)
         self._shunned = {c: until for c, until in self._shunned.items() if until > now}
         open_to = self._registries - self._shunned.keys() or self._registries
-        for registry in chosen(self._settings.node, open_to, REGISTRIES):
+        for registry in rendezvous_select(self._settings.node_name, open_to, REGISTRIES):
             if registry not in self._hanging:
                 self._ask(registry, WAIT_MS)
 
@@ -124,13 +124,13 @@
             wait_ms,
             told(self.accused, {n: self.endpoints[n].incarnation for n in self.accused if n in self.endpoints}),
         )
-        self._peers.to(parse_address(registry)).ask(
+        self._peers.client(parse_address(registry)).request(
             ask, wait_ms * 1000 + LATE_US, partial(self._answered, registry, number, self._reactor.now())
         )
 
     def _first(self) -> str:
         open_to = self._registries - self._shunned.keys() or self._registries
-        return next(iter(chosen(self._settings.node, open_to, 1)), "")
+        return next(iter(rendezvous_select(self._settings.node_name, open_to, 1)), "")
 
     def _answered(self, registry: str, number: int, asked_at: int, m: Message | None) -> None:
         current = self._hanging.get(registry) == number
@@ -148,13 +148,13 @@
             # Cut off, or just started: its directory is of use, its configuration is not.
             self._shunned[registry] = self._reactor.now() + SHUN_US // 4
             return self._turn_now()
-        if registry in chosen(self._settings.node, self._registries - self._shunned.keys(), REGISTRIES):
+        if registry in rendezvous_select(self._settings.node_name, self._registries - self._shunned.keys(), REGISTRIES):
             self._ask(registry, WAIT_MS)
 
     def _turn_now(self) -> None:
         now = self._reactor.now()
         open_to = self._registries - {c for c, until in self._shunned.items() if until > now}
-        for registry in chosen(self._settings.node, open_to, REGISTRIES):
+        for registry in rendezvous_select(self._settings.node_name, open_to, REGISTRIES):
             if registry not in self._hanging:
                 self._ask(registry, WAIT_MS)
 
@@ -175,7 +175,7 @@
             routes.apply(m.items, m.config_seq)
         self._newest = max(self._newest, m.newest_seq)
         if m.freshness is not None and routes.seq >= m.newest_seq:
-            self.evidence.heard(m.freshness, asked_at)
+            self.evidence.record(m.freshness, asked_at)
         elif m.freshness is not None and not m.items:
             self._reactor.after(BEHIND_US, self._still_behind, registry)
         if m.registry_addresses:
@@ -186,7 +186,7 @@
 
     def _refute(self, endpoints: list[Endpoint]) -> None:
         """A record of a run of this proxy that is over, with a higher number than this one's, would hide this one."""
-        own = (e for e in endpoints if e.node == self._settings.node)
+        own = (e for e in endpoints if e.node == self._settings.node_name)
         if any(self._incarnation.refute(e.incarnation, e.version) for e in own):
             self.changed()
 
--- a/lilacsill/mesh/proxy/inbound.py
+++ b/lilacsill/mesh/proxy/inbound.py
@@ -10,9 +10,9 @@
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import REASONS, Message, Reader, chunk, origin_form
+from lilacsill.mesh.runtime.link import Listener
 from lilacsill.mesh.runtime.messages import Headers
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Listener
 
 from .forwarding import Forwarder, Forwarding
 
--- a/lilacsill/mesh/proxy/neighbours.py
+++ b/lilacsill/mesh/proxy/neighbours.py
@@ -12,7 +12,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from lilacsill.mesh.runtime.hashing import chosen
+from lilacsill.mesh.runtime.hashing import rendezvous_select
 from lilacsill.mesh.runtime.messages import IndirectPing, IndirectPingReply, Message, Ping
 
 from .watch_list import WatchList
@@ -86,7 +86,7 @@
         if self._doubts() or node not in others or node in self.accused:
             return
         # Each target has helpers of its own, so that the few that know of it are the same for all who ask.
-        helpers = [h for h in chosen(node, others, HELPERS + 1) if h != self._me][:HELPERS]
+        helpers = [h for h in rendezvous_select(node, others, HELPERS + 1) if h != self._me][:HELPERS]
         answers: list[bool | None] = []
         for helper in helpers:
             self._world.ask(
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -14,8 +14,8 @@
 from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import Headers, Message
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Answered, Peers
-from lilacsill.mesh.runtime.settings import Settings, SettingsError, load
+from lilacsill.mesh.runtime.rpc import OnReply, RpcClientPool
+from lilacsill.mesh.runtime.settings import Settings, SettingsError, load_settings
 
 from .backend import BackendConnection
 from .control_api import OfferServer
@@ -38,27 +38,27 @@
 
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
         """Raises OSError, SettingsError."""
-        if settings.app is None:
-            raise SettingsError(f"{settings.path}: AppAddress: a proxy stands beside a backend")
+        if settings.backend_address is None:
+            raise SettingsError(settings.path, "AppAddress", "a proxy stands beside a backend")
         self._settings, self._reactor = settings, reactor
-        self._life = Life(settings.bound_us("DrainWithinMs", 2000))
-        self._gateway = BackendGateway(reactor, self._life, settings.app)
-        ratio, slack = settings.bounds.get("RetryRatio", 0.2), settings.bounds.get("RetrySlack", 0.0)
-        window_us = settings.bound_us("RetryWindowS", 10_000)
+        self._life = Life(settings.timing.drain_us)
+        self._gateway = BackendGateway(reactor, self._life, settings.backend_address)
+        ratio, slack = settings.timing.retry_ratio, settings.timing.retry_slack
+        window_us = settings.timing.retry_window_us
         # On the first start of all there was no process before this one.
-        slack_from = 0 if settings.fresh else reactor.now() + window_us
+        slack_from = 0 if settings.fresh_start else reactor.now() + window_us
         self._carrier = Forwarder(
             reactor,
             Routes(),
             self._gateway,
-            settings.node,
+            settings.node_name,
             settings.service,
             (ratio, window_us, slack),
             Random(),
             slack_from,
         )
         self._news = DiscoveryClient(settings, reactor, self._carrier, self._life)
-        self._far = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway)
+        self._far = OfferServer(reactor, Address(settings.ip, settings.internal_ports[0]), self._gateway)
         self._clients = Clients(reactor, settings.listen["Outgoing"], self._carrier)
         self._control = ControlServer(reactor, settings.listen["ControlPort"], self._called)
         self._ready = ControlServer(reactor, settings.listen["ReadyCheck"], self._asked_ready)
@@ -66,7 +66,7 @@
         self._probing = False
         self._news.on_news = self._news_came
         self._gateway.status = self._status
-        self._neighbours = Neighbours(Asking(reactor), settings.node, self._news.others, self._accused)
+        self._neighbours = Neighbours(Asking(reactor), settings.node_name, self._news.others, self._accused)
         self._gateway.look = self._neighbours.look
         reactor.on_signal(signal.SIGTERM, self._terminated)
         reactor.on_signal(signal.SIGHUP, self._settings_changed)
@@ -115,14 +115,14 @@
         respond(200, b"{}")
 
     def _drains(self) -> None:
-        half_us = self._settings.bound_us("DrainWithinMs", 2000) // 2
+        half_us = self._settings.timing.drain_us // 2
         self._reactor.after(half_us, self._gateway.gate.clear, "draining")
 
     def _news_came(self) -> None:
         most = self._carrier.routes.most_connections(self._life.service or self._settings.service)
         if most is not None:
             self._gateway.pool.most = most
-        told = self._news.endpoints.get(self._settings.node)
+        told = self._news.endpoints.get(self._settings.node_name)
         leaves = told.server if told is not None and told.state == "draining" else ""
         if leaves and self._life.known_to_leave(leaves, self._reactor.now()):
             self._drains()
@@ -152,10 +152,10 @@
         now, life, gate = self._reactor.now(), self._life, self._gateway.gate
         return msgspec.json.encode(
             {
-                "node": self._settings.node,
+                "node": self._settings.node_name,
                 "state": self._carrier.routes.seq,
                 "sure": self._news.sure(),
-                "why_unsure": self._news.evidence.why_not_current(now),
+                "why_unsure": self._news.evidence.stale_reason(now),
                 "age_ms": self._news.evidence.age_ms(now),
                 "leaving": bool(self._leaving_since),
                 "in_hand": len(self._carrier.in_hand),
@@ -201,7 +201,7 @@
         """Seeds are for a start only, and all else stays as it is for the life of a process; a file that cannot be
         used is told of."""
         try:
-            load(self._settings.path)
+            load_settings(self._settings.path)
         except SettingsError as e:
             log.warning("%s", e)
 
@@ -218,7 +218,7 @@
     def _leave(self) -> None:
         gone_us = self._reactor.now() - self._leaving_since
         busy = bool(self._carrier.in_hand or self._gateway.requests)
-        late = gone_us > self._settings.bound_us("GracePeriodS", 6000) - END_US
+        late = gone_us > self._settings.timing.grace_period_us - END_US
         if late:
             # Whose backend is still at work gets no more than that; answers that wait behind it are given.
             for carry in list(self._carrier.in_hand):
@@ -232,7 +232,7 @@
         self._reactor.after(LEAVE_LOOK_US, self._leave)
 
     def _end(self) -> None:
-        late = self._reactor.now() - self._leaving_since > self._settings.bound_us("GracePeriodS", 6000) - END_US // 2
+        late = self._reactor.now() - self._leaving_since > self._settings.timing.grace_period_us - END_US // 2
         if late or not (self._carrier.in_hand or self._gateway.requests):
             return self._reactor.stop()
         self._reactor.after(LEAVE_LOOK_US, self._end)
@@ -242,10 +242,10 @@
     """Questions to neighbours."""
 
     def __init__(self, reactor: Reactor) -> None:
-        self.now, self.after, self._peers = reactor.now, reactor.after, Peers(reactor)
+        self.now, self.after, self._peers = reactor.now, reactor.after, RpcClientPool(reactor)
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
-        self._peers.to(parse_address(address)).ask(message, timeout_us, answered)
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
+        self._peers.client(parse_address(address)).request(message, timeout_us, answered)
 
 
 class Probe:
--- a/lilacsill/mesh/proxy/transports.py
+++ b/lilacsill/mesh/proxy/transports.py
@@ -155,7 +155,7 @@
 
     def piece(self, piece: BodyChunk) -> None:
         self._sent_whole = self._sent_whole or piece.last
-        if self._link is not None and self._link.open:
+        if self._link is not None and self._link.is_open:
             self._link.send(piece, self._number)
         elif self._link is None and self._listener is not None:
             self._pieces.append(piece)
@@ -171,7 +171,7 @@
             link.close()
 
     def hold(self, on: bool) -> None:
-        if self._link is not None and self._link.open:
+        if self._link is not None and self._link.is_open:
             if on:
                 self._link.stream.pause()
             else:
@@ -193,7 +193,7 @@
         idle = self._idle.get(address)
         while idle:
             link = idle.pop()
-            if link.open and link.stream.nothing_to_read():
+            if link.is_open and link.stream.nothing_to_read():
                 way.begin(link)
                 return way
             link.close()
@@ -219,7 +219,7 @@
     def give_back(self, address: Address, link: Link) -> None:
         """An exchange is over, and its link may serve the next."""
         idle = self._idle.setdefault(address, [])
-        if len(idle) >= IDLE_MOST or not link.open:
+        if len(idle) >= IDLE_MOST or not link.is_open:
             return link.close()
         link.stream.resume()  # the end of an answer may be there already when its client's slowness has paused it
 
--- a/lilacsill/mesh/proxy/watch_list.py
+++ b/lilacsill/mesh/proxy/watch_list.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from lilacsill.mesh.runtime.hashing import weight
+from lilacsill.mesh.runtime.hashing import rendezvous_weight
 
 
 class WatchList:
@@ -41,15 +41,15 @@
         """New nodes may take this one's place at those that it watches."""
         for node, stronger in self._stronger.items():
             if len(stronger) < self._count:
-                mine = (weight(node, self._me), self._me)
-                more = [n for n in new if (weight(node, n), n) > mine]
+                mine = (rendezvous_weight(node, self._me), self._me)
+                more = [n for n in new if (rendezvous_weight(node, n), n) > mine]
                 self._stronger[node] = (*stronger, *more)[: self._count]
 
     def _find_stronger(self, node: str) -> tuple[str, ...]:
-        mine = (weight(node, self._me), self._me)
+        mine = (rendezvous_weight(node, self._me), self._me)
         found: list[str] = []
         for other in self._stronger:
-            if other != node and (weight(node, other), other) > mine:
+            if other != node and (rendezvous_weight(node, other), other) > mine:
                 found.append(other)
                 if len(found) == self._count:
                     break
--- a/lilacsill/mesh/registry/__main__.py
+++ b/lilacsill/mesh/registry/__main__.py
@@ -4,21 +4,21 @@
 
 import sys
 
-from lilacsill.mesh.runtime.start import start
+from lilacsill.mesh.runtime.start import run_process
 
 
 def process() -> int:
     from .process import Process
 
-    return start("registry", Process)
+    return run_process("registry", Process)
 
 
 def main() -> int:
     if len(sys.argv) == 1:
         return process()
-    from lilacsill.mesh.runtime.commands import Commands, run
+    from lilacsill.mesh.runtime.commands import Commands, run_command
 
-    return run("registry", Commands)
+    return run_command("registry", Commands)
 
 
 if __name__ == "__main__":
--- a/lilacsill/mesh/registry/config_cache.py
+++ b/lilacsill/mesh/registry/config_cache.py
@@ -5,7 +5,7 @@
 from itertools import islice
 
 from lilacsill.mesh.runtime.messages import Item
-from lilacsill.mesh.runtime.sequence import Items, in_order, later_than, newest, put_last
+from lilacsill.mesh.runtime.sequence import Items, highest_seq, items_after, set_newest, sorted_by_seq
 
 PIECE, ITEM = 12_000, 40  # bytes in one answer; of an item beyond its body
 TOMBSTONES = 4096  # dropped items that are kept
@@ -28,11 +28,11 @@
             held = self._items.get((item.kind, item.name))
             if held is not None and held.version >= item.version:
                 continue
-            ordered = ordered and item.seq >= newest(self._items)
+            ordered = ordered and item.seq >= highest_seq(self._items)
             self._tombstones += (item.body is None) - (held is not None and held.body is None)
-            put_last(self._items, item)
+            set_newest(self._items, item)
         if not ordered:
-            self._items = in_order(self._items)
+            self._items = sorted_by_seq(self._items)
         self.seq = max(self.seq, seq)
         if self._tombstones >= TOMBSTONES + COLLECTED_AT_ONCE:
             self._collect()
@@ -48,7 +48,7 @@
         long on a thin link is asked for again before it is there. Whoever has nothing needs no dropped items."""
         found: list[Item] = []
         size = 0
-        for item in later_than(self._items, after) if after else self._items.values():
+        for item in items_after(self._items, after) if after else self._items.values():
             if not after and item.body is None:
                 continue
             size += ITEM + len(item.body or b"")
--- a/lilacsill/mesh/registry/process.py
+++ b/lilacsill/mesh/registry/process.py
@@ -13,8 +13,8 @@
 from lilacsill.address import Address, parse_address
 from lilacsill.http1.message import Message as Request
 from lilacsill.mesh.runtime.control import ControlServer, Respond
-from lilacsill.mesh.runtime.freshness import Evidence
-from lilacsill.mesh.runtime.incarnation import IDENTITY_BYTES, identity
+from lilacsill.mesh.runtime.freshness import FreshnessTracker
+from lilacsill.mesh.runtime.incarnation import INCARNATION_ID_BYTES, incarnation_id
 from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import (
     Follow,
@@ -32,7 +32,7 @@
     StatusReply,
 )
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Handler, Peers, RpcServer
+from lilacsill.mesh.runtime.rpc import RequestHandler, RpcClientPool, RpcServer
 from lilacsill.mesh.runtime.settings import Settings
 
 from .config_cache import ConfigCache
@@ -66,12 +66,12 @@
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
         """Raises OSError."""
         self._settings, self._reactor = settings, reactor
-        self._life = identity(os.urandom(IDENTITY_BYTES))  # of the directory: other lives count their own versions
-        self._peers = Peers(reactor)
+        self._life = incarnation_id(os.urandom(INCARNATION_ID_BYTES))  # other lives count their own versions
+        self._peers = RpcClientPool(reactor)
         self._directory = Directory()
-        self._store = Address(settings.ip, settings.ports[0] + STORE)
+        self._store = Address(settings.ip, settings.internal_ports[0] + STORE)
         self._copy = ConfigCache()
-        self._evidence = Evidence(CURRENT_US)
+        self._evidence = FreshnessTracker(CURRENT_US)
         self._cores = {seed.host for seed in settings.seeds} | {settings.ip}
         self._gossips: dict[str, tuple[int, int]] = {}  # other registries: life and version of their directories
         self._asks = 0
@@ -80,8 +80,8 @@
         self._turned_at = reactor.now()
         self._telling = False
         self._pacing = Pacing()
-        handlers: dict[type, Handler] = {Poll: self._asked, Gossip: self._gossip, Status: self._status}
-        self._desk = RpcServer(reactor, Address(settings.ip, settings.ports[0]), handlers)
+        handlers: dict[type, RequestHandler] = {Poll: self._asked, Gossip: self._gossip, Status: self._status}
+        self._desk = RpcServer(reactor, Address(settings.ip, settings.internal_ports[0]), handlers)
         self._door = ControlServer(reactor, settings.listen["ControlPort"], self._called)
         reactor.on_signal(signal.SIGTERM, self._terminated)
         reactor.on_signal(signal.SIGHUP, lambda: None)
@@ -95,7 +95,7 @@
     # The configuration, from the store
 
     def _follow(self) -> None:
-        self._peers.to(self._store).ask(
+        self._peers.client(self._store).request(
             Follow(self._copy.seq, FOLLOW_MS, 0),
             FOLLOW_MS * 1000 + 500_000,
             partial(self._followed, self._reactor.now()),
@@ -107,7 +107,7 @@
                 self._learn_cores(m.core_addresses)
             self._reactor.after(AGAIN_US, self._follow)
             return
-        self._evidence.heard(m.update.freshness, asked_at)
+        self._evidence.record(m.update.freshness, asked_at)
         self._learn_cores(m.core_addresses)
         if m.update.seq > self._copy.seq:
             self._copy.take(m.update.items, m.update.seq)
@@ -164,7 +164,7 @@
         config_seq = m.config_seq
         if self._sure and 0 <= m.config_seq < self._copy.seq:
             items, config_seq = self._copy.piece(m.config_seq)
-        registries = [f"{host}:{self._settings.ports[0]}" for host in sorted(self._cores)]
+        registries = [f"{host}:{self._settings.internal_ports[0]}" for host in sorted(self._cores)]
         return PollReply(
             self._life,
             changes.version,
@@ -173,7 +173,7 @@
             config_seq,
             items,
             self._copy.seq,
-            self._evidence.told(asked_at, self._reactor.now()),
+            self._evidence.freshness_of_reply(asked_at, self._reactor.now()),
             registries,
         )
 
@@ -229,8 +229,8 @@
     def _ask_other(self, host: str) -> None:
         life, version = self._gossips.get(host, (0, 0))
         self._gossips[host] = (life, version)
-        address = Address(host, self._settings.ports[0])
-        self._peers.to(address).ask(
+        address = Address(host, self._settings.internal_ports[0])
+        self._peers.client(address).request(
             Gossip(life, version, GOSSIP_MS), GOSSIP_MS * 1000 + 500_000, partial(self._told, host)
         )
 
@@ -287,7 +287,7 @@
             left = until - self._reactor.now()
             if at == len(hosts) or left < ANOTHER_US:
                 return respond(503, b'{"Message":"the store gives no answer"}')
-            self._peers.to(Address(hosts[at], self._store.port)).ask(message, left, lambda m: answered(at, m))
+            self._peers.client(Address(hosts[at], self._store.port)).request(message, left, lambda m: answered(at, m))
 
         def answered(at: int, m: Message | None) -> None:
             if isinstance(m, Reply):
@@ -298,7 +298,7 @@
 
     def _terminated(self) -> None:
         log.info("leaves")
-        self._door.leaving = True
+        self._door.draining = True
         self._door.listener.close()
         self._reactor.after(1_000_000, self._reactor.stop)
 
@@ -312,7 +312,7 @@
                         "directory": self._directory.version,
                         "state": self._copy.seq,
                         "sure": self._sure,
-                        "why_unsure": self._evidence.why_not_current(now),
+                        "why_unsure": self._evidence.stale_reason(now),
                         "age_ms": self._evidence.age_ms(now),
                         "cores": sorted(self._cores),
                         "vector": self._gossips,
--- a/lilacsill/mesh/runtime/commands.py
+++ b/lilacsill/mesh/runtime/commands.py
@@ -6,8 +6,14 @@
 import sys
 from typing import Any
 
-from .client import NoAnswer, status
-from .settings import SettingsError, load
+from .client import RequestFailed, fetch_status
+from .settings import SettingsError, load_settings
+
+EXIT_OK, EXIT_FAILED, EXIT_BAD_SETTINGS = 0, 1, 2
+
+
+class CommandFailed(Exception):
+    """A command cannot be carried out; the text says why."""
 
 
 class Commands:
@@ -15,9 +21,9 @@
 
     def status(self, address: str, log: bool = False) -> None:
         """Print the state of the process at HOST:PORT; with --log its recent log lines, too."""
-        told = json.loads(status(address))
-        lines = told.pop("log", [])
-        print(json.dumps(told, indent=2))
+        state = json.loads(fetch_status(address))
+        lines = state.pop("log", [])
+        print(json.dumps(state, indent=2))
         if log:
             print("\n".join(lines))
 
@@ -25,24 +31,32 @@
         """Check a settings file, and print the settings that are used."""
         import msgspec
 
-        print(json.dumps(msgspec.to_builtins(load(path)), indent=2))
+        print(json.dumps(msgspec.to_builtins(load_settings(path)), indent=2))
 
 
-def run(name: str, commands: type[Commands]) -> int:
-    """Run one command. Exit status 0: done; 1: refused or no answer; 2: the settings file cannot be used."""
-    import fire
+def run_command(name: str, commands: type[Commands]) -> int:
+    """Run the command that the process's arguments name.
 
-    try:
-        fire.Fire(commands, name=f"python -m lilacsill.mesh.{name}", serialize=_silent)
-    except (NoAnswer, SettingsError, Refused) as e:
-        print(f"{name}: {e}", file=sys.stderr)
-        return 2 if isinstance(e, SettingsError) else 1
-    return 0
-
-
-class Refused(Exception):
-    """The command cannot be carried out; the text says why."""
+    Args:
+        name: Of the program: store, registry or proxy.
+        commands: Each public method is a command.
 
+    Returns:
+        The exit status. 0: done; 1: the command failed or a process did not reply; 2: the settings file cannot be used.
+    """
+    import fire
 
-def _silent(result: Any) -> Any:
+    try:
+        fire.Fire(commands, name=f"python -m lilacsill.mesh.{name}", serialize=_serialize)
+    except SettingsError as error:
+        print(f"{name}: {error}", file=sys.stderr)
+        return EXIT_BAD_SETTINGS
+    except (RequestFailed, CommandFailed) as error:
+        print(f"{name}: {error}", file=sys.stderr)
+        return EXIT_FAILED
+    return EXIT_OK
+
+
+def _serialize(result: Any) -> Any:
+    """Keep `fire` from printing the object that holds the commands."""
     return None if isinstance(result, Commands) else result
--- a/lilacsill/mesh/runtime/frames.py
+++ b/lilacsill/mesh/runtime/frames.py
@@ -4,42 +4,54 @@
 
 from struct import Struct
 
-HEAD = Struct("!IQ")  # length of the payload in bytes, number of the question or exchange
-MOST = 80 * 1024 * 1024  # bytes of a payload: the largest body that a configuration may allow, and its head
+HEADER = Struct("!IQ")  # length of the payload in bytes, number of the request or exchange
+MAX_PAYLOAD_BYTES = 80 * 1024 * 1024  # the largest body that a configuration may allow, and its headers
 
 
-class BadFrame(Exception):
-    """The bytes received are no frame of this protocol."""
+class FrameError(Exception):
+    """The bytes received are no frame of this protocol.
 
+    Attributes:
+        length: What the header gives as the length of the payload, in bytes.
+    """
 
-class Frames:
-    """An incremental parser: takes bytes as they come, gives (number, payload) for each complete frame."""
+    def __init__(self, length: int) -> None:
+        super().__init__(f"a frame of {length} bytes")
+        self.length = length
 
-    __slots__ = ("_data",)
+
+class FrameDecoder:
+    """An incremental parser: takes bytes as they arrive, returns complete frames."""
+
+    __slots__ = ("_buffer",)
 
     def __init__(self) -> None:
-        self._data = bytearray()
+        self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[tuple[int, bytes]]:
-        """The frames that these bytes complete. Raises BadFrame."""
-        held = self._data
-        held += data
-        whole: list[tuple[int, bytes]] = []
-        at = 0
-        while len(held) - at >= HEAD.size:
-            length, number = HEAD.unpack_from(held, at)
-            if length > MOST:
-                raise BadFrame(f"a frame of {length} bytes")
-            end = at + HEAD.size + length
-            if len(held) < end:
+        """Return the number and the payload of each frame that these bytes complete.
+
+        Raises:
+            FrameError: A frame is longer than the protocol allows.
+        """
+        buffer = self._buffer
+        buffer += data
+        frames: list[tuple[int, bytes]] = []
+        start = 0
+        while len(buffer) - start >= HEADER.size:
+            length, number = HEADER.unpack_from(buffer, start)
+            if length > MAX_PAYLOAD_BYTES:
+                raise FrameError(length)
+            end = start + HEADER.size + length
+            if len(buffer) < end:
                 break
-            whole.append((number, bytes(held[at + HEAD.size : end])))
-            at = end
-        if at:
-            del held[:at]
-        return whole
+            frames.append((number, bytes(buffer[start + HEADER.size : end])))
+            start = end
+        if start:
+            del buffer[:start]
+        return frames
 
 
-def frame(number: int, payload: bytes) -> bytes:
-    """One frame, ready to be sent."""
-    return HEAD.pack(len(payload), number) + payload
+def encode_frame(number: int, payload: bytes) -> bytes:
+    """Return one frame, ready to be sent."""
+    return HEADER.pack(len(payload), number) + payload
--- a/lilacsill/mesh/runtime/hashing.py
+++ b/lilacsill/mesh/runtime/hashing.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing (Thaler and Ravishankar, 1998): processes that know the same names choose the same ones."""
+"""Rendezvous hashing (Thaler and Ravishankar, 1998): processes that know the same names select the same ones."""
 
 from __future__ import annotations
 
@@ -6,13 +6,17 @@
 from zlib import crc32
 
 
-def weight(me: str, other: str) -> int:
-    """The weight of a pair. crc32 alone is too regular over names that differ in one digit, so it is mixed again."""
-    mixed = crc32(f"{me}|{other}".encode()) * 0x9E3779B1 & 0xFFFFFFFF
+def rendezvous_weight(key: str, name: str) -> int:
+    """Return the weight of a pair: an integer of 32 bits.
+
+    crc32 alone is too regular over names that differ in one digit, so its value is mixed again (with constants of
+    MurmurHash3's finalizer and of the golden ratio).
+    """
+    mixed = crc32(f"{key}|{name}".encode()) * 0x9E3779B1 & 0xFFFFFFFF
     return (mixed ^ mixed >> 15) * 0x85EBCA6B & 0xFFFFFFFF
 
 
-def chosen(me: str, others: Iterable[str], count: int) -> list[str]:
-    """The `count` others with the highest weights, highest first."""
-    candidates = (other for other in others if other != me)
-    return sorted(candidates, key=lambda other: (weight(me, other), other), reverse=True)[:count]
+def rendezvous_select(key: str, names: Iterable[str], count: int) -> list[str]:
+    """Return the `count` names with the highest weights for this key, highest first; never the key itself."""
+    candidates = (name for name in names if name != key)
+    return sorted(candidates, key=lambda name: (rendezvous_weight(key, name), name), reverse=True)[:count]
--- a/lilacsill/mesh/runtime/log_ring.py
+++ b/lilacsill/mesh/runtime/log_ring.py
@@ -13,38 +13,41 @@
 if TYPE_CHECKING:
     from picologging import Logger
 
-LINES = 200  # kept in memory
-QUIET_S = 1.0  # between two writes, at least
+MAX_LINES = 200  # kept in memory
+MIN_WRITE_INTERVAL_S = 1.0  # a storm of warnings must not cost more than one write in this time
 
 
-class Ring:
+class LogRing:
     """Keeps the latest lines. A warning writes out all of them, itself last."""
 
-    def __init__(self, lines: int = LINES) -> None:
-        self._lines: deque[str] = deque(maxlen=lines)
-        self._written_at = -QUIET_S
+    def __init__(self, max_lines: int = MAX_LINES) -> None:
+        self._lines: deque[str] = deque(maxlen=max_lines)
+        self._written_at_s = -MIN_WRITE_INTERVAL_S
         self._writer: Logger | None = None
 
     def info(self, text: str, *arguments: object) -> None:
+        """Keep a line; `text` is formatted with the arguments by `%`."""
         self._lines.append(f"{time.monotonic():.3f} {text % arguments if arguments else text}")
 
     def warning(self, text: str, *arguments: object) -> None:
+        """Keep a line, and write out all that are kept."""
         self.info(text, *arguments)
-        self.write_out()
+        self.flush()
 
     def exception(self, text: str, *arguments: object) -> None:
-        """A warning with the traceback of the exception that is being handled."""
-        import traceback  # 1 MB that a calm day does not need
+        """Log a warning with the traceback of the exception that is being handled."""
+        import traceback  # 1 MB, which a process without failures does not need
 
         self.info(text, *arguments)
         self._lines.append(traceback.format_exc().rstrip())
-        self.write_out()
+        self.flush()
 
-    def write_out(self) -> None:
-        now = time.monotonic()
-        if now - self._written_at < QUIET_S or not self._lines:
+    def flush(self) -> None:
+        """Write out the lines that are kept, unless lines were written a moment ago."""
+        now_s = time.monotonic()
+        if now_s - self._written_at_s < MIN_WRITE_INTERVAL_S or not self._lines:
             return
-        self._written_at = now
+        self._written_at_s = now_s
         if self._writer is None:
             import picologging
 
@@ -54,8 +57,9 @@
         self._lines.clear()
 
     def tail(self) -> list[str]:
-        """The lines that are kept, for operators who ask."""
+        """Return the lines that are kept, for the status of the process."""
         return list(self._lines)
 
 
-log = Ring()
+log = LogRing()
+"""The log of this process."""
--- a/lilacsill/mesh/runtime/reactor.py
+++ b/lilacsill/mesh/runtime/reactor.py
@@ -19,131 +19,153 @@
 
 from .log_ring import log
 
-MOST_EVENTS = 256  # taken from epoll in one turn
-READ, WRITE = select.EPOLLIN, select.EPOLLOUT
-GONE = select.EPOLLHUP | select.EPOLLERR
+MAX_EVENTS_PER_ITERATION = 256  # taken from epoll, so that timers are not late in a burst of events
+WAKE_UP_READ_BYTES = 4096  # one byte for each wake-up; what is left is read in the next iteration
+READABLE, WRITABLE = select.EPOLLIN, select.EPOLLOUT
+BROKEN = select.EPOLLHUP | select.EPOLLERR
+
+_Callback = Callable[..., Any]
+_Call = tuple[_Callback, tuple[Any, ...]]
 
 
 class Reactor:
-    """The loop; there is one in each process. Times are integer microseconds of the monotonic clock."""
+    """The loop; there is one in each process. Times are integer microseconds of the monotonic clock.
+
+    Attributes:
+        loop_delay_us: How long the last iteration took after its first event: the delay that this process itself adds.
+    """
 
     def __init__(self) -> None:
         self._epoll = select.epoll()
-        self._readers: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
-        self._writers: dict[int, tuple[Callable[..., Any], tuple[Any, ...]]] = {}
-        self._soon: deque[tuple[Callable[..., Any], tuple[Any, ...]]] = deque()
+        self._readers: dict[int, _Call] = {}
+        self._writers: dict[int, _Call] = {}
+        self._soon: deque[_Call] = deque()
         self._wheel = Wheel()
         self._signals: dict[int, Callable[[], None]] = {}
         self._stopped = False
-        self.late_us = 0  # how long the last turn took after its first event: this process's own delay
-        self._wake_in, self._wake_out = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
-        self.add_reader(self._wake_in, self._woken)
+        self.loop_delay_us = 0
+        self._wake_up_in, self._wake_up_out = os.pipe2(os.O_NONBLOCK | os.O_CLOEXEC)
+        self.add_reader(self._wake_up_in, self._on_wake_up)
         reactor.install(self)
 
     def now(self) -> int:
+        """Return the time of the monotonic clock, in microseconds."""
         return time.monotonic_ns() // 1000
 
     def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> Timer:
+        """Call this once, after the delay; the timer can be cancelled."""
         return self._wheel.add(time.monotonic_ns() // 1000 + delay_us, call, arguments)
 
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
+        """Call this at the end of this iteration or, from there, in the next one."""
         self._soon.append((callback, args))
 
     def call_from_thread(self, callback: Callable[..., Any], *args: Any) -> None:
         """Have the loop call this; the only method that other threads may use."""
         self._soon.append((callback, args))  # appending to a deque is atomic
-        with suppress(BlockingIOError):  # it is full of wake-ups
-            os.write(self._wake_out, b".")
+        with suppress(BlockingIOError):  # the pipe is full of wake-ups, and one is enough
+            os.write(self._wake_up_out, b".")
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
+        """Have the loop call this for each signal of that number."""
         self._signals[number] = call
-        signal.signal(number, self._signalled)
+        signal.signal(number, self._on_signal)
 
     def stop(self) -> None:
+        """End `run` after this iteration."""
         self._stopped = True
 
     # Descriptors
 
     def add_reader(self, fd: int, callback: Callable[..., Any], *args: Any) -> None:
-        known = fd in self._readers or fd in self._writers
+        """Call this whenever the descriptor can be read, or is broken; it replaces an earlier callback."""
+        registered = fd in self._readers or fd in self._writers
         self._readers[fd] = (callback, args)
-        self._watch(fd, known)
+        self._update_epoll(fd, registered)
 
     def remove_reader(self, fd: int) -> bool:
+        """Stop watching for reads, and return whether there was a callback."""
         if self._readers.pop(fd, None) is None:
             return False
-        self._watch(fd, True)
+        self._update_epoll(fd, True)
         return True
 
     def add_writer(self, fd: int, callback: Callable[..., Any], *args: Any) -> None:
-        known = fd in self._readers or fd in self._writers
+        """Call this whenever the descriptor can be written, or is broken; it replaces an earlier callback."""
+        registered = fd in self._readers or fd in self._writers
         self._writers[fd] = (callback, args)
-        self._watch(fd, known)
+        self._update_epoll(fd, registered)
 
     def remove_writer(self, fd: int) -> bool:
+        """Stop watching for writes, and return whether there was a callback."""
         if self._writers.pop(fd, None) is None:
             return False
-        self._watch(fd, True)
+        self._update_epoll(fd, True)
         return True
 
-    def _watch(self, fd: int, known: bool) -> None:
-        mask = (READ if fd in self._readers else 0) | (WRITE if fd in self._writers else 0)
+    def _update_epoll(self, fd: int, registered: bool) -> None:
+        mask = (READABLE if fd in self._readers else 0) | (WRITABLE if fd in self._writers else 0)
         if not mask:
             self._epoll.unregister(fd)
-        elif known:
+        elif registered:
             self._epoll.modify(fd, mask)
         else:
             self._epoll.register(fd, mask)
 
-    # Turns
+    # Iterations
 
     def run(self) -> None:
-        """Take turns until `stop`."""
+        """Run until `stop` is called."""
         while not self._stopped:
-            self.turn()
+            self.run_once()
 
     def close(self) -> None:
         """Close the loop's own descriptors; those that it watched belong to their owners."""
         self._epoll.close()
-        os.close(self._wake_in)
-        os.close(self._wake_out)
+        os.close(self._wake_up_in)
+        os.close(self._wake_up_out)
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Wait for the next event or timer, then call everything that is due."""
-        due = self._wheel.due
-        if self._soon:
-            wait_s = 0.0
-        elif due is None:
-            wait_s = -1.0
-        else:
-            wait_s = max(0.0, (due - self.now()) / 1e6)
-        began = 0
-        for fd, mask in self._epoll.poll(wait_s, MOST_EVENTS):
-            began = began or self.now()
-            if mask & (READ | GONE) and (reader := self._readers.get(fd)) is not None:
+        first_event_at = 0
+        for fd, mask in self._epoll.poll(self._wait_s(), MAX_EVENTS_PER_ITERATION):
+            first_event_at = first_event_at or self.now()
+            if mask & (READABLE | BROKEN) and (reader := self._readers.get(fd)) is not None:
                 self._call(*reader)
-            if mask & (WRITE | GONE) and (writer := self._writers.get(fd)) is not None:
+            if mask & (WRITABLE | BROKEN) and (writer := self._writers.get(fd)) is not None:
                 self._call(*writer)
         now = self.now()
-        if began:
-            self.late_us = now - began
+        if first_event_at:
+            self.loop_delay_us = now - first_event_at
         for timer in self._wheel.take(now):
             self._call(timer.fire, ())
         for _ in range(len(self._soon)):
             self._call(*self._soon.popleft())
 
+    def _wait_s(self) -> float:
+        """Return how long to wait for events, in seconds; -1: without end."""
+        if self._soon:
+            return 0.0
+        due_at = self._wheel.due
+        if due_at is None:
+            return -1.0
+        return max(0.0, (due_at - self.now()) / 1e6)
+
     def _call(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
-        """A failed assertion stops the process; any other exception is logged and concerns its callback alone."""
+        """Run one callback.
+
+        A failed assertion stops the process; any other exception is logged and concerns its callback alone.
+        """
         try:
             callback(*args)
         except AssertionError:
             log.exception("an invariant is broken")
             raise
         except Exception:
-            log.exception("a call failed")
+            log.exception("a callback failed")
 
-    def _woken(self) -> None:
-        os.read(self._wake_in, 4096)
+    def _on_wake_up(self) -> None:
+        os.read(self._wake_up_in, WAKE_UP_READ_BYTES)
 
-    def _signalled(self, number: int, _frame: Any) -> None:
+    def _on_signal(self, number: int, _frame: Any) -> None:
         self.call_from_thread(self._signals[number])
--- a/lilacsill/mesh/runtime/rpc.py
+++ b/lilacsill/mesh/runtime/rpc.py
@@ -1,4 +1,4 @@
-"""Questions and answers between processes: one link to each peer, a number for each question, a bound on each wait."""
+"""Requests and replies between processes: one link to each peer, a number for each request, a bound on each wait."""
 
 from __future__ import annotations
 
@@ -10,151 +10,180 @@
 from lilacsill.net.connecting import Connecting
 from lilacsill.timers import Timer
 
-from .link import Link, Listener, connect
+from .link import Link, Listener
 from .messages import Message
 from .reactor import Reactor
 
-CONNECT_US = 500_000
-Answered = Callable[[Message | None], None]  # None: no answer came, and whether the question did is not known
+CONNECT_TIMEOUT_US = 500_000
 
+OnReply = Callable[[Message | None], None]
+"""Takes the reply to a request. None: there was no reply, and it is not known whether the request arrived."""
+SendReply = Callable[[Message], None]
+"""Sends the reply to a request."""
+RequestHandler = Callable[[Any, SendReply], None]
+"""Takes a request, of the type under which the handler is registered, and replies at once or later."""
 
-class Question:
-    """One that waits for its answer, which counts only on the link that the question went out on."""
 
-    __slots__ = ("answered", "timer", "link")
+class PendingRequest:
+    """A request that waits for its reply. The reply counts only on the link on which the request was sent.
 
-    def __init__(self, answered: Answered, timer: Timer) -> None:
-        self.answered, self.timer = answered, timer
-        self.link: Link | None = None  # None: it has not gone out
+    Attributes:
+        on_reply: Called once, with the reply or None.
+        timer: Ends the wait.
+        link: On which the request was sent; None while it waits for a link.
+    """
 
+    __slots__ = ("on_reply", "timer", "link")
 
-class Peer:
-    """The way to one process. Connects when asked something, and again after a loss. A question goes out once: what was
-    sent when a link is lost is not sent on the next one, and its asker hears that no answer came."""
+    def __init__(self, on_reply: OnReply, timer: Timer) -> None:
+        self.on_reply = on_reply
+        self.timer = timer
+        self.link: Link | None = None
+
+
+class RpcClient:
+    """Sends requests to one process. It connects with the first request, and again after a link is lost.
+
+    A request is sent once at most. What was sent on a link that is lost is not sent on the next one: its sender gets
+    None for a reply.
+    """
 
     def __init__(self, reactor: Reactor, address: Address) -> None:
-        self._reactor, self.address = reactor, address
+        self.address = address
+        self._reactor = reactor
         self._link: Link | None = None
         self._connecting: Connecting | None = None
-        self._waiting: dict[int, Question] = {}
-        self._queue: list[tuple[int, Message]] = []
-        self._number = 0
-
-    def ask(self, message: Message, timeout_us: int, answered: Answered) -> None:
-        """`answered` is called once, never from inside this call."""
-        self._number += 1
-        number = self._number
-        question = self._waiting[number] = Question(answered, self._reactor.after(timeout_us, self._late, number))
-        if self._link is not None and self._link.open:
-            question.link = self._link
+        self._pending: dict[int, PendingRequest] = {}
+        self._unsent: list[tuple[int, Message]] = []  # requests that wait for a link, by number
+        self._last_number = 0
+
+    def request(self, message: Message, timeout_us: int, on_reply: OnReply) -> None:
+        """Send a request. `on_reply` is called once, never from inside this call."""
+        self._last_number += 1
+        number = self._last_number
+        timer = self._reactor.after(timeout_us, self._complete, number, None)
+        pending = self._pending[number] = PendingRequest(on_reply, timer)
+        if self._link is not None and self._link.is_open:
+            pending.link = self._link
             self._link.send(message, number)
             return
-        self._queue.append((number, message))
+        self._unsent.append((number, message))
         if self._connecting is None:
-            # Not at once: a refused connect may fail before it returns.
+            # Not at once: an attempt that is refused may fail before it returns.
             self._reactor.call_soon(self._connect)
 
     def close(self) -> None:
+        """Close the link."""
         if self._link is not None:
             self._link.close()
 
     def _connect(self) -> None:
-        if self._connecting is not None or (self._link is not None and self._link.open) or not self._queue:
+        if self._connecting is not None or (self._link is not None and self._link.is_open) or not self._unsent:
             return
-        self._connecting = Connecting(self._reactor, self.address, CONNECT_US / 1e6, self._opened, self._failed)
+        self._connecting = Connecting(
+            self._reactor, self.address, CONNECT_TIMEOUT_US / 1e6, self._on_connected, self._on_connect_failed
+        )
         self._connecting.begin()
 
-    def _opened(self, sock: socket.socket) -> None:
+    def _on_connected(self, sock: socket.socket) -> None:
         self._connecting = None
         try:
-            self._link = Link(sock, self._message, self._closed)
-        except OSError as e:
+            self._link = Link(sock, self._on_message, self._on_closed)
+        except OSError as error:
             sock.close()
-            return self._failed(e)
-        queue, self._queue = self._queue, []
-        for number, message in queue:
-            question = self._waiting.get(number)
-            if question is not None:
-                question.link = self._link
+            self._on_connect_failed(error)
+            return
+        unsent, self._unsent = self._unsent, []
+        for number, message in unsent:
+            pending = self._pending.get(number)
+            if pending is not None:
+                pending.link = self._link
                 self._link.send(message, number)
 
-    def _failed(self, e: OSError) -> None:
+    def _on_connect_failed(self, _error: OSError) -> None:
         self._connecting = None
-        queue, self._queue = self._queue, []
-        for number, _ in queue:
-            self._answer(number, None)
+        unsent, self._unsent = self._unsent, []
+        for number, _ in unsent:
+            self._complete(number, None)
 
-    def _closed(self, link: Link) -> None:
+    def _on_closed(self, link: Link) -> None:
         if link is self._link:
             self._link = None
-        for number in [n for n, question in self._waiting.items() if question.link is link]:
-            self._answer(number, None)
-
-    def _message(self, link: Link, number: int, message: Message) -> None:
-        question = self._waiting.get(number)
-        if question is not None and question.link is link:
-            self._answer(number, message)
+        for number in [number for number, pending in self._pending.items() if pending.link is link]:
+            self._complete(number, None)
 
-    def _late(self, number: int) -> None:
-        self._answer(number, None)
+    def _on_message(self, link: Link, number: int, message: Message) -> None:
+        pending = self._pending.get(number)
+        if pending is not None and pending.link is link:
+            self._complete(number, message)
 
-    def _answer(self, number: int, message: Message | None) -> None:
-        question = self._waiting.pop(number, None)
-        if question is not None:
-            question.timer.cancel()
-            self._reactor.call_soon(question.answered, message)
+    def _complete(self, number: int, reply: Message | None) -> None:
+        pending = self._pending.pop(number, None)
+        if pending is not None:
+            pending.timer.cancel()
+            self._reactor.call_soon(pending.on_reply, reply)
 
 
-class Peers:
-    """All of them by address."""
+class RpcClientPool:
+    """One client for each address."""
 
     def __init__(self, reactor: Reactor) -> None:
         self._reactor = reactor
-        self._peers: dict[Address, Peer] = {}
+        self._clients: dict[Address, RpcClient] = {}
 
-    def to(self, address: Address) -> Peer:
-        peer = self._peers.get(address)
-        if peer is None:
-            peer = self._peers[address] = Peer(self._reactor, address)
-        return peer
+    def client(self, address: Address) -> RpcClient:
+        """Return the client for an address; the first call makes it."""
+        client = self._clients.get(address)
+        if client is None:
+            client = self._clients[address] = RpcClient(self._reactor, address)
+        return client
 
-    def keep(self, addresses: set[Address]) -> None:
-        """The others are gone for good."""
-        for address in self._peers.keys() - addresses:
-            self._peers.pop(address).close()
-
-
-Replier = Callable[[Message], None]
-Handler = Callable[[Any, Replier], None]  # of the type of message that it is kept under
+    def retain(self, addresses: set[Address]) -> None:
+        """Close and forget the clients for all other addresses."""
+        for address in self._clients.keys() - addresses:
+            self._clients.pop(address).close()
 
 
 class RpcServer:
-    """Answers the questions of others."""
+    """Takes the requests of other processes, and sends the replies.
 
-    def __init__(self, reactor: Reactor, address: Address, handlers: dict[type, Handler]) -> None:
-        """Raises OSError."""
-        self._handlers = handlers
-        self.links: set[Link] = set()
-        self.listener = Listener(reactor, address, self._accepted)
+    Attributes:
+        links: Those that are open.
+        listener: Accepts them.
+    """
 
-    def _accepted(self, sock: socket.socket) -> None:
-        self.links.add(Link(sock, self._message, self.links.discard))
+    def __init__(self, reactor: Reactor, address: Address, handlers: dict[type, RequestHandler]) -> None:
+        """Listen on the address.
 
-    def _message(self, link: Link, number: int, message: Message) -> None:
-        handler = self._handlers.get(type(message))
-        if handler is None:
-            return link.close()
-
-        def reply(answer: Message) -> None:
-            if link.open:
-                link.send(answer, number)
+        Args:
+            reactor: Watches the sockets.
+            address: To bind.
+            handlers: By type of request. A peer that sends a message of another type is disconnected.
 
-        handler(message, reply)
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        self._handlers = handlers
+        self.links: set[Link] = set()
+        self.listener = Listener(reactor, address, self._on_accept)
 
     def close(self) -> None:
+        """Stop listening and close all links."""
         self.listener.close()
         for link in list(self.links):
             link.close()
 
+    def _on_accept(self, sock: socket.socket) -> None:
+        self.links.add(Link(sock, self._on_message, self.links.discard))
+
+    def _on_message(self, link: Link, number: int, message: Message) -> None:
+        handler = self._handlers.get(type(message))
+        if handler is None:
+            link.close()
+            return
+
+        def send_reply(reply: Message) -> None:
+            if link.is_open:
+                link.send(reply, number)
 
-__all__ = ["Answered", "RpcServer", "Handler", "Listener", "Peer", "Peers", "Replier", "connect"]
+        handler(message, send_reply)
--- a/lilacsill/mesh/runtime/sequence.py
+++ b/lilacsill/mesh/runtime/sequence.py
@@ -1,7 +1,7 @@
-"""Items by kind and name, kept in the order of their sequence numbers. No I/O.
+"""Items of the configuration by kind and name, in the order of their sequence numbers. No I/O.
 
-A dict keeps the order in which its keys were set. An item that is set anew goes to the end, so what was changed last is
-found from there, without an index and without a walk over the rest.
+A dict keeps the order in which its keys were inserted. An item that is set again goes to the end, so the items that
+changed last are found from there, without an index and without a walk over the rest.
 """
 
 from __future__ import annotations
@@ -11,36 +11,38 @@
 
 from .messages import Item
 
-Key = tuple[str, str]
-Items = dict[Key, Item]
+ItemKey = tuple[str, str]
+"""Kind and name of an item."""
+Items = dict[ItemKey, Item]
+"""Items by key; those with the highest sequence numbers come last."""
 
 
-def put_last(items: Items, item: Item) -> None:
-    """Set it as the newest."""
+def set_newest(items: Items, item: Item) -> None:
+    """Set an item that has the highest sequence number."""
     key = (item.kind, item.name)
     items.pop(key, None)
     items[key] = item
 
 
-def newest(items: Items) -> int:
-    """Sequence number of the last item; 0: there is none."""
-    return next((i.seq for i in reversed(items.values())), 0)
+def highest_seq(items: Items) -> int:
+    """Return the sequence number of the last item; 0 if there is none."""
+    return next((item.seq for item in reversed(items.values())), 0)
 
 
-def in_order(items: Items) -> Items:
-    """A copy, sorted by sequence number."""
-    return dict(sorted(items.items(), key=lambda pair: pair[1].seq))
+def sorted_by_seq(items: Items) -> Items:
+    """Return a copy in the order of sequence numbers."""
+    return dict(sorted(items.items(), key=lambda entry: entry[1].seq))
 
 
-def later_than(items: Items, seq: int) -> list[Item]:
-    """Those with a higher sequence number, in its order. Costs as much as there are of them."""
+def items_after(items: Items, seq: int) -> list[Item]:
+    """Return the items with a higher sequence number, in order; takes time in proportion to their number."""
     found = list(takewhile(lambda item: item.seq > seq, reversed(items.values())))
     found.reverse()
     return found
 
 
-def dropped_first(items: Items, seq: int) -> Iterator[Item]:
-    """Dropped items up to that number, the oldest first."""
+def tombstones_up_to(items: Items, seq: int) -> Iterator[Item]:
+    """Yield the tombstones up to a sequence number, the oldest first."""
     for item in items.values():
         if item.seq > seq:
             return
--- a/lilacsill/mesh/simulation/loopback.py
+++ b/lilacsill/mesh/simulation/loopback.py
@@ -250,14 +250,14 @@
         over: list[bool] = []
         self.reactor.after(int(seconds * 1e6), over.append, True)
         while not over:
-            self.reactor.turn()
+            self.reactor.run_once()
 
     def until(self, true: Callable[[], bool], seconds: float) -> bool:
         """Run until it is so, or for that long."""
         over: list[bool] = []
         self.reactor.after(int(seconds * 1e6), over.append, True)
         while not true() and not over:
-            self.reactor.turn()
+            self.reactor.run_once()
         return true()
 
     def doubled(self) -> list[str]:
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -8,8 +8,8 @@
 
 from returns.result import Failure
 
-from lilacsill.mesh.runtime.client import NoAnswer, ask, status
-from lilacsill.mesh.runtime.commands import Commands, Refused
+from lilacsill.mesh.runtime.client import RequestFailed, fetch_status, request
+from lilacsill.mesh.runtime.commands import CommandFailed, Commands
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply
 
 from . import validation
@@ -19,10 +19,10 @@
 
 
 def configuration(address: str) -> ConfigUpdate:
-    """All items as they are in force. Raises NoAnswer."""
-    answer = ask(address, Follow(0, 0, 0))
+    """All items as they are in force. Raises RequestFailed."""
+    answer = request(address, Follow(0, 0, 0))
     if not isinstance(answer, FollowReply) or answer.update is None:
-        raise NoAnswer(f"{address}: no member that holds a read lease was reached")
+        raise RequestFailed(address, "no member that holds a read lease was reached")
     return answer.update
 
 
@@ -38,20 +38,20 @@
         try:
             read = validation.read(Path(path).read_bytes())
         except OSError as e:
-            raise Refused(f"{path}: {e.strerror}") from None
+            raise CommandFailed(f"{path}: {e.strerror}") from None
         if isinstance(read, Failure):
-            raise Refused(f"{path}: {read.failure()}")
+            raise CommandFailed(f"{path}: {read.failure()}")
         changed = validation.against(state, read.unwrap())
         if isinstance(changed, Failure):
-            raise Refused(f"{path}: {changed.failure().why}")
+            raise CommandFailed(f"{path}: {changed.failure().why}")
         for item in changed.unwrap().items.values():
             print(f"{'drops' if item.body is None else 'sets'} {item.kind} {item.name} r{item.version}")
 
     def export(self, address: str) -> None:
         """Print the newest configuration, whole, as the tail of the chain has it."""
-        answer = ask(address, Read(0))
+        answer = request(address, Read(0))
         if not isinstance(answer, Reply) or answer.status != 200:
-            raise NoAnswer(f"{address}: no answer that is sure")
+            raise RequestFailed(address, "no answer that is sure")
         print(answer.body.decode())
 
     def _import(self, address: str, path: str) -> None:
@@ -59,19 +59,19 @@
         try:
             whole = json.loads(Path(path).read_bytes())
         except OSError as e:
-            raise Refused(f"{path}: {e.strerror}") from None
+            raise CommandFailed(f"{path}: {e.strerror}") from None
         except json.JSONDecodeError as e:
-            raise Refused(f"{path}: not JSON: {e}") from None
+            raise CommandFailed(f"{path}: not JSON: {e}") from None
         body = json.dumps({"ReplaceItems": whole}).encode()
         for _ in range(TRIES):
-            answer = ask(address, Patch(body, 0))
+            answer = request(address, Patch(body, 0))
             if isinstance(answer, Reply) and answer.status == 200:
                 print("taken")
                 return
             if isinstance(answer, Reply) and answer.status < 500:
-                raise Refused(f"{path}: {json.loads(answer.body)['Message']}")
+                raise CommandFailed(f"{path}: {json.loads(answer.body)['Message']}")
             time.sleep(AGAIN_S)  # a view is being mended; a call that is sent twice is one call
-        raise NoAnswer(f"{address}: no clear answer after {TRIES} tries; it may be taken all the same")
+        raise RequestFailed(address, f"no clear answer after {TRIES} tries; it may be taken all the same")
 
     def history(self, address: str, name: str = "") -> None:
         """Print the items, dropped ones too, in the order of their last change; of one name where it is given."""
@@ -84,12 +84,12 @@
 
     def verify(self, address: str) -> None:
         """Ask every machine of the chain; 1 where they do not stand together."""
-        told = json.loads(status(address))
+        told = json.loads(fetch_status(address))
         wrong = []
         for member in told["members"]:
             try:
-                one = json.loads(status(member))
-            except NoAnswer as e:
+                one = json.loads(fetch_status(member))
+            except RequestFailed as e:
                 wrong.append(str(e))
                 continue
             print(
@@ -101,7 +101,7 @@
             elif one["seq"] == told["seq"] and one["digest"] != told["digest"]:
                 wrong.append(f"{member}: holds something else than {told['address']} (it is mended within 5 s)")
         if wrong:
-            raise Refused("; ".join(wrong))
+            raise CommandFailed("; ".join(wrong))
 
 
 setattr(Store, "import", Store._import)  # no name for a method
--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from functools import partial
 
-from lilacsill.mesh.runtime.freshness import told
+from lilacsill.mesh.runtime.freshness import freshness_of_reply
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Message
 
 from .accepted_changes import for_followers
@@ -63,7 +63,7 @@
             return follower.reply(FollowReply(None, self._membership.peers()))
         state, now = self._replica.state, self._environment.now()
         lacking = state.since(follower.question.seq) if state.seq > follower.question.seq else []
-        news = ConfigUpdate(state.seq, for_followers(lacking), told(now, follower.asked_at, now))
+        news = ConfigUpdate(state.seq, for_followers(lacking), freshness_of_reply(now, follower.asked_at, now))
         follower.reply(FollowReply(news, self._membership.peers()))
 
     def _waited(self, follower: Follower) -> None:
--- a/lilacsill/mesh/store/leases.py
+++ b/lilacsill/mesh/store/leases.py
@@ -17,7 +17,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from lilacsill.mesh.runtime.freshness import longest, shortest
+from lilacsill.mesh.runtime.freshness import max_elapsed_us, min_elapsed_us
 from lilacsill.mesh.runtime.messages import Member, View
 
 from .paxos import Ballot
@@ -37,7 +37,7 @@
 
     def __init__(self, started_at: int) -> None:
         # What the life before this one granted is not known.
-        self._unknown_until = started_at + longest(LEASE_US)
+        self._unknown_until = started_at + max_elapsed_us(LEASE_US)
         self._grants: dict[Member, Grant] = {}
         self._grants_from = 0
 
@@ -83,7 +83,7 @@
         """The answer to the question sent at `asked_at`."""
         if asked_at <= self._given_up_at:
             return
-        end = asked_at + shortest(lease_us)
+        end = asked_at + min_elapsed_us(lease_us)
         self._ends[voter] = max(end, self._ends.get(voter, end))
 
     def give_up(self, now: int) -> None:
--- a/lilacsill/mesh/store/process.py
+++ b/lilacsill/mesh/store/process.py
@@ -13,7 +13,7 @@
 from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import Message, Status, StatusReply
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Answered, Handler, Peers, RpcServer
+from lilacsill.mesh.runtime.rpc import OnReply, RequestHandler, RpcClientPool, RpcServer
 from lilacsill.mesh.runtime.settings import Settings
 from lilacsill.timers import Timer
 
@@ -32,9 +32,9 @@
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
         """Raises OSError."""
         self._settings, self._reactor = settings, reactor
-        self._peers = Peers(reactor)
-        self._disk = Disk(reactor, settings.data)
-        port = settings.ports[0] + PORT
+        self._peers = RpcClientPool(reactor)
+        self._disk = Disk(reactor, settings.data_dir)
+        port = settings.internal_ports[0] + PORT
         me = f"{settings.ip}:{port}"
         seeds = [f"{seed.host}:{port}" for seed in settings.seeds]
         self._address = me
@@ -42,18 +42,18 @@
             self,
             me,
             seeds,
-            settings.fresh,
+            settings.fresh_start,
             urandom(6).hex(),
             self._disk.items,
             self._disk.facts,
-            settings.lost_machines,
-            settings.lost_places,
+            settings.max_lost_machines,
+            settings.max_lost_zones,
         )
         self._disk.items = []
         if settings.disk_mb:
             store.frontend.most_bytes = (settings.disk_mb << 20) // STATE_PART
         self._replica = store.replica
-        self._handlers: dict[type, Handler] = {**store.handlers, Status: self._status}
+        self._handlers: dict[type, RequestHandler] = {**store.handlers, Status: self._status}
         self._desk = RpcServer(reactor, Address(settings.ip, port), self._handlers)
         self._leaving: Leaving | None = None
         store.start()
@@ -71,7 +71,7 @@
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
         self._reactor.call_soon(callback, *args)
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
         if address == self._address:
             # One's own voice takes the same way as the others'.
             over = False
@@ -85,7 +85,7 @@
             self._reactor.after(timeout_us, once, None)
             self._handlers[type(message)](message, once)
             return
-        self._peers.to(parse_address(address)).ask(message, timeout_us, answered)
+        self._peers.client(parse_address(address)).request(message, timeout_us, answered)
 
     def save(self, save: Save, done: Done) -> None:
         self._disk.save(save, done)
@@ -97,7 +97,7 @@
 
     def _terminated(self) -> None:
         if self._leaving is None:
-            grace_us = self._settings.bound_us("GracePeriodS", 6000)
+            grace_us = self._settings.timing.grace_period_us
             self._leaving = Leaving(self._replica, self._store.membership, grace_us, self._reactor.stop)
 
     def _status(self, m: Message, reply: Callable[[Message], None]) -> None:
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from lilacsill.mesh.runtime.messages import Item
-from lilacsill.mesh.runtime.sequence import Items, Key, dropped_first, in_order, later_than, newest
+from lilacsill.mesh.runtime.sequence import ItemKey, Items, highest_seq, items_after, sorted_by_seq, tombstones_up_to
 
 from .digests import RANGES, digest_of, range_of, sum_of
 from .route_index import LIMITS, ROUTE, SERVICE, Place, RouteIndex
@@ -51,7 +51,7 @@
         self.tombstones = 0
         self._last = 0  # the highest number of an item
         self._ordered = True
-        self._keys: list[set[Key]] | None = None  # by range, while a copy is compared or filled by ranges
+        self._keys: list[set[ItemKey]] | None = None  # by range, while a copy is compared or filled by ranges
 
     # Changes
 
@@ -86,7 +86,7 @@
         if beyond < COLLECTED_AT_ONCE:
             return self.floor
         self._sort()
-        oldest = [i.seq for i, _ in zip(dropped_first(self.items, self.seq), range(beyond), strict=False)]
+        oldest = [i.seq for i, _ in zip(tombstones_up_to(self.items, self.seq), range(beyond), strict=False)]
         return max(oldest, default=self.floor)
 
     def collect(self, floor: int) -> None:
@@ -95,7 +95,7 @@
             return
         self.floor = floor
         self._sort()
-        for item in list(dropped_first(self.items, floor)):
+        for item in list(tombstones_up_to(self.items, floor)):
             self.digests[range_of(item.kind, item.name)] ^= sum_of(item)
             self._remove((item.kind, item.name))
 
@@ -120,7 +120,7 @@
         if self._keys is not None:
             self._keys[at].add(key)
 
-    def _remove(self, key: Key) -> None:
+    def _remove(self, key: ItemKey) -> None:
         held = self.items.pop(key)
         self.size -= size_of(held)
         self.tombstones -= held.body is None
@@ -129,12 +129,12 @@
 
     def _sort(self) -> None:
         if not self._ordered:
-            self.items = in_order(self.items)
-            self._last, self._ordered = newest(self.items), True
+            self.items = sorted_by_seq(self.items)
+            self._last, self._ordered = highest_seq(self.items), True
 
     # Ranges
 
-    def _by_range(self) -> list[set[Key]]:
+    def _by_range(self) -> list[set[ItemKey]]:
         """Made in one walk, and kept up by changes until it is forgotten."""
         if self._keys is None:
             self._keys = [set() for _ in range(RANGES)]
@@ -160,7 +160,7 @@
         """What was set or dropped by later calls, in their order; of the whole, what was dropped, too: the one who asks
         may serve others that have yet to drop it."""
         self._sort()
-        return later_than(self.items, seq)
+        return items_after(self.items, seq)
 
     # What a change is checked against
 
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -18,9 +18,9 @@
 from lilacsill.mesh.proxy.life import Life
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.registry import process as registries
-from lilacsill.mesh.runtime.freshness import dated
+from lilacsill.mesh.runtime.freshness import known_true_at
 from lilacsill.mesh.runtime.messages import Follow, FollowReply, Heartbeat, Item, Message, Patch, Read, Reply
-from lilacsill.mesh.runtime.settings import Settings
+from lilacsill.mesh.runtime.settings import Settings, TimingBounds
 from lilacsill.mesh.simulation.network import MS, Machine, S
 from lilacsill.mesh.simulation.store_fleet import RuleBroken, begun, put, route
 
@@ -39,18 +39,18 @@
 
 
 class Sockets:
-    """Stands for `Peers` and `RpcServer`: questions go over the machine's virtual links."""
+    """Stands for `RpcClientPool` and `RpcServer`: questions go over the machine's virtual links."""
 
     def __init__(self, reactor: Reactor, address: Address | None = None, handlers: Any = None) -> None:
         self._machine = reactor.machine
         if handlers is not None:
             self._machine.handlers = handlers
 
-    def to(self, address: Address) -> SimpleNamespace:
-        def ask(message: Message, timeout_us: int, answered: Callable[[Message | None], None]) -> None:
+    def client(self, address: Address) -> SimpleNamespace:
+        def request(message: Message, timeout_us: int, answered: Callable[[Message | None], None]) -> None:
             self._machine.ask(f"{address.host}:{address.port}", message, timeout_us, answered)
 
-        return SimpleNamespace(ask=ask)
+        return SimpleNamespace(request=request)
 
 
 class Reactor:
@@ -67,17 +67,20 @@
 def settings_of(ip: str, seeds: list[str]) -> Settings:
     hosts = tuple(Address(s.partition(":")[0], 8) for s in seeds)
     listen = {"ControlPort": Address(ip, 8)}
-    return Settings("", ip, "z", ip, (0, 9), hosts, True, True, 1, 0, "", 0, {}, listen, None, "s", 300, 999, 1e3, 0)
+    timing = TimingBounds()
+    return Settings(
+        "", ip, "z", ip, (0, 9), hosts, True, True, 1, 0, "", 0, timing, listen, None, "s", 300, 999, 1e3, 0
+    )
 
 
 class ControlPlane:
     """Core machines with a store and a registry each, and proxies."""
 
     def __init__(self, patch: pytest.MonkeyPatch, seed: int = 1, cores: int = 3, lost: int = 1) -> None:
-        patch.setattr(registries, "Peers", Sockets)
+        patch.setattr(registries, "RpcClientPool", Sockets)
         patch.setattr(registries, "RpcServer", Sockets)
         patch.setattr(registries, "ControlServer", lambda reactor, address, handle: SimpleNamespace())
-        patch.setattr(discovery, "Peers", Sockets)
+        patch.setattr(discovery, "RpcClientPool", Sockets)
         self.fleet, _ = begun(seed, cores=cores, lost=lost)
         self.net, self.time, self.stores = self.fleet.net, self.fleet.net.time, self.fleet.stores
         self.registries: dict[str, registries.Process] = {}
@@ -228,7 +231,7 @@
 
         def answered(m: Message | None) -> None:
             if isinstance(m, FollowReply) and m.update is not None:
-                due = self.acknowledged(dated(m.update.freshness, asked_at)).seq
+                due = self.acknowledged(known_true_at(m.update.freshness, asked_at)).seq
                 if m.update.seq < due:
                     raise RuleBroken(f"{self.time.now}: {to} tells {m.update.seq}, {due} was acknowledged by that date")
 
--- a/tests/control/defects_point_1.py
+++ b/tests/control/defects_point_1.py
@@ -10,7 +10,7 @@
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.registry.process import Process
 from lilacsill.mesh.runtime import freshness
-from lilacsill.mesh.runtime.freshness import Evidence
+from lilacsill.mesh.runtime.freshness import FreshnessTracker
 from lilacsill.mesh.runtime.messages import Accept, Freshness, HeartbeatReply, Message, Prepare
 from lilacsill.mesh.store.fencing import Fence
 from lilacsill.mesh.store.frontend import Frontend
@@ -82,11 +82,11 @@
 
 
 def the_age_told_is_ignored(patch: Patch) -> None:
-    def dated(told: Freshness, asked_at: int) -> int:
-        return real(Freshness(0, told.pending_ms), asked_at)
+    def known_true_at(received: Freshness, requested_at: int) -> int:
+        return real(Freshness(0, received.pending_ms), requested_at)
 
-    real = freshness.dated
-    patch.setattr(freshness, "dated", dated)
+    real = freshness.known_true_at
+    patch.setattr(freshness, "known_true_at", known_true_at)
 
 
 def registries_date_by_arrival(patch: Patch) -> None:
@@ -106,7 +106,7 @@
 
 
 def a_proof_is_current_for_ever(patch: Patch) -> None:
-    patch.setattr(Evidence, "is_current", lambda self, now: self._true_at is not None)
+    patch.setattr(FreshnessTracker, "is_current", lambda self, now: self._true_at is not None)
 
 
 # Each with the scenarios of `test_point_1_leases` that find it.
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -16,11 +16,11 @@
 from lilacsill.mesh.registry.directory import Directory
 from lilacsill.mesh.runtime import messages
 from lilacsill.mesh.runtime.control import ControlConnection
-from lilacsill.mesh.runtime.frames import BadFrame
+from lilacsill.mesh.runtime.frames import FrameError
 from lilacsill.mesh.runtime.incarnation import Incarnation
 from lilacsill.mesh.runtime.link import Link
 from lilacsill.mesh.runtime.messages import Endpoint, Message, Response, decode
-from lilacsill.mesh.runtime.rpc import Peer
+from lilacsill.mesh.runtime.rpc import RpcClient
 from lilacsill.mesh.store.followers import Follower, Followers
 from lilacsill.mesh.store.frontend import UNCLEAR, WAIT_US, Frontend
 
@@ -44,7 +44,7 @@
         try:
             for number, payload in self._frames.feed(data):
                 self.on_message(self, number, decode(payload))
-        except BadFrame:
+        except FrameError:
             self.close()
 
     patch.setattr(Link, "received", received)
@@ -161,29 +161,29 @@
 
 
 def a_question_takes_every_answer(patch: Patch) -> None:
-    def answer(self: Peer, number: int, message: Message | None) -> None:
-        question = self._waiting.get(number)
-        if question is not None:
-            self._reactor.call_soon(question.answered, message)
+    def complete(self: RpcClient, number: int, reply: Message | None) -> None:
+        pending = self._pending.get(number)
+        if pending is not None:
+            self._reactor.call_soon(pending.on_reply, reply)
 
-    patch.setattr(Peer, "_answer", answer)
+    patch.setattr(RpcClient, "_complete", complete)
 
 
 def what_was_sent_on_a_lost_link_is_sent_on_the_next(patch: Patch) -> None:
     sent: dict[int, Message] = {}
 
-    def ask(self: Peer, message: Message, timeout_us: int, answered: Any) -> None:
-        sent[self._number + 1] = message
-        real(self, message, timeout_us, answered)
+    def request(self: RpcClient, message: Message, timeout_us: int, on_reply: Any) -> None:
+        sent[self._last_number + 1] = message
+        real(self, message, timeout_us, on_reply)
 
-    def closed(self: Peer, link: Link) -> None:
+    def on_closed(self: RpcClient, link: Link) -> None:
         self._link = None
-        self._queue += [(number, sent[number]) for number in self._waiting]
+        self._unsent += [(number, sent[number]) for number in self._pending]
         self._reactor.call_soon(self._connect)
 
-    real = Peer.ask
-    patch.setattr(Peer, "ask", ask)
-    patch.setattr(Peer, "_closed", closed)
+    real = RpcClient.request
+    patch.setattr(RpcClient, "request", request)
+    patch.setattr(RpcClient, "_on_closed", on_closed)
 
 
 def followers_that_were_answered_still_wait(patch: Patch) -> None:
@@ -206,11 +206,11 @@
 def a_call_under_way_counts_as_rest(patch: Patch) -> None:
     def next_call(self: ControlConnection) -> None:
         real(self)
-        if self._busy:
-            self._timer = self._server.reactor.after(40_000, self.close)
+        if self._handling:
+            self._idle_timer = self._server.reactor.after(40_000, self.close)
 
-    real = ControlConnection._next
-    patch.setattr(ControlConnection, "_next", next_call)
+    real = ControlConnection._handle_next
+    patch.setattr(ControlConnection, "_handle_next", next_call)
 
 
 def nobody_raises_its_incarnation(patch: Patch) -> None:
--- a/tests/control/long_days_disk.py
+++ b/tests/control/long_days_disk.py
@@ -50,7 +50,7 @@
     while len(done) < len(saves):
         if late:
             raise RuleBroken("the disk is not done")
-        reactor.turn()
+        reactor.run_once()
     assert done == list(range(len(saves)))
 
 
@@ -66,14 +66,14 @@
         until: list[bool] = []
         reactor.after(300_000, until.append, True)
         while not until:
-            reactor.turn()
+            reactor.run_once()
         if told or disk.waits_us() < 200_000:
             raise RuleBroken("what a full disk refused is told as saved")
         disk._db.execute("pragma max_page_count=100000")
         late: list[bool] = []
         reactor.after(5_000_000, late.append, True)
         while len(told) < 2 and not late:
-            reactor.turn()
+            reactor.run_once()
         disk.close()
         again = Disk(reactor, str(folder))
         if told != ["piece", "last"] or len(again.items) != 459 or again.facts["whole"] != b"1":
--- a/tests/control/point_5_world.py
+++ b/tests/control/point_5_world.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lilacsill.address import Address
-from lilacsill.mesh.runtime.frames import frame
+from lilacsill.mesh.runtime.frames import encode_frame
 from lilacsill.mesh.runtime.link import Link, Listener
 from lilacsill.mesh.runtime.messages import (
     BodyChunk,
@@ -20,7 +20,7 @@
     encode,
 )
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.settings import Settings, parse
+from lilacsill.mesh.runtime.settings import Settings, parse_settings
 from tests.mesh.stage import LOOPBACK, Client, Stage, request
 
 IDLE = Load(0, 4, 0.0, 0.0)
@@ -48,7 +48,7 @@
             return
         self.offers.append(message)
         deeds = self.script(number, message)
-        link.stream.send(b"".join(frame(deed[0], encode(deed[1])) for deed in deeds if deed is not None))
+        link.stream.send(b"".join(encode_frame(deed[0], encode(deed[1])) for deed in deeds if deed is not None))
         if None in deeds:
             link.close()
 
@@ -112,4 +112,4 @@
 def settings() -> Settings:
     listen = {"ControlPort": f"{LOOPBACK}:0"}
     raw = {"NodeName": "me", "ZoneName": "z", "IpAddress": LOOPBACK, "InternalPorts": [1, 1], "SeedNodes": []}
-    return parse("test", {**raw, "ListenOn": listen, "AppAddress": f"{LOOPBACK}:1"})
+    return parse_settings("test", {**raw, "ListenOn": listen, "AppAddress": f"{LOOPBACK}:1"})
--- a/tests/control/test_point_1_leases.py
+++ b/tests/control/test_point_1_leases.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from lilacsill.mesh.runtime.freshness import DRIFT, Evidence, dated, told
+from lilacsill.mesh.runtime.freshness import CLOCK_DRIFT_DIVISOR, FreshnessTracker, freshness_of_reply, known_true_at
 from lilacsill.mesh.runtime.messages import Departure, Freshness, Member, View
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.store_fleet import Operator, RuleBroken, put, route
@@ -265,10 +265,10 @@
     granted, held = GrantedLeases(-S), HeldLeases()
     held.granted(voter, granted.grant(me, NONE, 1_000), 0)
     view = View(0, (me, voter))
-    assert held.left_us(view, me, LEASE_US - LEASE_US // DRIFT - 1) == 1
-    assert held.left_us(view, me, LEASE_US - LEASE_US // DRIFT) == 0
+    assert held.left_us(view, me, LEASE_US - LEASE_US // CLOCK_DRIFT_DIVISOR - 1) == 1
+    assert held.left_us(view, me, LEASE_US - LEASE_US // CLOCK_DRIFT_DIVISOR) == 0
     assert granted.bound_for_us(LEASE_US) == 1_000 and granted.bound_for_us(LEASE_US + 1_000) == 0
-    assert LEASE_US + LEASE_US // DRIFT < SUSPECT_US  # a dead holder delays no repair
+    assert LEASE_US + LEASE_US // CLOCK_DRIFT_DIVISOR < SUSPECT_US  # a dead holder delays no repair
     granted.pause(LEASE_US)
     assert granted.grant(me, NONE, LEASE_US + 1) == 0 and granted.grant(me, NONE, 2 * LEASE_US) == LEASE_US
 
@@ -288,12 +288,16 @@
 
 
 def test_a_statement_ages_in_flight_and_not_while_it_was_held_for_news() -> None:
-    evidence = Evidence(1 * S)
-    assert evidence.told(0, 0) is None and "no proof" in evidence.why_not_current(0)
-    evidence.heard(Freshness(100, 600), asked_at=2 * S)
+    evidence = FreshnessTracker(1 * S)
+    assert evidence.freshness_of_reply(0, 0) is None and "no proof" in evidence.stale_reason(0)
+    evidence.record(Freshness(100, 600), requested_at=2 * S)
     true_at = 2 * S + 597 * MS - 100 * MS - 500
-    assert dated(Freshness(100, 600), 2 * S) == true_at
+    assert known_true_at(Freshness(100, 600), 2 * S) == true_at
     assert evidence.is_current(true_at + S - 1) and not evidence.is_current(true_at + S)
-    assert evidence.told(true_at, true_at + 1_500) == Freshness(2, 1) == told(true_at, true_at, true_at + 1_500)
-    evidence.heard(Freshness(0, 0), asked_at=0)  # an older proof takes nothing back
-    assert evidence.age_ms(true_at + 2 * S) == 2_000 and "1000" in evidence.why_not_current(true_at + 2 * S)
+    assert (
+        evidence.freshness_of_reply(true_at, true_at + 1_500)
+        == Freshness(2, 1)
+        == freshness_of_reply(true_at, true_at, true_at + 1_500)
+    )
+    evidence.record(Freshness(0, 0), requested_at=0)  # an older proof takes nothing back
+    assert evidence.age_ms(true_at + 2 * S) == 2_000 and "1000" in evidence.stale_reason(true_at + 2 * S)
--- a/tests/control/test_point_5_answers.py
+++ b/tests/control/test_point_5_answers.py
@@ -15,7 +15,7 @@
 from lilacsill.address import Address
 from lilacsill.mesh.proxy.budget import Budget
 from lilacsill.mesh.proxy.transports import ExchangeLinks
-from lilacsill.mesh.runtime.frames import frame
+from lilacsill.mesh.runtime.frames import encode_frame
 from lilacsill.mesh.runtime.link import Link, Listener
 from lilacsill.mesh.runtime.messages import (
     BodyChunk,
@@ -29,7 +29,7 @@
     Response,
     encode,
 )
-from lilacsill.mesh.runtime.rpc import Peer
+from lilacsill.mesh.runtime.rpc import RpcClient
 from tests.mesh.stage import LOOPBACK, Client, Stage, request, stage
 
 from .point_5_world import IDLE, Heard, S, ScriptedProxy, add_scripted, ask, head_of, offer, statuses, whole
@@ -112,7 +112,7 @@
         backend, door, gate = s.add("one"), s.doors["one"], s.gateways["one"].gate
         gate.running = gate.slots = 4
         with socket.create_connection((LOOPBACK, door.listener.port)) as sock:
-            sock.sendall(frame(1, encode(replace(offer(), server="i-one"))))
+            sock.sendall(encode_frame(1, encode(replace(offer(), server="i-one"))))
             s.until(lambda: gate.waiting == 1, "it waits")
         s.until(lambda: not door.sinks, "the end of the link")
         gate.running = 0
@@ -169,8 +169,8 @@
     with stage() as s:
         backend, door = s.add("one"), s.doors["one"]
         with socket.create_connection((LOOPBACK, door.listener.port)) as sock:
-            unasked = frame(1, encode(Reply(200, b"")))  # closes the link
-            sock.sendall(unasked + frame(2, encode(replace(offer(), server="i-one"))))
+            unasked = encode_frame(1, encode(Reply(200, b"")))  # closes the link
+            sock.sendall(unasked + encode_frame(2, encode(replace(offer(), server="i-one"))))
             s.until(lambda: bool(door.sinks), "the link")
             s.until(lambda: not door.sinks, "its end")
             s.settle()
@@ -193,11 +193,11 @@
         listener = Listener(
             s.reactor, Address(LOOPBACK, 0), lambda sock: links.append(Link(sock, message, lambda link: None))
         )
-        peer, answers = Peer(s.reactor, Address(LOOPBACK, listener.port)), list[tuple[str, Message | None]]()
-        peer.ask(Ping(), S, lambda m: answers.append(("first", m)))
+        peer, answers = RpcClient(s.reactor, Address(LOOPBACK, listener.port)), list[tuple[str, Message | None]]()
+        peer.request(Ping(), S, lambda m: answers.append(("first", m)))
         s.until(lambda: len(answers) == 1, "the first question's end")
         for name in ("second", "third"):
-            peer.ask(Ping(), S, lambda m, name=name: answers.append((name, m)))  # type: ignore[misc]
+            peer.request(Ping(), S, lambda m, name=name: answers.append((name, m)))  # type: ignore[misc]
         s.until(lambda: len(answers) >= 3, "the others' ends")
         s.settle()
         assert answers == [("first", None), ("second", IndirectPingReply(False)), ("third", IndirectPingReply(False))]
--- a/tests/control/test_point_5_callers.py
+++ b/tests/control/test_point_5_callers.py
@@ -16,9 +16,9 @@
 from lilacsill.mesh.registry.process import Process as Registry
 from lilacsill.mesh.runtime import control
 from lilacsill.mesh.runtime.control import ControlServer, Respond
-from lilacsill.mesh.runtime.incarnation import IDENTITY_BYTES, identity
+from lilacsill.mesh.runtime.incarnation import INCARNATION_ID_BYTES, incarnation_id
 from lilacsill.mesh.runtime.messages import Endpoint, Follow, Freshness, Message, Patch, Poll, PollReply, Read, Reply
-from lilacsill.mesh.runtime.rpc import Handler, RpcServer
+from lilacsill.mesh.runtime.rpc import RequestHandler, RpcServer
 from lilacsill.mesh.simulation.store_fleet import Fleet, Operator, put, route
 from tests.mesh.stage import LOOPBACK, Stage, request, stage
 
@@ -28,7 +28,7 @@
 
 
 def test_a_call_under_way_is_not_cut_by_the_time_that_a_caller_may_rest(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(control, "IDLE_US", 40_000)
+    monkeypatch.setattr(control, "IDLE_TIMEOUT_US", 40_000)
 
     def handle(call: Request, respond: Respond) -> None:
         s.reactor.after(120_000, respond, 200, b"done")
@@ -97,7 +97,7 @@
         for kind, handler in list(handlers.items()):
             handlers[kind] = partial(self._counted, handler)
 
-    def _counted(self, handler: Handler, message: Message, reply: Callable[[Message], None]) -> None:
+    def _counted(self, handler: RequestHandler, message: Message, reply: Callable[[Message], None]) -> None:
         self.__dict__.setdefault("answers", []).append(0)
         place = len(self.answers) - 1
 
@@ -189,7 +189,7 @@
     with stage() as s:
         monkeypatch.setattr("time.time_ns", lambda: 0)
         runs = [registry_at(s, monkeypatch, Address(LOOPBACK, 1), S) for _ in range(2)]
-        assert len({run._life for run in runs}) == 2 and identity(bytes(IDENTITY_BYTES)) != 0
+        assert len({run._life for run in runs}) == 2 and incarnation_id(bytes(INCARNATION_ID_BYTES)) != 0
 
 
 def test_idle_links_to_a_process_that_is_over_are_not_used() -> None:
--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -237,14 +237,14 @@
         self.reactor.after(PATIENCE_US, late.append, True)
         while not true():
             assert not late, f"not within {PATIENCE_US / 1e6} s: {what}"
-            self.reactor.turn()
+            self.reactor.run_once()
 
     def settle(self) -> None:
         """Run what is due now."""
         done: list[bool] = []
         self.reactor.after(20_000, done.append, True)
         while not done:
-            self.reactor.turn()
+            self.reactor.run_once()
 
 
 @contextmanager
--- a/tests/mesh/test_decisions.py
+++ b/tests/mesh/test_decisions.py
@@ -14,7 +14,7 @@
 from lilacsill.mesh.proxy.suspicions import Missing
 from lilacsill.mesh.proxy.table import Table
 from lilacsill.mesh.registry.directory import SILENT_US, Directory
-from lilacsill.mesh.runtime.hashing import chosen
+from lilacsill.mesh.runtime.hashing import rendezvous_select
 from lilacsill.mesh.runtime.messages import Endpoint, Load
 from lilacsill.mesh.simulation.failure_detection import Street
 
@@ -232,10 +232,10 @@
 def test_rendezvous_spreads_and_moves_only_what_it_must() -> None:
     registries = [f"10.0.{i}.1:7660" for i in range(5)]
     nodes = [f"sidecar-{i}" for i in range(400)]
-    first = {n: chosen(n, registries, 2) for n in nodes}
+    first = {n: rendezvous_select(n, registries, 2) for n in nodes}
     load = Counter(c for two in first.values() for c in two)
     assert max(load.values()) < 1.35 * min(load.values())
-    fewer = {n: chosen(n, registries[1:], 2) for n in nodes}
+    fewer = {n: rendezvous_select(n, registries[1:], 2) for n in nodes}
     assert all(set(first[n]) - {registries[0]} <= set(fewer[n]) for n in nodes)
 
 
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -36,7 +36,7 @@
     reactor.after(5_000_000, late.append, True)
     while len(done) < count:
         assert not late
-        reactor.turn()
+        reactor.run_once()
 
 
 def close(disk: Disk) -> None:
--- a/tests/mesh/test_messages.py
+++ b/tests/mesh/test_messages.py
@@ -8,22 +8,22 @@
 import msgspec
 import pytest
 
-from lilacsill.mesh.runtime.frames import Frames, frame
+from lilacsill.mesh.runtime.frames import FrameDecoder, encode_frame
 from lilacsill.mesh.runtime.messages import AnyMessage, Offer, Replicate, decode, encode
 
 RECORDED = json.loads((Path(__file__).parent / "data" / "frames_of_version_0_1.json").read_text())
 
 
 def payload_of(recorded: dict[str, str]) -> bytes:
-    ((_, payload),) = Frames().feed(bytes.fromhex(recorded["frame"]))
+    ((_, payload),) = FrameDecoder().feed(bytes.fromhex(recorded["frame"]))
     return payload
 
 
 @pytest.mark.parametrize("recorded", RECORDED, ids=lambda recorded: str(recorded["message"]))
 def test_a_recorded_frame_is_decoded_and_encoded_to_the_same_bytes(recorded: dict[str, str]) -> None:
-    ((number, payload),) = Frames().feed(bytes.fromhex(recorded["frame"]))
+    ((number, payload),) = FrameDecoder().feed(bytes.fromhex(recorded["frame"]))
     message = decode(payload)
-    assert frame(number, encode(message)).hex() == recorded["frame"]
+    assert encode_frame(number, encode(message)).hex() == recorded["frame"]
     tag, *fields = msgspec.msgpack.decode(payload)
     assert tag == recorded["message"] == type(message).__struct_config__.tag
     assert len(fields) == len(message.__struct_fields__)
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -9,14 +9,14 @@
 
 import pytest
 
-from lilacsill.mesh.runtime.settings import SettingsError, load
+from lilacsill.mesh.runtime.settings import SettingsError, load_settings, parse_timing_values
 
 GOOD = """NodeName = "sidecar-1"
 IpAddress = "10.1.0.35"
 ZoneName = "z"
 InternalPorts = [7660,7675]
 SeedNodes = ["10.1.0.40:8146"]
-TimingBounds = ["DrainWithinMs=2000","RetryWindowS=10","SomethingNew=maybe","closed=false"]
+TimingBounds = ["DrainWithinMs=2500","RetryWindowS=12","SomethingNew=maybe","closed=false"]
 AppAddress = "10.1.0.35:8147"
 FieldOfTomorrow = { a = 1 }
 [Survive]
@@ -27,10 +27,14 @@
 def test_what_is_used_of_a_file_and_what_is_not_known_is_ignored(tmp_path: Path) -> None:
     path = tmp_path / "node.toml"
     path.write_text(GOOD)
-    settings = load(str(path))
-    assert settings.lost_machines == 2 and settings.ports == (7660, 7675)
-    assert settings.bound_us("DrainWithinMs", 1) == 2_000_000 and settings.bound_us("RetryWindowS", 1) == 10_000_000
-    assert settings.bound_us("GracePeriodS", 6000) == 6_000_000 and settings.bounds["closed"] == 0.0
+    settings = load_settings(str(path))
+    assert settings.max_lost_machines == 2 and settings.internal_ports == (7660, 7675)
+    assert settings.timing.drain_us == 2_500_000 and settings.timing.retry_window_us == 12_000_000
+    assert settings.timing.grace_period_us == 6_000_000  # not in the file
+    assert parse_timing_values("", ["closed=false", "DrainWithinMs=7", "x=maybe"]) == {
+        "closed": 0.0,
+        "DrainWithinMs": 7.0,
+    }
 
 
 @pytest.mark.parametrize(
@@ -48,7 +52,7 @@
     path = tmp_path / "node.toml"
     path.write_text(GOOD.replace(line, wrong))
     with pytest.raises(SettingsError) as e:
-        load(str(path))
+        load_settings(str(path))
     assert str(path) in str(e.value) and told in str(e.value)
 
 
--- a/tests/mesh/test_watch_list.py
+++ b/tests/mesh/test_watch_list.py
@@ -8,7 +8,7 @@
 
 from lilacsill.mesh.proxy.discovery import place_of
 from lilacsill.mesh.proxy.watch_list import WatchList
-from lilacsill.mesh.runtime.hashing import chosen, weight
+from lilacsill.mesh.runtime.hashing import rendezvous_select, rendezvous_weight
 from lilacsill.mesh.runtime.messages import Endpoint
 
 WATCHERS = 3
@@ -16,7 +16,7 @@
 
 def named(me: str, nodes: set[str]) -> list[str]:
     """By the definition: every node names its watchers."""
-    return sorted(n for n in nodes if n != me and me in chosen(n, nodes | {me}, WATCHERS))
+    return sorted(n for n in nodes if n != me and me in rendezvous_select(n, nodes | {me}, WATCHERS))
 
 
 def test_it_is_what_every_node_names_through_all_changes() -> None:
@@ -47,9 +47,9 @@
     def counted(me: str, other: str) -> int:
         nonlocal looks
         looks += 1
-        return weight(me, other)
+        return rendezvous_weight(me, other)
 
-    monkeypatch.setattr("lilacsill.mesh.proxy.watch_list.weight", counted)
+    monkeypatch.setattr("lilacsill.mesh.proxy.watch_list.rendezvous_weight", counted)
     for size in (100, 1_000):
         looks = 0
         watch_list = WatchList("n0", WATCHERS)
