--- a/lilacsill/mesh/proxy/far.py
+++ b/lilacsill/mesh/proxy/far.py
@@ -276,7 +276,7 @@
         self._gateway.dark.answered(self._gateway.now())
         if self._streaming:
             self._end()
-            self._sink.send(BodyChunk(answer.take(), True))
+            self._sink.send(BodyChunk(answer.take_body(), True))
             return
         not_run = self._is_not_run(answer)
         why = self._spoilt(answer)
@@ -290,7 +290,7 @@
         if why:
             self._sink.send(NoResponse(why, self._gateway.load()))
             return
-        body = answer.take()
+        body = answer.take_body()
         self._sink.send(
             Response(answer.status, self._lines(answer), body, True, len(body), not_run, took_ms, self._gateway.load())
         )
@@ -307,7 +307,7 @@
             message: Message = Response(
                 answer.status,
                 self._lines(answer),
-                answer.take(),
+                answer.take_body(),
                 False,
                 -1 if answer.length is None else answer.length,
                 self._is_not_run(answer),
@@ -315,7 +315,7 @@
                 self._gateway.load(),
             )
         else:
-            message = BodyChunk(answer.take(), False)
+            message = BodyChunk(answer.take_body(), False)
         if self._sink.send(message) > PILE:
             self.hold(True)
 
--- a/lilacsill/mesh/runtime/link.py
+++ b/lilacsill/mesh/runtime/link.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 from lilacsill.address import Address
-from lilacsill.net.connecting import Connecting
+from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.net.stream import Stream
 
 from .frames import FrameDecoder, FrameError, encode_frame
@@ -61,7 +61,7 @@
 
     # The interface that `lilacsill.net.stream.Stream` calls
 
-    def received(self, data: bytes) -> None:
+    def data_received(self, data: bytes) -> None:
         """Decode the bytes from the peer."""
         try:
             for number, payload in self._frames.feed(data):
@@ -72,7 +72,7 @@
             log.warning("a peer sent an invalid message: %s", error)
             self.close()
 
-    def ended(self) -> None:
+    def eof_received(self) -> None:
         """Handle the end of the peer's side."""
         self._end()
 
@@ -81,7 +81,7 @@
         if self.on_flushed is not None:
             self.on_flushed()
 
-    def shut(self) -> None:
+    def connection_lost(self) -> None:
         """Handle the end of the stream."""
         self._end()
 
@@ -166,7 +166,7 @@
     timeout_us: int,
     on_connected: Callable[[socket.socket], None],
     on_failed: Callable[[OSError], None],
-) -> Connecting:
+) -> ConnectAttempt:
     """Begin to connect.
 
     One of the two callbacks is called once, perhaps before this function returns.
@@ -174,6 +174,6 @@
     Returns:
         The attempt, which can be cancelled.
     """
-    connecting = Connecting(reactor, address, timeout_us / 1e6, on_connected, on_failed)
+    connecting = ConnectAttempt(reactor, address, timeout_us / 1e6, on_connected, on_failed)
     connecting.begin()
     return connecting
--- a/lilacsill/mesh/runtime/reactor.py
+++ b/lilacsill/mesh/runtime/reactor.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from lilacsill.net import reactor
-from lilacsill.timers import Timer, Wheel
+from lilacsill.timers import Timer, TimerWheel
 
 from .log_ring import log
 
@@ -40,7 +40,7 @@
         self._readers: dict[int, _Call] = {}
         self._writers: dict[int, _Call] = {}
         self._soon: deque[_Call] = deque()
-        self._wheel = Wheel()
+        self._wheel = TimerWheel()
         self._signals: dict[int, Callable[[], None]] = {}
         self._stopped = False
         self.loop_delay_us = 0
@@ -137,7 +137,7 @@
         now = self.now()
         if first_event_at:
             self.loop_delay_us = now - first_event_at
-        for timer in self._wheel.take(now):
+        for timer in self._wheel.pop_due(now):
             self._call(timer.fire, ())
         for _ in range(len(self._soon)):
             self._call(*self._soon.popleft())
@@ -146,7 +146,7 @@
         """Return how long to wait for events, in seconds; -1: without end."""
         if self._soon:
             return 0.0
-        due_at = self._wheel.due
+        due_at = self._wheel.next_due_us
         if due_at is None:
             return -1.0
         return max(0.0, (due_at - self.now()) / 1e6)
--- a/lilacsill/mesh/runtime/rpc.py
+++ b/lilacsill/mesh/runtime/rpc.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from lilacsill.address import Address
-from lilacsill.net.connecting import Connecting
+from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.timers import Timer
 
 from .link import Link, Listener
@@ -52,7 +52,7 @@
         self.address = address
         self._reactor = reactor
         self._link: Link | None = None
-        self._connecting: Connecting | None = None
+        self._connecting: ConnectAttempt | None = None
         self._pending: dict[int, PendingRequest] = {}
         self._unsent: list[tuple[int, Message]] = []  # requests that wait for a link, by number
         self._last_number = 0
@@ -80,7 +80,7 @@
     def _connect(self) -> None:
         if self._connecting is not None or (self._link is not None and self._link.is_open) or not self._unsent:
             return
-        self._connecting = Connecting(
+        self._connecting = ConnectAttempt(
             self._reactor, self.address, CONNECT_TIMEOUT_US / 1e6, self._on_connected, self._on_connect_failed
         )
         self._connecting.begin()
--- a/lilacsill/mesh/simulation/network.py
+++ b/lilacsill/mesh/simulation/network.py
@@ -12,7 +12,7 @@
 from lilacsill.mesh.runtime.messages import Item, Message, decode, encode
 from lilacsill.mesh.store.digests import range_of
 from lilacsill.mesh.store.environment import Answered, Done, Save
-from lilacsill.timers import Timer, Wheel
+from lilacsill.timers import Timer, TimerWheel
 
 MS = 1_000
 S = 1_000_000
@@ -136,7 +136,7 @@
         self.clock_rate = 1.0
         self.frozen_until = 0
         self.handlers: Handlers = {}
-        self._wheel = Wheel()
+        self._wheel = TimerWheel()
 
     @property
     def up(self) -> bool:
