--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..records import Departure, Endpoint, Freshness, Item, Load, Member, View
+from ..records import Departure, Endpoint, EndpointState, Freshness, Item, Load, Member, View
 from .base import Headers, Message
 from .configuration import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply, Status, StatusReply
 from .consensus import (
@@ -95,6 +95,7 @@
     "Confirmed",
     "Departure",
     "Endpoint",
+    "EndpointState",
     "Follow",
     "FollowReply",
     "Freshness",
--- a/lilacsill/mesh/runtime/records.py
+++ b/lilacsill/mesh/runtime/records.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
 
 import msgspec
 
@@ -19,6 +19,16 @@
     failure_rate: float  # smoothed share of outcomes that failed, fading with time
 
 
+class EndpointState(StrEnum):
+    """The states of an endpoint, as they are on the wire. A later version may announce others."""
+
+    READY = "ready"
+    DRAINING = "draining"  # the backend has said that it ends
+    GONE = "gone"  # the backend has ended
+    LEAVING = "leaving"  # the proxy ends
+    WAITING = "waiting"  # the proxy has not heard of its backend yet
+
+
 class Endpoint(msgspec.Struct, array_like=True, gc=False):
     """One proxy and the backend beside it, as the proxy announces them."""
 
@@ -30,7 +40,7 @@
     zone: str
     service: str
     server: str  # identity of the backend; empty: the proxy has not heard of it yet
-    state: str  # ready, draining, gone, leaving (the proxy), waiting (for its backend)
+    state: str  # an `EndpointState`; a text, so that states of later versions can be decoded and passed on
     slots: int
     warmup_left_ms: int  # how much longer the backend is slow after its start, when it was announced
 
--- a/tests/mesh/test_messages.py
+++ b/tests/mesh/test_messages.py
@@ -9,7 +9,7 @@
 import pytest
 
 from lilacsill.mesh.runtime.frames import FrameDecoder, encode_frame
-from lilacsill.mesh.runtime.messages import AnyMessage, Offer, Replicate, decode, encode
+from lilacsill.mesh.runtime.messages import AnyMessage, Endpoint, EndpointState, Offer, Poll, Replicate, decode, encode
 
 RECORDED = json.loads((Path(__file__).parent / "data" / "frames_of_version_0_1.json").read_text())
 
@@ -46,3 +46,13 @@
     assert isinstance(replicate, Replicate)
     assert (replicate.view_number, replicate.seq, replicate.is_repair, replicate.ranges) == (5, 77, True, [0, 63])
     assert (replicate.last, replicate.tombstone_floor, replicate.to_learner) == (False, 12, True)
+
+
+def test_a_state_of_an_endpoint_is_its_text_on_the_wire_and_unknown_ones_are_kept() -> None:
+    def poll(state: str) -> Poll:
+        endpoint = Endpoint("n", 1, 1, "h", 1, "z", "s", "i", state, 4, 0)
+        return Poll(endpoint, 1, 1, 1, 1, 0, [])
+
+    assert encode(poll(EndpointState.DRAINING)) == encode(poll("draining"))
+    decoded = decode(encode(poll("state of a later version")))
+    assert isinstance(decoded, Poll) and decoded.endpoint.state == "state of a later version"
