--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -134,7 +134,7 @@
 def directory_of(size: int) -> Directory:
     directory = Directory()
     for told in fleet.endpoints(size):
-        directory.heard(told, NOW_US)
+        directory.update(told, NOW_US)
     return directory
 
 
@@ -142,7 +142,7 @@
     """What a proxy lacks that has all but the last change."""
     directory = directory_of(size)
     version = directory.version - 1
-    return Step("directory.since, one change", size, cpu_us(lambda: directory.since(version)), "us")
+    return Step("directory.since, one change", size, cpu_us(lambda: directory.changes_since(version)), "us")
 
 
 def since_all(size: int) -> Step:
@@ -152,7 +152,7 @@
     def pull() -> None:
         version = 0
         while version < directory.version:
-            version = directory.since(version).version
+            version = directory.changes_since(version).version
 
     return Step("directory.since, all", size, cpu_us(pull), "us")
 
@@ -160,13 +160,15 @@
 def look(size: int) -> Step:
     """Who is silent: four times a second."""
     directory = directory_of(size)
-    return Step("directory.look", size, cpu_us(lambda: directory.look(NOW_US + 1)), "us")
+    return Step("directory.look", size, cpu_us(lambda: directory.remove_failed(NOW_US + 1)), "us")
 
 
 def hearsay(size: int) -> Step:
     """Whom this registry has heard itself of late: in each answer to another registry."""
     directory = directory_of(size)
-    return Step("directory.heard_of_late", size, cpu_us(lambda: directory.heard_of_late(NOW_US + 1, 1_500_000)), "us")
+    return Step(
+        "directory.heard_of_late", size, cpu_us(lambda: directory.recently_contacted(NOW_US + 1, 1_500_000)), "us"
+    )
 
 
 def registry_memory(size: int) -> Step:
@@ -176,8 +178,8 @@
 def piece(size: int) -> Step:
     """The piece of the configuration for a proxy that lacks one change, of so many items."""
     cache = ConfigCache()
-    cache.take([fleet.route_item(f"r-{n}", "service-000", n + 1) for n in range(size)], size)
-    return Step("config_cache.piece, one change", size, cpu_us(lambda: cache.piece(size - 1)), "us")
+    cache.apply([fleet.route_item(f"r-{n}", "service-000", n + 1) for n in range(size)], size)
+    return Step("config_cache.piece, one change", size, cpu_us(lambda: cache.next_batch(size - 1)), "us")
 
 
 # The store
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -42,9 +42,9 @@
         news = PollReply(BORN, nodes, [], [], 1, [], 1, FRESHNESS, registries)
         return round(2 * (len(encode_frame(1, encode(ask))) + len(encode_frame(1, encode(news)))) / 0.7)
     copy, sent, seq = ConfigCache(), 0, 1
-    copy.take([Item("route", f"r-x73d3z{i}", 7, i + 2, b"x" * 260) for i in range(routes)], routes + 1)
+    copy.apply([Item("route", f"r-x73d3z{i}", 7, i + 2, b"x" * 260) for i in range(routes)], routes + 1)
     while seq < copy.seq:
-        items, seq = copy.piece(seq)
+        items, seq = copy.next_batch(seq)
         sent += len(encode_frame(1, encode(PollReply(1, nodes, [], [], seq, items, copy.seq, FRESHNESS, registries))))
     return sent
 
--- a/benchmarks/store_size.py
+++ b/benchmarks/store_size.py
@@ -102,7 +102,7 @@
         items_of(state, change)
 
     cache, routing = ConfigCache(), Routes()
-    cache.take(state.since(0), state.seq)
+    cache.apply(state.since(0), state.seq)
     routing.apply(items, state.seq)
     path = f"/r{routes - 1}/x".encode()
 
@@ -110,7 +110,7 @@
         "call_us": processor_us(call),
         "read_us": processor_us(state.layout),
         "follow_us": processor_us(lambda: [state.since(state.seq - 1) for _ in range(100)]) // 100,
-        "poll_us": processor_us(lambda: [cache.piece(state.seq - 1) for _ in range(100)]) // 100,
+        "poll_us": processor_us(lambda: [cache.next_batch(state.seq - 1) for _ in range(100)]) // 100,
         "match_us": processor_us(lambda: [routing.match(b"h.example", path) for _ in range(100)]) // 100,
         "proxy_start_us": processor_us(lambda: Routes().apply(items, state.seq), 5),
         "store_start_us": start_us(items),
--- a/lilacsill/mesh/registry/__init__.py
+++ b/lilacsill/mesh/registry/__init__.py
@@ -1,2 +1,5 @@
-"""The registry: keeps the directory of endpoints (backends and the proxies beside them), answers what proxies lack,
-and takes the outside calls for itself and for the store."""
+"""The registry: keeps the directory of endpoints, passes the configuration on to proxies, and takes operators' calls.
+
+An endpoint is a backend with the proxy beside it. Proxies poll a registry for changes (`poll_server`); registries
+exchange what they know (`gossip_client`, `gossip_server`) and follow the store (`config_follower`).
+"""
--- a/lilacsill/mesh/registry/__main__.py
+++ b/lilacsill/mesh/registry/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m lilacsill.mesh.registry`: one registry, as the settings file tells; with a command, what operators ask."""
+"""Run a registry as its settings file says (`python -m lilacsill.mesh.registry`), or an operator's command."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 from lilacsill.mesh.runtime.start import run_process
 
 
-def process() -> int:
+def run() -> int:
+    """Run the registry."""
     from .process import Process
 
     return run_process("registry", Process)
 
 
 def main() -> int:
+    """Run a command if the arguments name one, else the registry."""
     if len(sys.argv) == 1:
-        return process()
+        return run()
     from lilacsill.mesh.runtime.commands import Commands, run_command
 
     return run_command("registry", Commands)
--- a/lilacsill/mesh/registry/directory.py
+++ b/lilacsill/mesh/registry/directory.py
@@ -1,6 +1,7 @@
-"""The directory: one record for each proxy and the backend beside it, as it tells of itself. Soft state: after a
-loss the proxies fill it again. Changes are numbered, so that whoever asks gets what it
-lacks. No I/O; the clock from outside.
+"""The directory: one record for each proxy and the backend beside it, as the proxy announces them.
+
+It is soft state: after a loss the proxies fill it again. Changes are numbered, so that a reader gets only those that it
+does not have. No I/O; the clock from outside, in microseconds.
 """
 
 from __future__ import annotations
@@ -11,158 +12,218 @@
 
 import msgspec
 
-from lilacsill.mesh.runtime.messages import Endpoint
+from lilacsill.mesh.runtime.messages import Endpoint, EndpointState, SuspicionReport
 
-SILENT_US = 2_500_000  # nobody has heard of it for so long: it is gone
-BELIEVED = 2  # so many neighbours that cannot see it
-ACCUSED_US = 2_000_000  # an accusation holds so long
-OWN_US = 900_000  # what this registry has heard itself within this counts for more
-LEAVING = ("draining", "gone")
-KEPT_US = 60_000_000  # that it is gone is told for so long
-PIECE = 128  # changes in one answer, about 11 KB: more would not cross a thin link before the one who asked gives up
-SPARE = 64  # changes that may be kept beyond two for each entry
+FAILURE_TIMEOUT_US = 2_500_000  # a node that no registry has heard from for so long has failed
+MIN_REPORTERS = 2  # neighbours that cannot reach a node, after which it has failed
+REPORT_LIFETIME_US = 2_000_000  # a report that a node is unreachable counts for so long
+DIRECT_CONTACT_US = 900_000  # a node that this registry heard from within this time has not failed, whoever reports it
+TOMBSTONE_LIFETIME_US = 60_000_000  # readers are told for so long that a node was removed
+MAX_CHANGES_PER_REPLY = 128  # about 11 KB: more would not cross a slow link before the reader's time-out
+CHANGE_LOG_SLACK = 64  # changes that may be kept beyond two for each entry
+ENDING_STATES = (EndpointState.DRAINING, EndpointState.GONE)
 
 
 class Changes(NamedTuple):
-    """What one who asks lacked."""
+    """What a reader of the directory does not have."""
 
     endpoints: list[Endpoint]
-    gone: list[str]  # nodes
-    version: int  # up to here that is all
+    removed: list[str]  # nodes
+    version: int  # with these changes the reader has everything up to this version
+
+
+class Report(NamedTuple):
+    """A neighbour's report that it cannot reach a node."""
+
+    at: int  # when it came
+    direct: bool  # it was made to this registry, not to another one
 
 
 class Entry(msgspec.Struct):
-    """One node's place."""
+    """One node's place in the directory."""
 
-    endpoint: Endpoint | None  # None: gone
-    changed: int  # number of the directory's change
-    heard_at: int  # by anybody, as far as this directory knows
-    own_at: int  # by this directory's registry itself
-    accusers: dict[str, tuple[int, bool]] = {}  # who cannot see it: when that was said, whether to this registry itself
-    drains: str = ""  # the backend's life that has said it leaves
+    endpoint: Endpoint | None  # None: it was removed
+    change_number: int  # of its latest change
+    last_heard_at: int  # by any registry, as far as this one knows
+    last_contact_at: int | None  # by this registry; None: never
+    reports: dict[str, Report] = {}  # by reporter
+    draining_server: str = ""  # identity of the backend that has said that it ends
 
 
 class Directory:
-    """One registry's."""
-
-    def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}
-        self.changes: list[tuple[int, str]] = []  # number and node; those of entries that changed again are left out
+    """The directory of one registry.
+
+    Attributes:
+        incarnation: Tells this run from others, which count their own versions.
+        version: Number of the latest change.
+        entries: By node.
+        observing_since: Silence of nodes counts from here on: a registry that was cut off or suspended has missed
+            what it should have heard before.
+    """
+
+    def __init__(self, incarnation: int = 1) -> None:
+        self.incarnation = incarnation
         self.version = 0
-        self.silent_since = 0  # silence counts from here: for who was cut off itself says no deaths
+        self.entries: dict[str, Entry] = {}
+        self.observing_since = 0
+        self._change_log: list[tuple[int, str]] = []  # number and node; superseded changes are dropped now and then
+
+    # Announcements
 
-    def heard(self, endpoint: Endpoint, now: int, itself: bool = True) -> bool:
-        """A proxy tells of itself, or (not `itself`) another registry passes it on. True: that is a change."""
+    def update(self, endpoint: Endpoint, now: int, direct: bool = True) -> bool:
+        """Take a record, and return whether it changes the directory.
+
+        Args:
+            endpoint: The record that the proxy announces.
+            now: The time.
+            direct: The proxy announced it to this registry; else another registry passed it on.
+        """
         entry = self.entries.get(endpoint.node)
         if entry is None:
-            drains = endpoint.server if endpoint.state in LEAVING else ""
-            entry = self.entries[endpoint.node] = Entry(None, 0, now, now if itself else 0, {}, drains)
-            self._change(entry, endpoint.node, endpoint)
+            self._add(endpoint, now, direct)
             return True
-        if endpoint.state in LEAVING:
-            entry.drains = endpoint.server
-        elif endpoint.state == "ready" and endpoint.server and endpoint.server == entry.drains:
-            # A proxy that was started anew, beside a backend that answers well and has said that it leaves.
-            endpoint = msgspec.structs.replace(endpoint, state="draining")
-        held = entry.endpoint
-        if itself:
-            entry.own_at = entry.heard_at = now
-            entry.accusers.clear()
-        if held is not None and held.incarnation == endpoint.incarnation and held.version >= endpoint.version:
-            return False
-        if held is not None and held.incarnation > endpoint.incarnation:
-            # Of two lives the higher counts. It is told anew to whoever knows the lower one: the proxy, if it is alive,
-            # raises its own above that (`lilacsill.mesh.runtime.incarnation`).
-            self._change(entry, endpoint.node, held)
-            return False
+        endpoint = _keep_draining(entry, endpoint)
+        current = entry.endpoint
+        if direct:
+            entry.last_contact_at = entry.last_heard_at = now
+            entry.reports.clear()
+        if current is not None:
+            if current.incarnation == endpoint.incarnation and current.version >= endpoint.version:
+                return False
+            if current.incarnation > endpoint.incarnation:
+                # The higher incarnation counts. It is announced again, also to whoever knows the lower one: the proxy,
+                # if it is alive, raises its own above that (`lilacsill.mesh.runtime.incarnation`).
+                self._change(entry, endpoint.node, current)
+                return False
         self._change(entry, endpoint.node, endpoint)
-        entry.heard_at = max(entry.heard_at, now if itself or held is None else entry.heard_at)
+        if direct or current is None:
+            entry.last_heard_at = max(entry.last_heard_at, now)
         return True
 
-    def accused(self, node: str, life: int, by: str, now: int, itself: bool = True) -> bool:
-        """A neighbour, and whoever looked for it, cannot see that life of it. Returns whether that is new."""
-        entry = self.entries.get(node)
-        if entry is None or entry.endpoint is None or entry.endpoint.incarnation != life:
+    def _add(self, endpoint: Endpoint, now: int, direct: bool) -> None:
+        draining_server = endpoint.server if endpoint.state in ENDING_STATES else ""
+        entry = Entry(None, 0, now, now if direct else None, {}, draining_server)
+        self.entries[endpoint.node] = entry
+        self._change(entry, endpoint.node, endpoint)
+
+    def mark_alive(self, nodes: list[str], now: int) -> None:
+        """Note that another registry hears from these nodes."""
+        for node in nodes:
+            entry = self.entries.get(node)
+            if entry is not None:
+                entry.last_heard_at = now
+
+    def recently_contacted(self, now: int, within_us: int) -> list[str]:
+        """Return the nodes that this registry itself heard from within this time."""
+        return [
+            node
+            for node, entry in self.entries.items()
+            if entry.last_contact_at is not None and now - entry.last_contact_at < within_us
+        ]
+
+    # Failures
+
+    def report_unreachable(self, report: SuspicionReport, now: int, direct: bool = True) -> bool:
+        """Take a report that neither the reporter nor its helpers reach a node, and return whether it is new.
+
+        Args:
+            report: It concerns one incarnation of the node.
+            now: The time.
+            direct: The report was made to this registry; else another registry passed it on.
+        """
+        entry = self.entries.get(report.node)
+        if entry is None or entry.endpoint is None or entry.endpoint.incarnation != report.incarnation:
             return False
-        at, was_itself = entry.accusers.get(by, (-ACCUSED_US, False))
-        if now - at < ACCUSED_US and (was_itself or not itself):
+        known = entry.reports.get(report.reporter)
+        if known is not None and now - known.at < REPORT_LIFETIME_US and (known.direct or not direct):
             return False
-        entry.accusers[by] = (now, itself)
+        entry.reports[report.reporter] = Report(now, direct)
         return True
 
-    def accusations(self, now: int) -> list[tuple[str, int, str]]:
-        """That this registry was told itself: what it has from others goes no further, or it would never end."""
+    def direct_reports(self, now: int) -> list[SuspicionReport]:
+        """Return the reports that were made to this registry. Those of others are not passed on, or it never ended."""
         return [
-            (n, e.endpoint.incarnation, by)
-            for n, e in self.entries.items()
-            if e.endpoint is not None
-            for by, (at, itself) in e.accusers.items()
-            if itself and now - at < ACCUSED_US
+            SuspicionReport(node, entry.endpoint.incarnation, reporter)
+            for node, entry in self.entries.items()
+            if entry.endpoint is not None
+            for reporter, report in entry.reports.items()
+            if report.direct and now - report.at < REPORT_LIFETIME_US
         ]
 
-    def alive(self, nodes: list[str], now: int) -> None:
-        """Another registry hears of them."""
-        for node in nodes:
-            entry = self.entries.get(node)
-            if entry is not None:
-                entry.heard_at = now
-
-    def heard_of_late(self, now: int, within_us: int) -> list[str]:
-        return [n for n, e in self.entries.items() if e.own_at and now - e.own_at < within_us]
-
-    def since(self, version: int) -> Changes:
-        """What changed after that version, the oldest first: a piece of it, and up to which version that is all."""
-        changes = Changes([], [], self.version)
-        upto = version
-        for at in range(bisect_right(self.changes, version, key=itemgetter(0)), len(self.changes)):
-            number, node = self.changes[at]
-            if not self._stands(number, node):
-                continue
-            if len(changes.endpoints) + len(changes.gone) == PIECE:
-                return changes._replace(version=upto)
-            endpoint = self.entries[node].endpoint
-            if endpoint is None:
-                changes.gone.append(node)
-            else:
-                changes.endpoints.append(endpoint)
-            upto = number
-        return changes
-
-    def look(self, now: int) -> bool:
-        """Find who is silent. Returns whether anything changed."""
-        silent, forgotten = [], []
+    def remove_failed(self, now: int) -> bool:
+        """Remove the nodes that have failed, and return whether there were any."""
+        failed, expired = [], []
+        observed_long_enough = now - self.observing_since > FAILURE_TIMEOUT_US
         for node, entry in self.entries.items():
             if entry.endpoint is None:
-                if now - max(entry.heard_at, self.silent_since) > KEPT_US:
-                    forgotten.append(node)
-            elif now - entry.heard_at > SILENT_US < now - self.silent_since or (
-                len(entry.accusers) >= BELIEVED and self._believed(entry, now)
+                if now - max(entry.last_heard_at, self.observing_since) > TOMBSTONE_LIFETIME_US:
+                    expired.append(node)
+            elif (observed_long_enough and now - entry.last_heard_at > FAILURE_TIMEOUT_US) or (
+                len(entry.reports) >= MIN_REPORTERS and self._is_reported_unreachable(entry, now)
             ):
-                silent.append(node)
-        for node in forgotten:
+                failed.append(node)
+        for node in expired:
             del self.entries[node]
-        for node in silent:
+        for node in failed:
             entry = self.entries[node]
-            entry.accusers.clear()
+            entry.reports.clear()
             self._change(entry, node, None)
-        return bool(silent)
-
-    def _believed(self, entry: Entry, now: int) -> bool:
-        """Enough have said of late that they cannot see it, and it is not heard here."""
-        accusers = sum(now - at < ACCUSED_US for at, _ in entry.accusers.values())
-        return accusers >= BELIEVED and now - max(entry.own_at, self.silent_since) > OWN_US
+        return bool(failed)
+
+    def _is_reported_unreachable(self, entry: Entry, now: int) -> bool:
+        """Whether enough neighbours have reported it lately, and this registry does not hear from it either."""
+        reporters = sum(now - report.at < REPORT_LIFETIME_US for report in entry.reports.values())
+        last_contact_at = max(entry.last_contact_at or 0, self.observing_since)
+        return reporters >= MIN_REPORTERS and now - last_contact_at > DIRECT_CONTACT_US
+
+    # Changes
+
+    def is_newer_than(self, incarnation: int, version: int) -> bool:
+        """Whether a reader that has this version, of that incarnation, lacks changes."""
+        return incarnation != self.incarnation or version < self.version
+
+    def changes_for(self, incarnation: int, version: int) -> Changes:
+        """Return what a reader lacks that has this version, of that incarnation: all entries, if it is another one."""
+        return self.changes_since(version if incarnation == self.incarnation else 0)
+
+    def changes_since(self, version: int) -> Changes:
+        """Return the changes after a version, the oldest first, up to a bounded number."""
+        endpoints: list[Endpoint] = []
+        removed: list[str] = []
+        complete_to = version
+        start = bisect_right(self._change_log, version, key=itemgetter(0))
+        for index in range(start, len(self._change_log)):
+            number, node = self._change_log[index]
+            if not self._is_latest(number, node):
+                continue
+            if len(endpoints) + len(removed) == MAX_CHANGES_PER_REPLY:
+                return Changes(endpoints, removed, complete_to)
+            endpoint = self.entries[node].endpoint
+            if endpoint is None:
+                removed.append(node)
+            else:
+                endpoints.append(endpoint)
+            complete_to = number
+        return Changes(endpoints, removed, self.version)
 
     def _change(self, entry: Entry, node: str, endpoint: Endpoint | None) -> None:
-        entry.endpoint, entry.changed = endpoint, self._next()
-        self.changes.append((entry.changed, node))
-        if len(self.changes) > 2 * len(self.entries) + SPARE:
-            self.changes = [change for change in self.changes if self._stands(*change)]
-
-    def _stands(self, number: int, node: str) -> bool:
-        """That change is the last of an entry that is there."""
+        self.version += 1
+        entry.endpoint = endpoint
+        entry.change_number = self.version
+        self._change_log.append((self.version, node))
+        if len(self._change_log) > 2 * len(self.entries) + CHANGE_LOG_SLACK:
+            self._change_log = [change for change in self._change_log if self._is_latest(*change)]
+
+    def _is_latest(self, number: int, node: str) -> bool:
+        """Whether that change is the latest one of an entry that still exists."""
         entry = self.entries.get(node)
-        return entry is not None and entry.changed == number
+        return entry is not None and entry.change_number == number
 
-    def _next(self) -> int:
-        self.version += 1
-        return self.version
+
+def _keep_draining(entry: Entry, endpoint: Endpoint) -> Endpoint:
+    """Remember that a backend drains, and keep it so: a proxy that was restarted beside it does not know."""
+    if endpoint.state in ENDING_STATES:
+        entry.draining_server = endpoint.server
+    elif endpoint.state == EndpointState.READY and endpoint.server and endpoint.server == entry.draining_server:
+        return msgspec.structs.replace(endpoint, state=EndpointState.DRAINING)
+    return endpoint
--- /dev/null
+++ b/lilacsill/mesh/registry/gossip_server.py
@@ -0,0 +1,55 @@
+"""The server's side of gossip: other registries poll this one for changes of its directory."""
+
+from __future__ import annotations
+
+from lilacsill.mesh.runtime.messages import Gossip, GossipReply
+from lilacsill.mesh.runtime.reactor import Reactor
+from lilacsill.mesh.runtime.rpc import SendReply
+
+from .directory import Directory
+from .long_polls import LongPoll, LongPolls
+
+ALIVE_WITHIN_US = 1_500_000  # nodes that this registry heard from within this time are passed on as alive
+
+
+class GossipServer:
+    """Replies to the polls of other registries."""
+
+    def __init__(self, reactor: Reactor, directory: Directory) -> None:
+        self._reactor = reactor
+        self._directory = directory
+        self._polls: LongPolls[Gossip] = LongPolls(reactor, self._reply)
+
+    def handle(self, gossip: Gossip, send_reply: SendReply) -> None:
+        """Reply at once if the other registry lacks changes, else when there are some or its wait is over."""
+        poll = LongPoll(gossip, send_reply, self._reactor.now())
+        if self._is_outdated(gossip):
+            self._reply(poll)
+        else:
+            self._polls.add(poll, gossip.wait_ms)
+
+    def reply_with_changes(self) -> None:
+        """Reply to the registries that lack changes."""
+        for poll in self._polls.pop_where(self._is_outdated):
+            self._reply(poll)
+
+    def reply_to_all(self) -> None:
+        """Reply to all registries that wait; suspicions are no changes, and urgent."""
+        for poll in self._polls.pop_all():
+            self._reply(poll)
+
+    def _is_outdated(self, gossip: Gossip) -> bool:
+        return self._directory.is_newer_than(gossip.registry_incarnation, gossip.directory_version)
+
+    def _reply(self, poll: LongPoll[Gossip]) -> None:
+        directory, gossip, now = self._directory, poll.request, self._reactor.now()
+        changes = directory.changes_for(gossip.registry_incarnation, gossip.directory_version)
+        poll.send_reply(
+            GossipReply(
+                registry_incarnation=directory.incarnation,
+                directory_version=changes.version,
+                endpoints=changes.endpoints,
+                alive=directory.recently_contacted(now, ALIVE_WITHIN_US),
+                suspects=directory.direct_reports(now),
+            )
+        )
--- a/lilacsill/mesh/registry/pacing.py
+++ b/lilacsill/mesh/registry/pacing.py
@@ -1,24 +1,25 @@
-"""When proxies are told of changes: soon after the first one, and in a storm of changes not more often than a registry
-can bear. No I/O; the clock from outside.
+"""When proxies are notified of changes: soon after the first, and in a burst no more often than a registry can bear.
+
+No I/O; the clock from outside.
 """
 
 from __future__ import annotations
 
-GATHER_US = 20_000  # changes that come together are told together
-REST_EACH_US = 600  # after a telling, for each that was told: at a tenth to a quarter of that in CPU an answer
-MOST_REST_US = 500_000
+BATCHING_DELAY_US = 20_000  # changes that arrive within this time go out together
+PAUSE_PER_PROXY_US = 600  # after a notification, for each proxy: four to ten times the CPU time of one reply
+MAX_PAUSE_US = 500_000  # so that a change is known to all proxies within this time, however many there are
 
 
-class Pacing:
-    """One registry's."""
+class NotificationPacer:
+    """Says when a registry may notify its proxies next."""
 
     def __init__(self) -> None:
-        self._rests_until = 0
+        self._paused_until = 0
 
     def delay_us(self, now: int) -> int:
-        """A change has come: in how long it is told."""
-        return max(GATHER_US, self._rests_until - now)
+        """Return how long to wait after a change that came now."""
+        return max(BATCHING_DELAY_US, self._paused_until - now)
 
-    def told(self, count: int, now: int) -> None:
-        """So many were told of changes."""
-        self._rests_until = now + min(count * REST_EACH_US, MOST_REST_US)
+    def notified(self, proxies: int, now: int) -> None:
+        """Note that this many proxies were notified."""
+        self._paused_until = now + min(proxies * PAUSE_PER_PROXY_US, MAX_PAUSE_US)
--- a/lilacsill/mesh/runtime/messages/discovery.py
+++ b/lilacsill/mesh/runtime/messages/discovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..records import Endpoint, Freshness, Item
+from ..records import Endpoint, Freshness, Item, SuspicionReport
 from .base import Message
 
 
@@ -63,4 +63,4 @@
     directory_version: int
     endpoints: list[Endpoint]
     alive: list[str]  # nodes
-    suspects: list[tuple[str, int, str]]  # node, incarnation, reporting node: reports made to that registry itself
+    suspects: list[SuspicionReport]  # that were made to that registry itself
--- a/lilacsill/mesh/runtime/records.py
+++ b/lilacsill/mesh/runtime/records.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from enum import IntEnum, StrEnum
+from typing import NamedTuple
 
 import msgspec
 
@@ -45,6 +46,14 @@
     warmup_left_ms: int  # how much longer the backend is slow after its start, when it was announced
 
 
+class SuspicionReport(NamedTuple):
+    """The report that neither a node nor its helpers reach another node."""
+
+    node: str
+    incarnation: int  # of the node that is not reached
+    reporter: str  # the node that reports it
+
+
 class Item(msgspec.Struct, array_like=True, gc=False):
     """One named item of the configuration, or its tombstone."""
 
--- a/lilacsill/mesh/simulation/failure_detection.py
+++ b/lilacsill/mesh/simulation/failure_detection.py
@@ -11,7 +11,7 @@
 
 from lilacsill.mesh.proxy.neighbours import Neighbours, told
 from lilacsill.mesh.registry.directory import Directory
-from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, IndirectPingReply, Message, Ping
+from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, IndirectPingReply, Message, Ping, SuspicionReport
 
 from .network import MS, Machine, Net, S
 
@@ -54,9 +54,9 @@
 
     def _told(self, directory: Directory, missing: list[tuple[str, int]]) -> None:
         now = self.street.net.time.now
-        directory.heard(self.endpoint, now)
+        directory.update(self.endpoint, now)
         for node, life in missing:
-            directory.accused(node, life, self.node, now)
+            directory.report_unreachable(SuspicionReport(node, life, self.node), now)
         self.street.look(directory)
 
 
@@ -80,7 +80,7 @@
         self.net.time.after(TURN_US, self._turn)
 
     def look(self, directory: Directory) -> None:
-        directory.look(self.net.time.now)
+        directory.remove_failed(self.net.time.now)
         for node, entry in directory.entries.items():
             if entry.endpoint is None:
                 self.known.setdefault(node, self.net.time.now)
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -214,8 +214,8 @@
             if self._awake(address) and store.replica.tail and store.chain.synced and store.membership.sure():
                 self._judge("store", address, store.replica.state.version("route", "r"))
         for ip, registry in self.registries.items():
-            if self._awake(f"{ip}:0") and registry._sure:
-                held: dict[tuple[str, str], Item] = registry._copy._items
+            if self._awake(f"{ip}:0") and registry._config.is_current:
+                held: dict[tuple[str, str], Item] = registry._config.cache._items
                 self._judge("registry", ip, held["route", "r"].version)
         for ip, proxy in self.proxies.items():
             if self._awake(f"{ip}:0") and proxy.sure():
--- a/tests/control/defects_point_1.py
+++ b/tests/control/defects_point_1.py
@@ -8,7 +8,7 @@
 import pytest
 
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
-from lilacsill.mesh.registry.process import Process
+from lilacsill.mesh.registry.config_follower import ConfigFollower
 from lilacsill.mesh.runtime import freshness
 from lilacsill.mesh.runtime.freshness import FreshnessTracker
 from lilacsill.mesh.runtime.messages import Accept, Freshness, HeartbeatReply, Message, Prepare
@@ -90,11 +90,11 @@
 
 
 def registries_date_by_arrival(patch: Patch) -> None:
-    def followed(self: Process, asked_at: int, m: Message | None) -> None:
-        real(self, self._reactor.now(), m)
+    def on_reply(self: ConfigFollower, requested_at: int, reply: Message | None) -> None:
+        real(self, self._reactor.now(), reply)
 
-    real = Process._followed
-    patch.setattr(Process, "_followed", followed)
+    real = ConfigFollower._on_reply
+    patch.setattr(ConfigFollower, "_on_reply", on_reply)
 
 
 def proxies_date_by_arrival(patch: Patch) -> None:
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -218,22 +218,22 @@
 
 
 def a_lower_incarnation_is_dropped_in_silence(patch: Patch) -> None:
-    def heard(self: Directory, endpoint: Endpoint, now: int, itself: bool = True) -> bool:
+    def update(self: Directory, endpoint: Endpoint, now: int, direct: bool = True) -> bool:
         held = self.entries.get(endpoint.node)
         if held is not None and held.endpoint is not None and held.endpoint.incarnation > endpoint.incarnation:
             return False
-        return real(self, endpoint, now, itself)
+        return real(self, endpoint, now, direct)
 
-    real = Directory.heard
-    patch.setattr(Directory, "heard", heard)
+    real = Directory.update
+    patch.setattr(Directory, "update", update)
 
 
 def hearsay_of_a_lower_incarnation_is_believed(patch: Patch) -> None:
-    def heard(self: Directory, endpoint: Endpoint, now: int, itself: bool = True) -> bool:
+    def update(self: Directory, endpoint: Endpoint, now: int, direct: bool = True) -> bool:
         held = self.entries.get(endpoint.node)
         if held is not None and held.endpoint is not None and held.endpoint.incarnation > endpoint.incarnation:
             held.endpoint = None
-        return real(self, endpoint, now, itself)
+        return real(self, endpoint, now, direct)
 
-    real = Directory.heard
-    patch.setattr(Directory, "heard", heard)
+    real = Directory.update
+    patch.setattr(Directory, "update", update)
--- a/tests/control/test_point_1_leases.py
+++ b/tests/control/test_point_1_leases.py
@@ -74,7 +74,7 @@
     Operator(plane.fleet, "b").call(order, lambda status: found.append((status, plane.time.now - cut_at)))
     plane.run(CUT_US - S)
     assert [status for status, _ in found] == [200] and found[0][1] < FOUND_US, found
-    cut_off = [plane.registries[ip_of(a)]._sure for a in smaller]
+    cut_off = [plane.registries[ip_of(a)]._config.is_current for a in smaller]
     if any(cut_off) or plane.proxies[PROXIES[2]].sure() or not plane.proxies[PROXIES[0]].sure():
         raise RuleBroken("after 19 s the smaller side calls its configuration current, or the larger side does not")
     assert len(plane.acked) > before + 50 and len(answers) > 100
@@ -172,7 +172,7 @@
         plane.run(2 * S)
     plane.net.cut({registry}, {member})
     plane.run(5 * S)
-    if plane.registries[ip_of(member)]._sure or not all(p.sure() for p in plane.proxies.values()):
+    if plane.registries[ip_of(member)]._config.is_current or not all(p.sure() for p in plane.proxies.values()):
         raise RuleBroken("a registry without its store calls its configuration current, or proxies stay with it")
 
 
@@ -253,7 +253,7 @@
     asked_at = plane.time.now
     for method in (b"PATCH", b"GET"):
         request: Any = SimpleNamespace(target=b"/api/config", method=method, body=b"{}")
-        plane.registries[ip_of(tail)]._called(
+        plane.registries[ip_of(tail)]._operator_api.handle(
             request, lambda status, body: answers.append((status, plane.time.now - asked_at))
         )
     plane.run(2 * S)
--- a/tests/control/test_point_4_long_days.py
+++ b/tests/control/test_point_4_long_days.py
@@ -90,17 +90,17 @@
 
 
 def test_a_registry_keeps_a_bounded_number_of_dropped_items(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(config_cache, "TOMBSTONES", 40)
-    monkeypatch.setattr(config_cache, "COLLECTED_AT_ONCE", 8)
+    monkeypatch.setattr(config_cache, "MAX_TOMBSTONES", 40)
+    monkeypatch.setattr(config_cache, "TOMBSTONE_SLACK", 8)
     registry, proxy = ConfigCache(), Routes()
-    registry.take([Item("service", "s", 1, 1, b"{}")], 1)
+    registry.apply([Item("service", "s", 1, 1, b"{}")], 1)
     for seq in range(2, 200):
-        registry.take([Item("route", f"d{seq}", 1, seq, None)], seq)
-        items, upto = registry.piece(proxy.seq)
+        registry.apply([Item("route", f"d{seq}", 1, seq, None)], seq)
+        items, upto = registry.next_batch(proxy.seq)
         proxy.apply(items, upto)
-    kept, upto = registry.piece(2)
+    kept, upto = registry.next_batch(2)
     assert 40 <= len(kept) <= 48 and upto == proxy.seq == 199
-    assert [i.name for i in registry.piece(0)[0]] == ["s"]
+    assert [i.name for i in registry.next_batch(0)[0]] == ["s"]
 
 
 # The files of one copy
--- a/tests/control/test_point_5_callers.py
+++ b/tests/control/test_point_5_callers.py
@@ -13,6 +13,9 @@
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.proxy.life import Life
 from lilacsill.mesh.registry.directory import Directory
+from lilacsill.mesh.registry import operator_api
+from lilacsill.mesh.registry import process as registry_process
+from lilacsill.mesh.registry.process import STORE_PORT_OFFSET
 from lilacsill.mesh.registry.process import Process as Registry
 from lilacsill.mesh.runtime import control
 from lilacsill.mesh.runtime.control import ControlServer, Respond
@@ -55,15 +58,12 @@
 
 def registry_at(s: Stage, monkeypatch: pytest.MonkeyPatch, store: Address, call_us: int) -> Registry:
     """One whose store is at that address; nothing else is there."""
-    from lilacsill.mesh.registry import process
-
-    monkeypatch.setattr(process, "CALL_US", call_us)
-    monkeypatch.setattr(process, "ANOTHER_US", 10_000)
-    monkeypatch.setattr(process, "RpcServer", lambda reactor, address, handlers: None)
+    monkeypatch.setattr(operator_api, "CALL_TIMEOUT_US", call_us)
+    monkeypatch.setattr(operator_api, "MIN_ATTEMPT_US", 10_000)
+    monkeypatch.setattr(registry_process, "RpcServer", lambda reactor, address, handlers: None)
     monkeypatch.setattr(s.reactor, "on_signal", lambda number, call: None)
-    made = Registry(settings(), s.reactor)
-    made._store = store
-    return made
+    first_port = store.port - STORE_PORT_OFFSET
+    return Registry(replace(settings(), internal_ports=(first_port, store.port)), s.reactor)
 
 
 def test_a_store_that_answers_late_answers_nobody(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -75,10 +75,10 @@
             delay_us = 120_000 if len(calls) == 1 else 0
             s.reactor.after(delay_us, reply, Reply(200, m.body))
 
-        store = RpcServer(s.reactor, Address(LOOPBACK, 0), {Patch: taken})
+        store = RpcServer(s.reactor, Address(LOOPBACK, 0), {Patch: taken, Follow: lambda m, reply: None})
         registry = registry_at(s, monkeypatch, Address(LOOPBACK, store.listener.port), 60_000)
         data = request("PATCH", "/api/config", 1, b"first") + request("PATCH", "/api/config", 2, b"second")
-        client = caller(s, registry._door.listener.port, data)
+        client = caller(s, registry._control_server.listener.port, data)
         assert statuses(s, client, 2) == [503, 200] and bytes(client.answers[1].body) == b"second"
         late: list[bool] = []
         s.reactor.after(150_000, late.append, True)
@@ -146,14 +146,14 @@
         directory, other = Directory(), Directory()
         before = record(1 << 60, 5)
         for known in (directory, other):
-            known.heard(before, 0, itself=known is directory)
+            known.update(before, 0, direct=known is directory)
         polls: list[Poll] = []
 
         def polled(m: Poll, reply: Callable[[Message], None]) -> None:
             polls.append(m)
-            directory.heard(m.endpoint, S)
-            changes = directory.since(m.directory_version if m.registry_incarnation else 0)
-            reply(PollReply(1, changes.version, changes.endpoints, changes.gone, 0, [], 0, Freshness(0, 0), []))
+            directory.update(m.endpoint, S)
+            changes = directory.changes_for(m.registry_incarnation, m.directory_version)
+            reply(PollReply(1, changes.version, changes.endpoints, changes.removed, 0, [], 0, Freshness(0, 0), []))
 
         registry = RpcServer(s.reactor, Address(LOOPBACK, 0), {Poll: polled})
         client = DiscoveryClient(settings(), s.reactor, s.forwarder, Life(S))
@@ -168,28 +168,30 @@
             and alive.incarnation == before.incarnation + 1
         )
         # Hearsay of the earlier run hides it nowhere, and hearsay of it replaces that.
-        directory.heard(before, 2 * S, itself=False)
-        other.heard(alive, 2 * S, itself=False)
+        directory.update(before, 2 * S, direct=False)
+        other.update(alive, 2 * S, direct=False)
         assert directory.entries["me"].endpoint == other.entries["me"].endpoint == alive
 
 
 def test_a_registry_that_holds_a_later_run_tells_it_anew_to_who_passes_on_an_earlier_one() -> None:
     directory = Directory()
-    directory.heard(record(9), 0, itself=False)
-    directory.heard(replace(record(1), node="other"), 0)  # a later change than that
+    directory.update(record(9), 0, direct=False)
+    directory.update(replace(record(1), node="other"), 0)  # a later change than that
     version = directory.version
-    directory.heard(record(3), S, itself=False)
-    assert [e.incarnation for e in directory.since(version)[0]] == [9]
+    directory.update(record(3), S, direct=False)
+    assert [e.incarnation for e in directory.changes_since(version)[0]] == [9]
     # That a backend has said it leaves stays so, whichever run of its proxy said it.
-    directory.heard(record(3, 2, "draining"), S)
-    assert directory.heard(record(10), S) and directory.since(version)[0][0].state == "draining"
+    directory.update(record(3, 2, "draining"), S)
+    assert directory.update(record(10), S) and directory.changes_since(version)[0][0].state == "draining"
 
 
 def test_two_runs_of_a_registry_are_told_apart_without_a_clock(monkeypatch: pytest.MonkeyPatch) -> None:
     with stage() as s:
         monkeypatch.setattr("time.time_ns", lambda: 0)
         runs = [registry_at(s, monkeypatch, Address(LOOPBACK, 1), S) for _ in range(2)]
-        assert len({run._life for run in runs}) == 2 and incarnation_id(bytes(INCARNATION_ID_BYTES)) != 0
+        assert (
+            len({run._directory.incarnation for run in runs}) == 2 and incarnation_id(bytes(INCARNATION_ID_BYTES)) != 0
+        )
 
 
 def test_idle_links_to_a_process_that_is_over_are_not_used() -> None:
--- a/tests/mesh/test_copy.py
+++ b/tests/mesh/test_copy.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from lilacsill.mesh.proxy.routes import Routes
-from lilacsill.mesh.registry.config_cache import PIECE, ConfigCache
+from lilacsill.mesh.registry.config_cache import MAX_BATCH_BYTES, ConfigCache
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.store.state import ConfigState
 
@@ -18,19 +18,19 @@
     config_seq.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
     config_seq.apply([Item("route", "b", 3, 3, None)], 3)
     registry = ConfigCache()
-    registry.take(config_seq.since(0), config_seq.seq)
-    items, seq = registry.piece(proxy.seq)
+    registry.apply(config_seq.since(0), config_seq.seq)
+    items, seq = registry.next_batch(proxy.seq)
     proxy.apply(items, seq)
     assert proxy.match(b"h.example", b"/b/x") is None and proxy.match(b"h.example", b"/a/x") is not None
 
 
 def test_pieces_add_up_to_the_whole() -> None:
     registry, proxy = ConfigCache(), Routes()
-    registry.take([Stage.route(f"route{i}", "read_only", i + 1) for i in range(350)], 350)
+    registry.apply([Stage.route(f"route{i}", "read_only", i + 1) for i in range(350)], 350)
     pieces = 0
     while proxy.seq < registry.seq:
-        items, seq = registry.piece(proxy.seq)
-        assert sum(len(i.body or b"") for i in items) <= PIECE
+        items, seq = registry.next_batch(proxy.seq)
+        assert sum(len(i.body or b"") for i in items) <= MAX_BATCH_BYTES
         proxy.apply(items, seq)
         pieces += 1
     assert pieces > 5 and all(proxy.match(b"h.example", f"/route{i}/".encode()) for i in range(350))
--- a/tests/mesh/test_decisions.py
+++ b/tests/mesh/test_decisions.py
@@ -13,9 +13,9 @@
 from lilacsill.mesh.proxy.silence import PAUSE_US, WRITES_US, Dark
 from lilacsill.mesh.proxy.suspicions import Missing
 from lilacsill.mesh.proxy.table import Table
-from lilacsill.mesh.registry.directory import SILENT_US, Directory
+from lilacsill.mesh.registry.directory import FAILURE_TIMEOUT_US, Directory
 from lilacsill.mesh.runtime.hashing import rendezvous_select
-from lilacsill.mesh.runtime.messages import Endpoint, Load
+from lilacsill.mesh.runtime.messages import Endpoint, Load, SuspicionReport
 from lilacsill.mesh.simulation.failure_detection import Street
 
 MS, S = 1_000, 1_000_000
@@ -180,29 +180,29 @@
 
 def test_the_board_tells_changes_and_finds_the_silent() -> None:
     directory = Directory()
-    assert directory.heard(endpoint("a"), 0) and not directory.heard(endpoint("a"), S)
+    assert directory.update(endpoint("a"), 0) and not directory.update(endpoint("a"), S)
     version = directory.version
     assert (
-        directory.heard(endpoint("a", state="draining", count=2), S)
-        and directory.since(version)[0][0].state == "draining"
+        directory.update(endpoint("a", state="draining", count=2), S)
+        and directory.changes_since(version)[0][0].state == "draining"
     )
-    assert not directory.heard(endpoint("a", count=1), S)  # late
-    assert directory.heard(endpoint("a", life=2), 2 * S)  # another life of the proxy
-    assert not directory.heard(endpoint("a", life=1, count=9), 2 * S, itself=False)
-    directory.alive(["a"], 4 * S)
-    assert not directory.look(4 * S + SILENT_US - 1)
-    directory.silent_since = 6 * S  # this registry was cut off: others' silence was its own
-    assert not directory.look(5 * S + SILENT_US)
-    assert directory.look(7 * S + SILENT_US) and directory.since(version)[1] == ["a"]
-    assert directory.heard(endpoint("a", life=2, count=1), 30 * S)
+    assert not directory.update(endpoint("a", count=1), S)  # late
+    assert directory.update(endpoint("a", life=2), 2 * S)  # another life of the proxy
+    assert not directory.update(endpoint("a", life=1, count=9), 2 * S, direct=False)
+    directory.mark_alive(["a"], 4 * S)
+    assert not directory.remove_failed(4 * S + FAILURE_TIMEOUT_US - 1)
+    directory.observing_since = 6 * S  # this registry was cut off: others' silence was its own
+    assert not directory.remove_failed(5 * S + FAILURE_TIMEOUT_US)
+    assert directory.remove_failed(7 * S + FAILURE_TIMEOUT_US) and directory.changes_since(version)[1] == ["a"]
+    assert directory.update(endpoint("a", life=2, count=1), 30 * S)
 
 
 def test_a_backend_that_has_said_it_leaves_is_not_ready_to_a_porter_that_was_started_anew() -> None:
     directory = Directory()
-    directory.heard(endpoint("a", state="draining", count=3), 0)
-    assert directory.heard(endpoint("a", life=2), S)  # its health answer was good
+    directory.update(endpoint("a", state="draining", count=3), 0)
+    assert directory.update(endpoint("a", life=2), S)  # its health answer was good
     assert directory.entries["a"].endpoint is not None and directory.entries["a"].endpoint.state == "draining"
-    assert directory.heard(endpoint("a", server="i-next", life=2, count=2), S)
+    assert directory.update(endpoint("a", server="i-next", life=2, count=2), S)
     assert directory.entries["a"].endpoint.state == "ready"
 
 
@@ -333,16 +333,17 @@
 def test_one_accuser_is_not_believed_and_rumours_end() -> None:
     directory, other = Directory(), Directory()
     for b in (directory, other):
-        b.heard(endpoint("a"), S)
+        b.update(endpoint("a"), S)
     now = 2 * S
-    assert directory.accused("a", 1, "x", now) and not directory.accused("a", 1, "x", now + 1)
-    for node, life, by in directory.accusations(now):
-        assert other.accused(node, life, by, now, itself=False)
-    assert other.accusations(now) == []  # it was not told itself
-    assert not directory.look(now + MS)
-    assert directory.accused("a", 1, "y", now + MS) and directory.look(now + MS)
-    assert not directory.accused("a", 1, "z", now + 2 * MS)  # gone already
-    assert directory.heard(endpoint("a", count=2), now + S) and not directory.look(now + S)
+    first = SuspicionReport("a", 1, "x")
+    assert directory.report_unreachable(first, now) and not directory.report_unreachable(first, now + 1)
+    for report in directory.direct_reports(now):
+        assert other.report_unreachable(report, now, direct=False)
+    assert other.direct_reports(now) == []  # it was not told itself
+    assert not directory.remove_failed(now + MS)
+    assert directory.report_unreachable(SuspicionReport("a", 1, "y"), now + MS) and directory.remove_failed(now + MS)
+    assert not directory.report_unreachable(SuspicionReport("a", 1, "z"), now + 2 * MS)  # gone already
+    assert directory.update(endpoint("a", count=2), now + S) and not directory.remove_failed(now + S)
 
 
 def test_a_backend_known_by_its_health_answer_drains_when_others_know_that_it_leaves() -> None:
@@ -356,6 +357,8 @@
 
 def test_a_directory_that_was_started_anew_learns_of_drains_from_the_proxies_themselves() -> None:
     directory = Directory()
-    directory.heard(endpoint("a", state="draining", count=7), S)
-    assert directory.since(0)[0][0].state == "draining"
-    assert directory.heard(endpoint("a", life=2, count=1), 2 * S) and directory.since(0)[0][0].state == "draining"
+    directory.update(endpoint("a", state="draining", count=7), S)
+    assert directory.changes_since(0)[0][0].state == "draining"
+    assert (
+        directory.update(endpoint("a", life=2, count=1), 2 * S) and directory.changes_since(0)[0][0].state == "draining"
+    )
