--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -12,15 +12,17 @@
 from typing import Any
 
 from lilacsill.address import Address, parse_address
-from lilacsill.mesh.proxy.control_api import OfferServer
+from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
-from lilacsill.mesh.proxy.far import BackendGateway
+from lilacsill.mesh.proxy.backend_gateway import BackendGateway
 from lilacsill.mesh.proxy.forwarding import Forwarder
-from lilacsill.mesh.proxy.life import Life
-from lilacsill.mesh.proxy.neighbours import Neighbours
-from lilacsill.mesh.proxy.routes import Routes
-from lilacsill.mesh.proxy.table import Table
-from lilacsill.mesh.runtime.messages import Endpoint, Message
+from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
+from lilacsill.mesh.proxy.failure_detector import FailureDetector
+from lilacsill.mesh.proxy.known_endpoints import KnownEndpoints
+from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.active_config import ActiveConfig
+from lilacsill.mesh.proxy.endpoint_table import EndpointTable
+from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.rpc import RpcClientPool
 from lilacsill.mesh.runtime.settings import Settings, TimingBounds
@@ -28,7 +30,7 @@
 from . import fleet
 
 SLOTS = 9
-BOUNDS = (0.2, 10_000_000, 60.0)  # of the retry budget
+RETRY_BUDGET = RetryBudgetSettings(0.2, 10_000_000, 60.0)
 Answered = Callable[[Message | None], None]
 
 
@@ -62,7 +64,7 @@
     """What the light proxies of one process have in common."""
 
     def __init__(self) -> None:
-        self.tables: dict[str, Table] = {}
+        self.tables: dict[str, EndpointTable] = {}
         self._endpoints: dict[str, Endpoint] = {}
 
     def one(self, endpoint: Endpoint) -> Endpoint:
@@ -90,29 +92,34 @@
             self.peers.client(parse_address(address)).request(message, timeout_us, answered)
 
 
+class SharedEndpoints(KnownEndpoints):
+    """Endpoints whose records are those of all light proxies of the process."""
+
+    shared: Shared | None
+
+    def update(self, endpoint: Endpoint, now: int) -> None:
+        super().update(endpoint if self.shared is None else self.shared.one(endpoint), now)
+
+
 class HollowDiscovery(DiscoveryClient):
-    """Stops with its proxy, and says nothing while that is cut off."""
+    """Stops with its proxy, and sends nothing while that is cut off."""
 
     proxy: HollowProxy
-    shared: Shared | None
 
-    def _turn(self) -> None:
+    def _keep_polling(self) -> None:
         if not self.proxy.over:
-            super()._turn()
+            super()._keep_polling()
 
-    def _ask(self, registry: str, wait_ms: int) -> None:
+    def _poll(self, registry: str, wait_ms: int) -> None:
         if not self.proxy.cut:
-            super()._ask(registry, wait_ms)
-
-    def _endpoint_told(self, endpoint: Endpoint, now: int) -> None:
-        super()._endpoint_told(endpoint if self.shared is None else self.shared.one(endpoint), now)
+            super()._poll(registry, wait_ms)
 
     def close_links(self) -> None:
         self._peers.retain(set())
 
 
 class HollowProxy:
-    """One. `on_news` is called whenever a registry has told it something."""
+    """One. `on_update` is called whenever a registry has told it something."""
 
     def __init__(
         self,
@@ -121,44 +128,59 @@
         number: int,
         shared: Shared | None,
         pings: bool,
-        on_news: Callable[[HollowProxy], None],
+        on_update: Callable[[HollowProxy], None],
     ) -> None:
         """Raises OSError."""
         self.number, self.settings, self._reactor = number, settings, reactor
         self.over = self.cut = False
         assert settings.backend_address is not None
-        self._life = Life(1_000_000)
-        self._gateway = BackendGateway(reactor, self._life, settings.backend_address)
-        self.carrier = Forwarder(
-            reactor, Routes(), self._gateway, settings.node_name, settings.service, BOUNDS, Random(number)
+        self._lifecycle = BackendLifecycle(1_000_000)
+        self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
+        self.forwarder = Forwarder(
+            reactor, ActiveConfig(), self._gateway, settings.node_name, settings.service, RETRY_BUDGET, Random(number)
         )
         if shared is not None:
-            self.carrier.tables = shared.tables
-        self.news = HollowDiscovery(settings, reactor, self.carrier, self._life)
-        self.news.proxy, self.news.shared = self, shared
-        self.news.on_news = lambda: on_news(self)
+            self.forwarder.tables = shared.tables
         self._links = Links(reactor, self)
-        self.neighbours = Neighbours(self._links, settings.node_name, self.news.others, self._accused)
-        self._gateway.look = self.neighbours.look
+        self.endpoints = SharedEndpoints(settings.node_name, self.forwarder)
+        self.endpoints.shared = shared
+        self.failure_detector = FailureDetector(self._links, settings.node_name, self.endpoints.peers, self._on_suspect)
+        self.discovery = HollowDiscovery(
+            settings,
+            reactor,
+            self.forwarder,
+            self._lifecycle,
+            self.endpoints,
+            self.failure_detector.suspects,
+            lambda: on_update(self),
+        )
+        self.discovery.proxy = self
         self._listen()
-        self._life.answered(f"i-{number:08x}-{self.news.endpoint().incarnation}", settings.service, SLOTS)
-        self.news.start()
+        self._lifecycle.on_health_check(
+            f"i-{number:08x}-{self.discovery.endpoint().incarnation}", settings.service, SLOTS
+        )
+        self.discovery.start()
         if pings:
-            self.neighbours.start()
+            self.failure_detector.start()
 
     def _listen(self) -> None:
         self._offers = OfferServer(
-            self._reactor, Address(self.settings.ip, self.settings.internal_ports[0]), self._gateway
+            self._reactor, Address(self.settings.ip, self.settings.internal_ports[0]), self._gateway, self
         )
 
-    def _accused(self) -> None:
-        self.news.accused = self.neighbours.accused
-        self.news.tell()
+    def _on_suspect(self) -> None:
+        self.discovery.poll_now()
+
+    def status(self) -> bytes:
+        return b"{}"
+
+    def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
+        self.failure_detector.indirect_ping(request, reply)
 
     def leave(self) -> None:
         """As on SIGTERM."""
-        self.news.leaving = True
-        self.news.changed()
+        self.discovery.leaving = True
+        self.discovery.announce()
 
     def lose(self) -> None:
         """Cut off from all others."""
@@ -175,8 +197,8 @@
         self._close()
 
     def _close(self) -> None:
-        self.news.close_links()
+        self.discovery.close_links()
         self._links.peers.retain(set())
         self._offers.close()
-        for sink in list(self._offers.sinks):
+        for sink in list(self._offers.links):
             sink.link.close()
--- a/lilacsill/mesh/proxy/__main__.py
+++ b/lilacsill/mesh/proxy/__main__.py
@@ -7,15 +7,17 @@
 from lilacsill.mesh.runtime.start import run_process
 
 
-def process() -> int:
+def run() -> int:
+    """Run the proxy until it is shut down. Return the exit status."""
     from .process import Process
 
     return run_process("proxy", Process)
 
 
 def main() -> int:
+    """Run the proxy, or the command that the arguments name. Return the exit status."""
     if len(sys.argv) == 1:
-        return process()
+        return run()
     from lilacsill.mesh.runtime.commands import Commands, run_command
 
     return run_command("proxy", Commands)
--- a/lilacsill/mesh/store/__main__.py
+++ b/lilacsill/mesh/store/__main__.py
@@ -7,15 +7,17 @@
 from lilacsill.mesh.runtime.start import run_process
 
 
-def process() -> int:
+def run() -> int:
+    """Run the replica. Return the exit status."""
     from .process import Process
 
     return run_process("store", Process)
 
 
 def main() -> int:
+    """Run the command of the command line, or without one the replica. Return the exit status."""
     if len(sys.argv) == 1:
-        return process()
+        return run()
     from lilacsill.mesh.runtime.commands import run_command
 
     from .commands import Store
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -6,12 +6,14 @@
 from typing import Any
 
 import pytest
+from msgspec.structs import replace
 
 from lilacsill.address import Address
-from lilacsill.mesh.proxy.budget import Budget
-from lilacsill.mesh.proxy.far import BackendRequest
+from lilacsill.mesh.proxy.retry_budget import RetryBudget, RetryBudgetSettings
+from lilacsill.mesh.proxy.backend_request import BackendRequest
 from lilacsill.mesh.proxy.forwarding import Forwarding
-from lilacsill.mesh.proxy.gate import Gate, Ticket
+from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
+from lilacsill.mesh.proxy.reasons import FailureReason, RejectionReason
 from lilacsill.mesh.proxy.transports import ExchangeLinks, LinkExchange
 from lilacsill.mesh.registry.directory import Directory
 from lilacsill.mesh.runtime import messages
@@ -21,8 +23,8 @@
 from lilacsill.mesh.runtime.link import Link
 from lilacsill.mesh.runtime.messages import Endpoint, Message, Response, decode
 from lilacsill.mesh.runtime.rpc import RpcClient
-from lilacsill.mesh.store.followers import Follower, Followers
-from lilacsill.mesh.store.frontend import UNCLEAR, WAIT_US, Frontend
+from lilacsill.mesh.store.followers import Followers, Poll
+from lilacsill.mesh.store.frontend import CALL_TIMEOUT_US, OUTCOME_UNKNOWN, Frontend
 
 Patch = pytest.MonkeyPatch
 
@@ -110,11 +112,11 @@
 
 
 def every_503_is_taken_for_a_promise(patch: Patch) -> None:
-    patch.setattr(BackendRequest, "_spoilt", lambda self, answer: "")
+    patch.setattr(BackendRequest, "_failure_reason", lambda self, response: None)
 
 
 def a_backend_that_was_not_meant_has_made_no_promise(patch: Patch) -> None:
-    patch.setattr(BackendRequest, "_is_not_run", staticmethod(lambda answer: b"not-run" in answer.fields))
+    patch.setattr(BackendRequest, "_is_not_run", staticmethod(lambda response: b"not-run" in response.fields))
 
 
 def writes_are_tried_again(patch: Patch) -> None:
@@ -130,11 +132,11 @@
 
 
 def a_try_on_a_forgotten_connection_is_free(patch: Patch) -> None:
-    def lost(self: BackendRequest, why: str) -> None:
-        if self._connection is not None and self._connection.rested_us:
+    def lost(self: BackendRequest, reason: FailureReason) -> None:
+        if self._connection is not None and self._connection.idle_us:
             self._connection = None
-            return self._gateway.pool.take(self.repeatable, self._connected, self._not_connected)
-        real(self, why)
+            return self._gateway.pool.acquire(self.idempotent, self._on_connected, self._on_not_connected)
+        real(self, reason)
 
     real = BackendRequest.on_lost
     patch.setattr(BackendRequest, "on_lost", lost)
@@ -145,19 +147,20 @@
 
 
 def the_slack_is_there_at_once(patch: Patch) -> None:
-    def begin(self: Budget, ratio: float, window_us: int, slack: float, slack_from: int = 0) -> None:
-        real(self, ratio, window_us, slack)
+    def begin(self: RetryBudget, settings: RetryBudgetSettings) -> None:
+        real(self, replace(settings, slack_from=0))
 
-    real = Budget.__init__
-    patch.setattr(Budget, "__init__", begin)
+    real = RetryBudget.__init__
+    patch.setattr(RetryBudget, "__init__", begin)
 
 
 def routes_without_a_usual_time_have_no_room(patch: Patch) -> None:
-    def offer(self: Gate, ticket: Ticket, now: int) -> str:
-        return real(self, ticket, now) if ticket.route in self._paces or not self._paces else "full"
+    def admit(self: AdmissionController, request: AdmissionRequest, now: int) -> RejectionReason | None:
+        by_route_ms = self.durations.by_route_ms
+        return real(self, request, now) if request.route in by_route_ms or not by_route_ms else RejectionReason.FULL
 
-    real = Gate.offer
-    patch.setattr(Gate, "offer", offer)
+    real = AdmissionController.admit
+    patch.setattr(AdmissionController, "admit", admit)
 
 
 def a_question_takes_every_answer(patch: Patch) -> None:
@@ -187,20 +190,20 @@
 
 
 def followers_that_were_answered_still_wait(patch: Patch) -> None:
-    def waited(self: Followers, follower: Follower) -> None:
-        if follower in self._waiting:
-            self._answer(follower)
+    def on_timeout(self: Followers, poll: Poll) -> None:
+        if poll in self._polls:
+            self._answer(poll)
 
-    patch.setattr(Followers, "_waited", waited)
+    patch.setattr(Followers, "_on_timeout", on_timeout)
 
 
 def a_call_is_answered_by_time_and_by_the_chain(patch: Patch) -> None:
     def call(self: Frontend, m: messages.Patch, reply: Callable[[Message], None]) -> None:
-        self._environment.after(WAIT_US // 20, reply, UNCLEAR)
+        self._environment.after(CALL_TIMEOUT_US // 20, reply, OUTCOME_UNKNOWN)
         real(self, m, reply)
 
-    real = Frontend.patch
-    patch.setattr(Frontend, "patch", call)
+    real = Frontend.handle_patch
+    patch.setattr(Frontend, "handle_patch", call)
 
 
 def a_call_under_way_counts_as_rest(patch: Patch) -> None:
