--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -24,8 +24,8 @@
 from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Peers
-from lilacsill.mesh.runtime.settings import Settings
+from lilacsill.mesh.runtime.rpc import RpcClientPool
+from lilacsill.mesh.runtime.settings import Settings, TimingBounds
 
 from . import fleet
 
@@ -38,23 +38,23 @@
     told = fleet.endpoint(number, services, network)
     return Settings(
         path="",
-        node=told.node,
+        node_name=told.node,
         zone=told.zone,
         ip=told.host,
-        ports=(told.port, told.port + 15),
+        internal_ports=(told.port, told.port + 15),
         seeds=seeds,
-        fresh=False,
-        counts=False,
-        lost_machines=1,
-        lost_places=0,
-        data="",
-        beat_us=500_000,
-        bounds={},
+        fresh_start=False,
+        loss_counts=False,
+        max_lost_machines=1,
+        max_lost_zones=0,
+        data_dir="",
+        heartbeat_interval_us=500_000,
+        timing=TimingBounds(),
         listen={},
-        app=Address(told.host, told.port + 16),
+        backend_address=Address(told.host, told.port + 16),
         service=told.service,
-        memory_mb=300,
-        files=4096,
+        max_memory_mb=300,
+        max_open_files=4096,
         link_mbps=1000.0,
         disk_mb=0,
     )
@@ -80,7 +80,7 @@
     """A proxy's questions to its neighbours, while it is there."""
 
     def __init__(self, reactor: Reactor, proxy: HollowProxy) -> None:
-        self.now, self._reactor, self._proxy, self.peers = reactor.now, reactor, proxy, Peers(reactor)
+        self.now, self._reactor, self._proxy, self.peers = reactor.now, reactor, proxy, RpcClientPool(reactor)
 
     def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> object:
         return None if self._proxy.over else self._reactor.after(delay_us, call, *arguments)
@@ -89,7 +89,7 @@
         if self._proxy.cut:
             self._reactor.after(timeout_us, answered, None)
         else:
-            self.peers.to(parse_address(address)).ask(message, timeout_us, answered)
+            self.peers.client(parse_address(address)).request(message, timeout_us, answered)
 
 
 class SharedEndpoints(KnownEndpoints):
@@ -115,7 +115,7 @@
             super()._poll(registry, wait_ms)
 
     def close_links(self) -> None:
-        self._peers.keep(set())
+        self._peers.retain(set())
 
 
 class HollowProxy:
@@ -133,18 +133,18 @@
         """Raises OSError."""
         self.number, self.settings, self._reactor = number, settings, reactor
         self.over = self.cut = False
-        assert settings.app is not None
+        assert settings.backend_address is not None
         self._lifecycle = BackendLifecycle(1_000_000)
-        self._gateway = BackendGateway(reactor, self._lifecycle, settings.app)
+        self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
         self.forwarder = Forwarder(
-            reactor, ActiveConfig(), self._gateway, settings.node, settings.service, RETRY_BUDGET, Random(number)
+            reactor, ActiveConfig(), self._gateway, settings.node_name, settings.service, RETRY_BUDGET, Random(number)
         )
         if shared is not None:
             self.forwarder.tables = shared.tables
         self._links = Links(reactor, self)
-        self.endpoints = SharedEndpoints(settings.node, self.forwarder)
+        self.endpoints = SharedEndpoints(settings.node_name, self.forwarder)
         self.endpoints.shared = shared
-        self.failure_detector = FailureDetector(self._links, settings.node, self.endpoints.peers, self._on_suspect)
+        self.failure_detector = FailureDetector(self._links, settings.node_name, self.endpoints.peers, self._on_suspect)
         self.discovery = HollowDiscovery(
             settings,
             reactor,
@@ -165,7 +165,7 @@
 
     def _listen(self) -> None:
         self._offers = OfferServer(
-            self._reactor, Address(self.settings.ip, self.settings.ports[0]), self._gateway, self
+            self._reactor, Address(self.settings.ip, self.settings.internal_ports[0]), self._gateway, self
         )
 
     def _on_suspect(self) -> None:
@@ -198,7 +198,7 @@
 
     def _close(self) -> None:
         self.discovery.close_links()
-        self._links.peers.keep(set())
+        self._links.peers.retain(set())
         self._offers.close()
         for sink in list(self._offers.links):
             sink.link.close()
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -11,11 +11,11 @@
 from functools import partial
 
 from lilacsill.address import parse_address
-from lilacsill.mesh.runtime.freshness import Evidence
+from lilacsill.mesh.runtime.freshness import FreshnessTracker
 from lilacsill.mesh.runtime.incarnation import Incarnation
 from lilacsill.mesh.runtime.messages import Endpoint, Message, Poll, PollReply
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Peers
+from lilacsill.mesh.runtime.rpc import RpcClientPool
 from lilacsill.mesh.runtime.settings import Settings
 
 from .backend_lifecycle import BackendLifecycle, EndpointState
@@ -62,9 +62,9 @@
         self._settings, self._reactor = settings, reactor
         self._forwarder, self._lifecycle = forwarder, lifecycle
         self._endpoints, self._suspects, self._on_update = endpoints, suspects, on_update
-        self._peers = Peers(reactor)
+        self._peers = RpcClientPool(reactor)
         self.registries = RegistrySelector(
-            settings.node, {f"{seed.host}:{settings.ports[0]}" for seed in settings.seeds}
+            settings.node_name, {f"{seed.host}:{settings.internal_ports[0]}" for seed in settings.seeds}
         )
         self.registry_versions: dict[str, tuple[int, int]] = {}  # of each: its incarnation, version of its directory
         self._pending: dict[str, int] = {}  # by registry: the number of the poll that counts
@@ -73,7 +73,7 @@
         self._behind: set[str] = set()  # registries that are to send the configuration with the next poll
         # The time of day is a good guess at a higher number than that of the run before.
         self._incarnation = Incarnation(time.time_ns() // 1000)
-        self.evidence = Evidence(CURRENT_US)  # that the configuration here is the one in force
+        self.evidence = FreshnessTracker(CURRENT_US)  # that the configuration here is the one in force
         self.leaving = False
         forwarder.sure = self.is_config_current
 
@@ -87,7 +87,7 @@
 
     def announce(self) -> None:
         """Announce at once that the own endpoint has changed."""
-        self._incarnation.changed()
+        self._incarnation.next_version()
         self.poll_now()
 
     def poll_now(self) -> None:
@@ -100,11 +100,11 @@
         lifecycle, settings = self._lifecycle, self._settings
         warmup_left_us = lifecycle.warming_up_until - self._reactor.now()
         return Endpoint(
-            settings.node,
+            settings.node_name,
             self._incarnation.number,
             self._incarnation.version,
             settings.ip,
-            settings.ports[0],
+            settings.internal_ports[0],
             settings.zone,
             lifecycle.service or settings.service,
             lifecycle.server,
@@ -138,7 +138,7 @@
             wait_ms,
             with_incarnations(self._suspects, self._endpoints.incarnations(self._suspects)),
         )
-        self._peers.to(parse_address(registry)).ask(
+        self._peers.client(parse_address(registry)).request(
             poll, wait_ms * 1000 + REPLY_MARGIN_US, partial(self._on_reply, registry, number, self._reactor.now())
         )
 
@@ -197,7 +197,7 @@
         if reply.freshness is None:
             return
         if routes.seq >= reply.newest_seq:
-            self.evidence.heard(reply.freshness, asked_at)
+            self.evidence.record(reply.freshness, asked_at)
         elif not reply.items:
             self._reactor.after(MISSING_CONFIG_US, self._poll_if_behind, registry)
 
@@ -209,6 +209,6 @@
 
     def _refute(self, endpoints: list[Endpoint]) -> None:
         """Announce a higher incarnation where a record of an earlier run of this proxy would hide this one."""
-        own = (endpoint for endpoint in endpoints if endpoint.node == self._settings.node)
+        own = (endpoint for endpoint in endpoints if endpoint.node == self._settings.node_name)
         if any(self._incarnation.refute(endpoint.incarnation, endpoint.version) for endpoint in own):
             self.announce()
--- a/lilacsill/mesh/proxy/offer_server.py
+++ b/lilacsill/mesh/proxy/offer_server.py
@@ -61,7 +61,7 @@
         """Send an outcome, or a part of one. Return how many bytes are not sent yet."""
         if _ends_exchange(message):
             self._request = None
-        if not self.link.open:
+        if not self.link.is_open:
             return 0
         return self.link.send(message, self._number)
 
@@ -98,11 +98,11 @@
     def _resume(self) -> None:
         if self._request is not None and self._request.unsent > MAX_BUFFERED_BYTES // 2:
             self._gateway.after(RESUME_CHECK_US, self._resume)
-        elif self.link.open:
+        elif self.link.is_open:
             self.link.stream.resume()
 
     def _reply(self, number: int, message: Message) -> None:
-        if self.link.open:
+        if self.link.is_open:
             self.link.send(message, number)
 
     def _on_flushed(self) -> None:
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -9,6 +9,7 @@
 from lilacsill.mesh.proxy.graceful_shutdown import MAX_WORK_FACTOR, GracefulShutdown
 from lilacsill.mesh.proxy.process import Process
 from lilacsill.mesh.runtime.messages import Endpoint
+from lilacsill.mesh.runtime.settings import TimingBounds
 from tests.control.point_5_world import caller, settings, statuses
 from tests.mesh.stage import LOOPBACK, Client, Stage, request, stage
 
@@ -49,7 +50,9 @@
     def __init__(self, stage: Stage, monkeypatch: pytest.MonkeyPatch, grace_s: float) -> None:
         self.stage = stage
         listen = {name: Address(LOOPBACK, 0) for name in ("Outgoing", "ControlPort", "ReadyCheck")}
-        own = replace(settings(), ports=(0, 0), listen=listen, bounds={"GracePeriodS": grace_s})
+        own = replace(
+            settings(), internal_ports=(0, 0), listen=listen, timing=TimingBounds(grace_period_us=int(grace_s * S))
+        )
         monkeypatch.setattr(stage.reactor, "on_signal", lambda number, call: None)
         self.process = Process(own, stage.reactor)
         routes = [Stage.route("reads", "read_only", 1), Stage.route("writes", "writes", 2)]
