--- a/lilacsill/agent/admin/__init__.py
+++ b/lilacsill/agent/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' door: imported only where an address is named for it."""
+"""The admin API for operators. Imported only where an address is configured for it."""
--- a/lilacsill/agent/admin/calls.py
+++ b/lilacsill/agent/admin/calls.py
@@ -1,4 +1,4 @@
-"""What operators may ask for: a method and a path become a call, or the error that is owed. No I/O."""
+"""The calls of the admin API: a method and a path become a call, or the error to answer with. No I/O."""
 
 from __future__ import annotations
 
@@ -11,6 +11,8 @@
 
 
 class Verb(Enum):
+    """What an operator can ask for."""
+
     READY = "ready"
     DISABLE = "disable"
     ENABLE = "enable"
@@ -23,21 +25,26 @@
 
 @dataclass(slots=True, frozen=True)
 class Call:
-    """`backend` is named by DISABLE and ENABLE alone."""
+    """A call; only DISABLE and ENABLE name a backend."""
 
     verb: Verb
     backend: str = ""
 
 
-class Refused(Exception):
-    """The call gets a no: this status, and a line that says why."""
+class CallRejected(Exception):
+    """A call is not carried out.
+
+    Attributes:
+        status: The HTTP status to answer with; the text of the exception is the body.
+        allow: The value of the Allow field for status 405, else empty.
+    """
 
-    def __init__(self, status: int, why: str, allow: str = "") -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, allow: str = "") -> None:
+        super().__init__(reason)
         self.status, self.allow = status, allow
 
 
-PLAIN = {
+AGENT_CALLS = {
     "ready": (Verb.READY, "GET"),
     "drain": (Verb.DRAIN, "POST"),
     "resume": (Verb.RESUME, "POST"),
@@ -45,37 +52,41 @@
     "notes": (Verb.NOTES, "GET"),
     "recovery": (Verb.RECOVERY, "GET"),
 }
-OF_BACKEND = {"disable": Verb.DISABLE, "enable": Verb.ENABLE}
+BACKEND_CALLS = {"disable": Verb.DISABLE, "enable": Verb.ENABLE}
+
 
+def parse_call(method: str, target: str) -> Call:
+    """Parse a call. The path is checked first, then the method (RFC 9110, 15.5.5 and 15.5.6).
 
-def read_call(method: str, target: str) -> Call:
-    """The path decides first, then the method (RFC 9110, 15.5.5 and 15.5.6). Raises Refused."""
+    Raises:
+        CallRejected: There is no such call.
+    """
     path = target.partition("?")[0]
     if not path.startswith(ROOT):
-        raise Refused(404, "no such path")
+        raise CallRejected(404, "no such path")
     parts = path[len(ROOT) :].split("/")
-    if len(parts) == 1 and parts[0] in PLAIN:
-        verb, allowed = PLAIN[parts[0]]
+    if len(parts) == 1 and parts[0] in AGENT_CALLS:
+        verb, allowed = AGENT_CALLS[parts[0]]
         call = Call(verb)
-    elif len(parts) == 3 and parts[0] == "backends" and parts[2] in OF_BACKEND:
+    elif len(parts) == 3 and parts[0] == "backends" and parts[2] in BACKEND_CALLS:
         allowed = "POST"
-        call = Call(OF_BACKEND[parts[2]], _identifier(parts[1]))
+        call = Call(BACKEND_CALLS[parts[2]], _decode_identifier(parts[1]))
     else:
-        raise Refused(404, "no such path")
+        raise CallRejected(404, "no such path")
     if method != allowed:
-        raise Refused(405, f"{path} is asked by {allowed}", allow=allowed)
+        raise CallRejected(405, f"{path} is asked by {allowed}", allow=allowed)
     return call
 
 
-def _identifier(segment: str) -> str:
-    """An id may hold any characters, a slash among them, percent-encoded (RFC 3986, 2.1)."""
-    for piece in segment.split("%")[1:]:
-        if len(piece) < 2 or not all(c in "0123456789abcdefABCDEF" for c in piece[:2]):
-            raise Refused(400, "the id is not percent-encoded as it should be")
+def _decode_identifier(segment: str) -> str:
+    """Decode an id, which may contain any characters, percent-encoded (RFC 3986, 2.1)."""
+    for escape in segment.split("%")[1:]:
+        if len(escape) < 2 or not all(digit in "0123456789abcdefABCDEF" for digit in escape[:2]):
+            raise CallRejected(400, "the id is not percent-encoded as it should be")
     try:
         name = unquote_to_bytes(segment).decode()
     except UnicodeDecodeError:
-        raise Refused(400, "the id is no UTF-8") from None
+        raise CallRejected(400, "the id is no UTF-8") from None
     if not name:
-        raise Refused(404, "no id is given")
+        raise CallRejected(404, "no id is given")
     return name
--- a/lilacsill/agent/admin/operations.py
+++ b/lilacsill/agent/admin/operations.py
@@ -1,4 +1,4 @@
-"""What operators' calls do, in this process and in the one beside it of an upgrade."""
+"""What operators' calls do, in this process and in the other one of an upgrade."""
 
 from __future__ import annotations
 
@@ -9,198 +9,222 @@
 from dataclasses import replace
 from typing import Protocol
 
-from .calls import Call, Refused, Verb
-from .door import Answer
-from .file import StandingFile
-from .standing import Standing
+from .calls import Call, CallRejected, Verb
+from .operations_file import OperationsFile
+from .operations_state import OperationsState
+from .server import ResponseBody
 
 log = logging.getLogger(__name__)
 
-IDLE_S = 1.5  # of a drain: the front sends new clients for 0.3 s, and most of those that stay ask once more by then
-LOOK_S = 0.1  # a call that the other process took is in force here after so long
+# Idle connections of a drain are closed after this: the front sends new clients for 0.3 s, and most clients that stay
+# send one more request by then.
+DRAIN_IDLE_S = 1.5
+POLL_S = 0.1  # a call that the other process executed is in force here after this time
 
 
 class Clients(Protocol):
-    """The clients' side."""
+    """The clients' side of the agent."""
 
     @property
-    def is_draining(self) -> bool: ...
+    def is_draining(self) -> bool:
+        """Whether clients are being drained."""
 
-    def start_drain(self, idle_s: float) -> None: ...
+    def start_drain(self, idle_s: float) -> None:
+        """Start a drain, which closes idle connections after `idle_s` seconds."""
 
-    def cancel_drain(self) -> None: ...
+    def cancel_drain(self) -> None:
+        """End the drain."""
 
 
 class Backends(Protocol):
-    """The backends' side."""
+    """The backends' side of the agent."""
 
-    def knows_backend(self, backend: str) -> bool: ...
+    def knows_backend(self, backend: str) -> bool:
+        """Return whether the list names a backend."""
 
-    def set_maintenance(self, backend: str, in_maintenance: bool) -> None: ...
+    def set_maintenance(self, backend: str, in_maintenance: bool) -> None:
+        """Take a backend out of service, or back into it."""
 
 
 class Peers(Protocol):
     """The channel between agents."""
 
-    def describe(self) -> Answer: ...
+    def describe(self) -> ResponseBody:
+        """Return the response to PEERS."""
 
-    def notes(self) -> Answer: ...
+    def notes(self) -> ResponseBody:
+        """Return the response to NOTES."""
 
 
 class Recovery(Protocol):
-    """What the agent began with."""
+    """The saved state that the agent started with."""
 
-    def describe(self) -> Answer: ...
+    def describe(self) -> ResponseBody:
+        """Return the response to RECOVERY."""
 
 
 class Operations:
-    """Carries calls out, one at a time. The file comes first: what could not be kept is not done."""
+    """Executes calls, one at a time. A change is written to the file first: what cannot be kept is not done."""
 
     def __init__(
         self,
         clients: Clients,
         backends: Backends,
-        file: StandingFile,
+        file: OperationsFile,
         peers: Peers | None = None,
         recovery: Recovery | None = None,
     ) -> None:
         self._clients, self._backends, self._file, self._peers = clients, backends, file, peers
         self._recovery = recovery
-        self._in_force = Standing()
-        self._me = os.getpid()
-        self._other = 0  # the process of the agent that was there before, or that has come since
-        self._serves = False
+        self._in_force = OperationsState()
+        self._pid = os.getpid()
+        self._other_pid = 0  # the predecessor or successor of this process
+        self._is_serving = False
         self._loop = asyncio.get_running_loop()
-        self._next: asyncio.TimerHandle | None = None
-        self._verbs: dict[Verb, Callable[[Call], Answer]] = {
+        self._next_poll: asyncio.TimerHandle | None = None
+        self._handlers: dict[Verb, Callable[[Call], ResponseBody]] = {
             Verb.READY: self._ready,
             Verb.DRAIN: self._drain,
             Verb.RESUME: self._resume,
             Verb.DISABLE: self._disable,
             Verb.ENABLE: self._enable,
-            Verb.RECOVERY: lambda _: self._recovered().describe(),
-            Verb.PEERS: lambda _: self._channel().describe(),
-            Verb.NOTES: lambda _: self._channel().notes(),
+            Verb.RECOVERY: lambda _: self._require_recovery().describe(),
+            Verb.PEERS: lambda _: self._require_peers().describe(),
+            Verb.NOTES: lambda _: self._require_peers().notes(),
         }
 
-    def start(self, out: frozenset[str] = frozenset()) -> None:
-        """Take over what is in force, and follow it from now on. `out`: backends that were out before a power loss;
-        they count where the file did not outlive it."""
-        self._look()
-        if out and not self._file.held:
+    def start(self, disabled_before: frozenset[str] = frozenset()) -> None:
+        """Apply the state of the file, and follow its changes from now on.
+
+        Args:
+            disabled_before: Backends that were out of service before a power loss; they count if the file was lost.
+        """
+        self._poll()
+        if disabled_before and not self._file.is_stored:
             try:
-                self._file.update(lambda s: replace(s, out=s.out | out))
-            except OSError as e:
-                log.error("backends that were out of service cannot be kept out: %s", e)
-            self._enforce()
+                self._file.update(
+                    lambda state: replace(state, disabled_backends=state.disabled_backends | disabled_before)
+                )
+            except OSError as error:
+                log.error("backends that were out of service cannot be kept out: %s", error)
+            self._apply()
 
-    def out(self) -> frozenset[str]:
-        """Backends that are out of service."""
-        return self._in_force.out
+    def disabled_backends(self) -> frozenset[str]:
+        """Return the backends that are out of service."""
+        return self._in_force.disabled_backends
 
     @property
-    def beside(self) -> int:
-        """The other process of the agent, while it lives; else 0."""
-        if self._other:
+    def other_pid(self) -> int:
+        """The id of the other process of the agent while it lives; else 0."""
+        if self._other_pid:
             try:
-                os.kill(self._other, 0)
+                os.kill(self._other_pid, 0)
             except OSError:
-                self._other = 0
-        return self._other
+                self._other_pid = 0
+        return self._other_pid
 
-    def serves(self) -> None:
-        """This process can serve from now on: the one before it may stop accepting."""
-        self._serves = True
+    def mark_serving(self) -> None:
+        """Announce that this process serves from now on, so that its predecessor may stop accepting."""
+        self._is_serving = True
         try:
-            self._file.update(lambda s: replace(s, serving=self._me))
-        except OSError as e:
-            log.error("the process before this one cannot be told to stop accepting: %s", e)
-        self._enforce()
+            self._file.update(lambda state: replace(state, serving_pid=self._pid))
+        except OSError as error:
+            log.error("the process before this one cannot be told to stop accepting: %s", error)
+        self._apply()
 
-    def succeeded(self) -> bool:
-        """Whether a younger process of the agent serves."""
-        self._file.look()
-        self._enforce()
-        return self._file.standing.serving not in (0, self._me) and self.beside != 0
+    def has_successor(self) -> bool:
+        """Return whether a newer process of the agent serves."""
+        self._file.reload()
+        self._apply()
+        return self._file.state.serving_pid not in (0, self._pid) and self.other_pid != 0
 
     def stop(self) -> None:
-        if self._next is not None:
-            self._next.cancel()
+        """Stop following the file."""
+        if self._next_poll is not None:
+            self._next_poll.cancel()
+
+    def execute(self, call: Call) -> ResponseBody:
+        """Execute a call and return the response.
 
-    def carry_out(self, call: Call) -> Answer:
-        """What is told with a yes. Raises Refused."""
-        return self._verbs[call.verb](call)
+        Raises:
+            CallRejected: The call is not executed.
+        """
+        return self._handlers[call.verb](call)
 
-    def _look(self) -> None:
-        self._next = self._loop.call_later(LOOK_S, self._look)
-        if self._file.look():
-            self._enforce()
+    def _poll(self) -> None:
+        self._next_poll = self._loop.call_later(POLL_S, self._poll)
+        if self._file.reload():
+            self._apply()
 
-    def _change(self, change: Callable[[Standing], Standing]) -> None:
+    def _change(self, change: Callable[[OperationsState], OperationsState]) -> None:
         try:
             self._file.update(change)
-        except OSError as e:
-            log.error("an operator's call is refused, its change could not be kept: %s", e)
-            raise Refused(503, f"the change could not be kept: {e.strerror or e}") from None
-        self._enforce()
-
-    def _enforce(self) -> None:
-        """Bring this process from what was in force to what is."""
-        before, now = self._in_force, self._file.standing
+        except OSError as error:
+            log.error("an operator's call is refused, its change could not be kept: %s", error)
+            raise CallRejected(503, f"the change could not be kept: {error.strerror or error}") from None
+        self._apply()
+
+    def _apply(self) -> None:
+        """Bring this process from the state in force to the state of the file."""
+        before, now = self._in_force, self._file.state
         if before == now:
             return
         self._in_force = now
-        if now.serving not in (0, self._me):
-            self._other = now.serving
-        for backend in now.out - before.out:
+        if now.serving_pid not in (0, self._pid):
+            self._other_pid = now.serving_pid
+        for backend in now.disabled_backends - before.disabled_backends:
             log.info("backend %s is out of service by an operator", backend)
             self._backends.set_maintenance(backend, True)
-        for backend in before.out - now.out:
+        for backend in before.disabled_backends - now.disabled_backends:
             log.info("backend %s may serve again by an operator", backend)
             self._backends.set_maintenance(backend, False)
         if now.draining != before.draining:
             log.info("clients are %s by an operator", "sent away" if now.draining else "taken back")
             if now.draining:
-                self._clients.start_drain(IDLE_S)
+                self._clients.start_drain(DRAIN_IDLE_S)
             else:
                 self._clients.cancel_drain()
 
     # The calls
 
-    def _ready(self, _: Call) -> Answer:
-        if not self._serves:
-            raise Refused(503, "this process does not serve yet")
-        return {"ready": True, "draining": self._clients.is_draining, "out": sorted(self._in_force.out)}
+    def _ready(self, _: Call) -> ResponseBody:
+        if not self._is_serving:
+            raise CallRejected(503, "this process does not serve yet")
+        return {
+            "ready": True,
+            "draining": self._clients.is_draining,
+            "out": sorted(self._in_force.disabled_backends),
+        }
 
-    def _drain(self, _: Call) -> Answer:
-        self._change(lambda s: replace(s, draining=True))
+    def _drain(self, _: Call) -> ResponseBody:
+        self._change(lambda state: replace(state, draining=True))
         return {"draining": True}
 
-    def _resume(self, _: Call) -> Answer:
-        self._change(lambda s: replace(s, draining=False))
+    def _resume(self, _: Call) -> ResponseBody:
+        self._change(lambda state: replace(state, draining=False))
         return {"draining": self._clients.is_draining}
 
-    def _disable(self, call: Call) -> Answer:
-        self._known(call.backend)
-        self._change(lambda s: s.without(call.backend))
+    def _disable(self, call: Call) -> ResponseBody:
+        self._check_known(call.backend)
+        self._change(lambda state: state.disable(call.backend))
         return {"backend": call.backend, "out": True}
 
-    def _enable(self, call: Call) -> Answer:
-        self._known(call.backend)
-        self._change(lambda s: s.with_(call.backend))
+    def _enable(self, call: Call) -> ResponseBody:
+        self._check_known(call.backend)
+        self._change(lambda state: state.enable(call.backend))
         return {"backend": call.backend, "out": False}
 
-    def _channel(self) -> Peers:
+    def _require_peers(self) -> Peers:
         if self._peers is None:
-            raise Refused(404, "agents tell each other nothing here: [peers] is off, or the settings forbid it")
+            raise CallRejected(404, "agents tell each other nothing here: [peers] is off, or the settings forbid it")
         return self._peers
 
-    def _recovered(self) -> Recovery:
+    def _require_recovery(self) -> Recovery:
         if self._recovery is None:
-            raise Refused(404, "nothing is kept between starts here: [recovery] names no folder")
+            raise CallRejected(404, "nothing is kept between starts here: [recovery] names no folder")
         return self._recovery
 
-    def _known(self, backend: str) -> None:
-        """One that left the list while it was out can still be let back."""
-        if not self._backends.knows_backend(backend) and backend not in self._file.standing.out:
-            raise Refused(404, "no list has named such a backend")
+    def _check_known(self, backend: str) -> None:
+        # A backend that left the list while it was out of service can still be enabled.
+        if not self._backends.knows_backend(backend) and backend not in self._file.state.disabled_backends:
+            raise CallRejected(404, "no list has named such a backend")
--- a/lilacsill/agent/admission/connections.py
+++ b/lilacsill/agent/admission/connections.py
@@ -136,7 +136,7 @@
             if state not in allowed_us:
                 continue
             byte_us = timeouts.body_byte_us if state is ConnectionState.BODY else 0
-            for record in records:
-                if now - record.state_since > allowed_us[state] + byte_us * record.received:
-                    expired.append(record)
+            expired += [
+                record for record in records if now - record.state_since > allowed_us[state] + byte_us * record.received
+            ]
         return expired
--- a/lilacsill/agent/admission/controller.py
+++ b/lilacsill/agent/admission/controller.py
@@ -124,7 +124,7 @@
             return Refused(reason, self._rng.uniform(*self._settings.retry_after_s))
         if verdict is Verdict.REPLACE:
             assert victim is not None and rank is not None
-            self._record_storm(now, f"{_words(rank)} made way")
+            self._record_storm(now, f"{_label(rank)} made way")
             self.start_closing(victim)
         record = ConnectionRecord(address, known, now)
         self.connections.add(record)
@@ -162,7 +162,7 @@
         rank, victim = self._find_victim(False, now, can_evict)
         if victim is not None:
             assert rank is not None
-            self._record_storm(now, f"{_words(rank)} made way for a backend")
+            self._record_storm(now, f"{_label(rank)} made way for a backend")
             self.start_closing(victim)
         return victim
 
@@ -268,5 +268,5 @@
         self.descriptors.known_changed(known)
 
 
-def _words(rank: EvictionRank) -> str:
+def _label(rank: EvictionRank) -> str:
     return rank.name.lower().replace("_", " ")
--- a/lilacsill/agent/admission/descriptor_account.py
+++ b/lilacsill/agent/admission/descriptor_account.py
@@ -95,8 +95,8 @@
         Args:
             known: Whether the attempt is for a known client.
         """
-        kept = 0 if known else min(self.reserve, self.floor(Side.UPSTREAM) // 2)
-        return self._open[Side.UPSTREAM] < self.capacity(Side.UPSTREAM) - kept
+        reserved = 0 if known else min(self.reserve, self.floor(Side.UPSTREAM) // 2)
+        return self._open[Side.UPSTREAM] < self.capacity(Side.UPSTREAM) - reserved
 
     def can_lend(self, side: Side) -> bool:
         """Return whether a side has more than its floor open, so that the other may have an idle connection of it."""
--- a/lilacsill/agent/admission/policy.py
+++ b/lilacsill/agent/admission/policy.py
@@ -118,14 +118,14 @@
     reason = _refusal_at_the_door(arrival)
     if reason is not None:
         return Verdict.REFUSE, reason
-    room = arrival.capacity - (0 if arrival.known else arrival.unused_reserve)
-    if arrival.open < room:
+    limit = arrival.capacity - (0 if arrival.known else arrival.unused_reserve)
+    if arrival.open < limit:
         return Verdict.ADMIT, None
     if arrival.may_close:
         # A connection that is silent or done costs nothing to lose; a warm connection to a backend does.
         if arrival.victim is not None and arrival.victim <= EvictionRank.LINGERING:
             return Verdict.REPLACE, None
-        if arrival.upstream_lends and arrival.open <= room:  # otherwise a single one would not be enough
+        if arrival.upstream_lends and arrival.open <= limit:  # otherwise a single one would not be enough
             return Verdict.BORROW, None
         if arrival.victim is not None:
             return Verdict.REPLACE, None
--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from lilacsill.address import Address
-from lilacsill.balancing import interface as q
+from lilacsill.balancing import interface as balancing
 from lilacsill.balancing.logic import Balancer
 from lilacsill.clock import Clock
 from lilacsill.http1.message import Headers, Message
@@ -50,35 +50,35 @@
         self._backends, self._discovery = backends, discovery
         self._in_flight: dict[int, RequestInFlight] = {}
         self._exchanges: dict[tuple[int, int], Exchange] = {}  # attempts that have not ended, by request and attempt
-        self._events: deque[q.Event] = deque()
+        self._events: deque[balancing.Event] = deque()
         self._is_handling = False
         self._requests_accepted = 0
         self.observer: Observer | None = None
         self.backends_known = asyncio.Event()  # set once discovery has answered
         self._action_handlers: dict[type, Callable[[Any], None]] = {
-            q.Send: self._send,
-            q.Reject: self._reject,
-            q.Fail: self._fail,
-            q.Cancel: self._cancel,
-            q.SetTimer: self._set_timer,
-            q.Probe: self._probe,
-            q.Watch: self._watch,
-            q.Fetch: self._fetch,
-            q.Log: self._log,
+            balancing.Send: self._send,
+            balancing.Reject: self._reject,
+            balancing.Fail: self._fail,
+            balancing.Cancel: self._cancel,
+            balancing.SetTimer: self._set_timer,
+            balancing.Probe: self._probe,
+            balancing.Watch: self._watch,
+            balancing.Fetch: self._fetch,
+            balancing.Log: self._log,
         }
 
     def start(self, known: Listing) -> None:
         """Start with the list of backends of the configuration."""
         if self.observer is not None:
             self.observer.backends_listed(known)
-        self._post(q.BackendsChanged(q.ListKind.CACHED, self._backends.apply(known)))
+        self._post(balancing.BackendsChanged(balancing.ListKind.CACHED, self._backends.apply(known)))
         self._discovery.follow(self._on_listing)
 
-    def tenant_changed(self, number: int, about: q.Tenant | None) -> None:
+    def tenant_changed(self, number: int, about: balancing.Tenant | None) -> None:
         """Note that a tenant is new, has another quota or is gone (None); its requests in flight go on."""
-        self._post(q.TenantChanged(number, about))
+        self._post(balancing.TenantChanged(number, about))
 
-    def fleet_changed(self, event: q.FleetChanged | q.PeerHealthChanged) -> None:
+    def fleet_changed(self, event: balancing.FleetChanged | balancing.PeerHealthChanged) -> None:
         """Pass on what other agents have reported."""
         self._post(event)
 
@@ -91,29 +91,29 @@
         """Ask discovery at another address from now on."""
         self._discovery.set_address(address, self._on_listing)
 
-    def knows_backend(self, backend: q.BackendId) -> bool:
+    def knows_backend(self, backend: balancing.BackendId) -> bool:
         """Return whether the list names a backend."""
         return self._backends.knows(backend)
 
-    def set_maintenance(self, backend: q.BackendId, in_maintenance: bool) -> None:
+    def set_maintenance(self, backend: balancing.BackendId, in_maintenance: bool) -> None:
         """Take a backend out for an operator, or let it serve again; in force on return."""
         self._backends.set_maintenance(backend, in_maintenance)
-        self._post(q.MaintenanceChanged(backend, in_maintenance))
+        self._post(balancing.MaintenanceChanged(backend, in_maintenance))
 
     def add_observer(self, observer: Observer) -> None:
         """Report to one more observer what this agent sees."""
         self.observer = observer if self.observer is None else CombinedObserver(self.observer, observer)
 
-    def restore_latency_model(self, model: q.LatencyModelRestored) -> None:
+    def restore_latency_model(self, model: balancing.LatencyModelRestored) -> None:
         """Restore the latencies that an earlier incarnation measured; a model of 0 answers is ignored."""
         if model.answers:
             self._post(model)
 
-    def latency_model(self) -> q.LatencyModelRestored:
+    def latency_model(self) -> balancing.LatencyModelRestored:
         """Return the measured latencies, for a later incarnation."""
         return self._balancer.latency_model()
 
-    def estimates(self) -> list[q.BackendEstimate]:
+    def estimates(self) -> list[balancing.BackendEstimate]:
         """Return what the decision module estimates of the backends now."""
         return self._balancer.estimates(self._clock.now())
 
@@ -130,7 +130,7 @@
         if self.observer is not None:
             self.observer.request_arrived(call)
         self._post(
-            q.RequestArrived(
+            balancing.RequestArrived(
                 call.number, call.request_class, timeout_us, call.tenant, call.key, call.cost_us, call.is_retry
             )
         )
@@ -138,7 +138,7 @@
     def client_gone(self, call: DownstreamRequest) -> None:
         """Give up a request whose client has gone."""
         if self._finish_request(call.number) is not None:
-            self._post(q.ClientDisconnected(call.number))
+            self._post(balancing.ClientDisconnected(call.number))
 
     def fail_all(self) -> None:
         """Answer all requests in flight with an error."""
@@ -158,7 +158,7 @@
         """Answer a request that the module gave no answer; an error is always true."""
         if number in self._in_flight:
             self._answer(number, 500, [], b"failed\n")
-            self._post(q.ClientDisconnected(number))
+            self._post(balancing.ClientDisconnected(number))
 
     def _answer(self, number: int, status: int, headers: Headers, body: bytes) -> None:
         in_flight = self._finish_request(number)
@@ -179,7 +179,7 @@
 
     # Events for the module
 
-    def _post(self, event: q.Event) -> None:
+    def _post(self, event: balancing.Event) -> None:
         """Pass an event to the module.
 
         It is queued while another is handled: an action may end at once, and the module must not be re-entered.
@@ -194,7 +194,7 @@
         finally:
             self._is_handling = False
 
-    def _dispatch(self, event: q.Event) -> None:
+    def _dispatch(self, event: balancing.Event) -> None:
         try:
             actions = self._balancer.handle(self._clock.now(), event)
         except Exception:
@@ -211,7 +211,7 @@
 
     # Actions of the module
 
-    def _send(self, action: q.Send) -> None:
+    def _send(self, action: balancing.Send) -> None:
         in_flight = self._in_flight.get(action.request)
         if in_flight is None:
             return
@@ -237,7 +237,7 @@
             self._exchanges[number, attempt] = exchange
 
     def _on_sending(self, number: int, attempt: int, is_written: bool) -> None:
-        self._post(q.UploadChanged(number, attempt, is_written))
+        self._post(balancing.UploadChanged(number, attempt, is_written))
 
     def _begin_response(self, number: int, attempt: int, response: Message) -> ResponseSink | None:
         """Stream the response of this attempt; no other attempt, and no deadline, can take its place from now on."""
@@ -251,17 +251,17 @@
         content_type = response.header(b"content-type")
         headers = [("Content-Type", content_type)] if content_type else []
         sink = in_flight.call.begin_response(in_flight.call, headers, response.length)
-        self._post(q.StreamStarted(number, attempt))
+        self._post(balancing.StreamStarted(number, attempt))
         return sink
 
-    def _on_attempt_ended(self, number: int, attempt: int, backend: q.BackendId, result: Result) -> None:
+    def _on_attempt_ended(self, number: int, attempt: int, backend: balancing.BackendId, result: Result) -> None:
         if self.observer is not None:
             self.observer.attempt_ended(number, attempt, backend, result.outcome, result.latency_us, result.report)
-        if result.outcome is q.Outcome.OK and not result.streamed:
+        if result.outcome is balancing.Outcome.OK and not result.streamed:
             headers = [("Content-Type", result.content_type)] if result.content_type else []
             self._answer(number, 200, headers, result.body)
         self._post(
-            q.AttemptEnded(
+            balancing.AttemptEnded(
                 number,
                 attempt,
                 backend,
@@ -272,42 +272,42 @@
             )
         )
 
-    def _reject(self, action: q.Reject) -> None:
+    def _reject(self, action: balancing.Reject) -> None:
         advice = [("Retry-After", f"{action.retry_after_us / 1e6:.6f}")] if action.retry_after_us else []
         self._answer(action.request, 503, advice, b"refused\n")
 
-    def _fail(self, action: q.Fail) -> None:
+    def _fail(self, action: balancing.Fail) -> None:
         self._answer(action.request, 502, [], b"failed\n")
 
-    def _cancel(self, action: q.Cancel) -> None:
+    def _cancel(self, action: balancing.Cancel) -> None:
         exchange = self._exchanges.get((action.request, action.attempt))
         if exchange is not None:
             exchange.cancel()
 
-    def _set_timer(self, action: q.SetTimer) -> None:
-        self._clock.after(action.delay_us, self._post, q.TimerFired(action.token))
+    def _set_timer(self, action: balancing.SetTimer) -> None:
+        self._clock.after(action.delay_us, self._post, balancing.TimerFired(action.token))
 
-    def _probe(self, action: q.Probe) -> None:
+    def _probe(self, action: balancing.Probe) -> None:
         def on_done(result: Result) -> None:
-            self._post(q.ProbeEnded(action.backend, result.outcome, result.latency_us, result.report))
+            self._post(balancing.ProbeEnded(action.backend, result.outcome, result.latency_us, result.report))
 
         self._backends.probe(action.backend, on_done)
 
-    def _watch(self, action: q.Watch) -> None:
+    def _watch(self, action: balancing.Watch) -> None:
         self._discovery.watch(self._on_listing)
 
-    def _fetch(self, action: q.Fetch) -> None:
+    def _fetch(self, action: balancing.Fetch) -> None:
         self._discovery.fetch(self._on_listing)
 
     def _on_listing(self, listing: Listing | None) -> None:
         if listing is None:
-            self._post(q.BackendsChanged(q.ListKind.FAILED, []))
+            self._post(balancing.BackendsChanged(balancing.ListKind.FAILED, []))
             return
         if self.observer is not None:
             self.observer.backends_listed(listing)
         self.backends_known.set()
-        kind = q.ListKind.FULL if listing.complete else q.ListKind.DELTA
-        self._post(q.BackendsChanged(kind, self._backends.apply(listing)))
+        kind = balancing.ListKind.FULL if listing.complete else balancing.ListKind.DELTA
+        self._post(balancing.BackendsChanged(kind, self._backends.apply(listing)))
 
-    def _log(self, action: q.Log) -> None:
+    def _log(self, action: balancing.Log) -> None:
         log.info("%s", action.text)
--- a/lilacsill/agent/assembly.py
+++ b/lilacsill/agent/assembly.py
@@ -21,7 +21,7 @@
 from .inbound.server import SWEEP_S, Server
 from .inbound.validation import RequestValidator
 from .outbound.backends import Backends
-from .outbound.pool import SETTLE_US, Pool
+from .outbound.pool import REUSE_DELAY_US, Pool
 from .watermarks import Watermarks, buffer_budget
 
 if TYPE_CHECKING:
@@ -71,7 +71,7 @@
     """Return the budget of descriptors, by what the process uses now and what it is about to open."""
     base = descriptors.count_open() + 1 + config.peers_allowed  # the listener, and the socket between agents
     if config.admin is not None:
-        from .admin.door import DESCRIPTORS
+        from .admin.server import DESCRIPTORS
 
         base += DESCRIPTORS
     return DescriptorBudget(descriptors.effective_limit(config.sockets), base)
@@ -81,7 +81,7 @@
     config: Config,
     clock: Clock,
     timeouts: ConnectionTimeouts | None = None,
-    settle_us: int = SETTLE_US,
+    reuse_delay_us: int = REUSE_DELAY_US,
     sweep_s: float = SWEEP_S,
     admission: AdmissionSettings | None = None,
     budget: DescriptorBudget | None = None,
@@ -99,7 +99,7 @@
         account, admission_settings, timeouts or ConnectionTimeouts(), config.seed, log.warning
     )
     spare = SpareDescriptor()
-    pool = Pool(clock, config.connect_timeout_us, config.conn_idle_us, account, settle_us)
+    pool = Pool(clock, config.connect_timeout_us, config.conn_idle_us, account, reuse_delay_us)
     backends = Backends(clock, settings.report_fields, pool)
     discovery = Discovery(
         clock,
--- a/lilacsill/agent/inbound/upload.py
+++ b/lilacsill/agent/inbound/upload.py
@@ -32,7 +32,7 @@
         self._source, self._share = source, watermarks.open_stream()
         self.length = length
         self.is_complete = False
-        self._kept = bytearray()
+        self._received = bytearray()
         self._is_truncated = False  # some of what was received is no longer kept
         self._receiver: BodyReceiver | None = None
         source.limit_reads(self._share.high_watermark)
@@ -43,14 +43,14 @@
         """Pass bytes of the body on. None at all is no event: an empty chunk would end a chunked body."""
         if not data:
             return
-        is_kept = not self._is_truncated and len(self._kept) + len(data) <= self._share.high_watermark()
+        is_kept = not self._is_truncated and len(self._received) + len(data) <= self._share.high_watermark()
         if self._receiver is None or is_kept:
-            self._kept += data
+            self._received += data
         else:
             self._is_truncated = True
-            self._kept.clear()
+            self._received.clear()
         unwritten = self._receiver.on_body(data) if self._receiver is not None else 0
-        if self._share.set_buffered(len(self._kept) + unwritten) or unwritten:
+        if self._share.set_buffered(len(self._received) + unwritten) or unwritten:
             self._source.pause_body()
 
     def finish(self) -> None:
@@ -63,7 +63,7 @@
         """Forget the body: the request has its answer, or its client has gone."""
         self._share.close()
         self._receiver = None
-        self._kept.clear()
+        self._received.clear()
         self._is_truncated = True
 
     # For an attempt
@@ -74,7 +74,7 @@
             return None
         self._receiver = receiver
         self._source.resume_body()
-        return bytes(self._kept)
+        return bytes(self._received)
 
     def detach(self, receiver: BodyReceiver) -> None:
         """Pass nothing more to a receiver that is done."""
@@ -84,5 +84,5 @@
     def drained(self, receiver: BodyReceiver) -> None:
         """Note that the receiver has written all that it was given."""
         if self._receiver is receiver:
-            self._share.set_buffered(len(self._kept))
+            self._share.set_buffered(len(self._received))
             self._source.resume_body()
--- a/lilacsill/agent/observers.py
+++ b/lilacsill/agent/observers.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from lilacsill.balancing import interface as q
+from lilacsill.balancing import interface as balancing
 
 from .discovery.listing import Listing
 from .inbound.validation import DownstreamRequest
@@ -21,8 +21,8 @@
         self,
         number: int,
         attempt: int,
-        backend: q.BackendId,
-        outcome: q.Outcome,
+        backend: balancing.BackendId,
+        outcome: balancing.Outcome,
         latency_us: int,
         report: tuple[float, ...],
     ) -> None:
@@ -51,8 +51,8 @@
         self,
         number: int,
         attempt: int,
-        backend: q.BackendId,
-        outcome: q.Outcome,
+        backend: balancing.BackendId,
+        outcome: balancing.Outcome,
         latency_us: int,
         report: tuple[float, ...],
     ) -> None:
--- a/lilacsill/agent/operator/__init__.py
+++ b/lilacsill/agent/operator/__init__.py
@@ -1,1 +1,1 @@
-"""The operator file: sections, their checks, and how they are read."""
+"""The operator file: its sections, their checks and its reader."""
--- a/lilacsill/agent/operator/explain.py
+++ b/lilacsill/agent/operator/explain.py
@@ -1,4 +1,4 @@
-"""msgspec's words for what is wrong in a TOML file, put so that they name section, key and what is allowed."""
+"""Turns msgspec's error texts into lines that name the section and key of a TOML file and what is allowed there."""
 
 from __future__ import annotations
 
@@ -7,31 +7,35 @@
 
 import msgspec
 
-_WHERE = re.compile(r"^(?P<what>.*?)(?: - at `\$\.?(?P<where>[^`]*)`)?$", re.S)
+_ERROR = re.compile(r"^(?P<problem>.*?)(?: - at `\$\.?(?P<path>[^`]*)`)?$", re.S)
 _UNKNOWN = re.compile(r"Object contains unknown field `(?P<key>[^`]*)`")
 
 
 def explain(text: str, root: type[msgspec.Struct]) -> str:
-    """One line with section and key in front, and the allowed names behind an unknown one."""
-    found = _WHERE.match(text)
-    assert found is not None
-    what, where = found["what"], found["where"] or ""
-    section, _, key = where.partition(".")
-    unknown = _UNKNOWN.search(what)
+    """Return one line that begins with section and key; it lists the allowed names after an unknown one.
+
+    Args:
+        text: The text of a msgspec.ValidationError.
+        root: The type of the whole file.
+    """
+    error = _ERROR.match(text)
+    assert error is not None
+    problem, path = error["problem"], error["path"] or ""
+    section, _, key = path.partition(".")
+    unknown = _UNKNOWN.search(problem)
     if unknown is not None:
         kind = "key" if section else "section"
-        what = f"unknown {kind} `{unknown['key']}`; allowed: {', '.join(_names(root, section))}"
-    place = (f"[{section}] " if section else "") + (f"{key}: " if key else "")
-    return (place + what).replace("\n", " ")
+        problem = f"unknown {kind} `{unknown['key']}`; allowed: {', '.join(_allowed_names(root, section))}"
+    prefix = (f"[{section}] " if section else "") + (f"{key}: " if key else "")
+    return (prefix + problem).replace("\n", " ")
 
 
-def _names(root: type[msgspec.Struct], section: str) -> list[str]:
-    """The names that a table may hold, as the file has them."""
+def _allowed_names(root: type[msgspec.Struct], section: str) -> list[str]:
     table: type[msgspec.Struct] = root
     if section:
         name = section.partition("[")[0]
-        at = next(f.type for f in msgspec.structs.fields(root) if f.encode_name == name)
-        while not (isinstance(at, type) and issubclass(at, msgspec.Struct)):
-            at = get_args(at)[0]
-        table = at
-    return [f.encode_name for f in msgspec.structs.fields(table)]
+        section_type = next(field.type for field in msgspec.structs.fields(root) if field.encode_name == name)
+        while not (isinstance(section_type, type) and issubclass(section_type, msgspec.Struct)):
+            section_type = get_args(section_type)[0]
+        table = section_type
+    return [field.encode_name for field in msgspec.structs.fields(table)]
--- a/lilacsill/agent/operator/file.py
+++ b/lilacsill/agent/operator/file.py
@@ -1,4 +1,4 @@
-"""Reads the operator file: whole and checked, or not at all."""
+"""Reading of the operator file: it is valid as a whole, or not used at all."""
 
 from __future__ import annotations
 
@@ -12,24 +12,28 @@
 
 
 class OperatorError(Exception):
-    """The file cannot be used; the text says in one line what is wrong and what is allowed."""
+    """The file is missing or invalid; the text says in one line what is wrong and what is allowed."""
 
 
 def load(path: str) -> OperatorFile:
-    """Raises OperatorError. An OSError is its cause where the file could not be read."""
+    """Read and check the file.
+
+    Raises:
+        OperatorError: The file is missing or invalid. Its cause is an OSError where the file could not be read.
+    """
     try:
         text = Path(path).read_bytes().decode()
         return msgspec.convert(tomllib.loads(text), OperatorFile)
-    except OSError as e:
-        raise OperatorError(f"{path}: {e.strerror}") from e
-    except msgspec.ValidationError as e:
-        raise OperatorError(f"{path}: {explain(str(e), OperatorFile)}") from None
-    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as e:
-        raise OperatorError(f"{path}: no TOML: {e}") from None
+    except OSError as error:
+        raise OperatorError(f"{path}: {error.strerror}") from error
+    except msgspec.ValidationError as error:
+        raise OperatorError(f"{path}: {explain(str(error), OperatorFile)}") from None
+    except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
+        raise OperatorError(f"{path}: no TOML: {error}") from None
 
 
 def needs_restart(old: OperatorFile, new: OperatorFile) -> list[str]:
-    """The keys that changed and are not taken over while running, as `section.key`."""
+    """Return the keys that changed and are not applied while running, as `section.key`."""
     return [
         f"{section}.{key}"
         for section in OperatorFile.__struct_fields__
--- a/lilacsill/agent/operator/sections.py
+++ b/lilacsill/agent/operator/sections.py
@@ -1,8 +1,8 @@
-"""The sections of the operator file, typed, with their bounds.
+"""The sections of the operator file, with the types and bounds of their keys.
 
-A section is a msgspec Struct whose `settings` makes the plain values that its subsystem works with, so that an agent
-without an operator file imports neither msgspec nor a TOML reader. To add one: write the Struct here, add it to
-`OperatorFile`, and name in `LIVE` which of its keys SIGHUP takes over.
+A section is a msgspec Struct whose fields are the keys. Where its subsystem runs without an operator file, `settings`
+returns plain values, so that such an agent imports neither msgspec nor a TOML reader. To add a section: write the
+Struct here, add it to `OperatorFile`, and name in `LIVE` the keys that SIGHUP applies.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class AdmissionSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Who may connect. Every key may be left out."""
+    """Which clients may connect (docs/admission.md)."""
 
     per_address: Count = 0
     known: list[str] = []
@@ -43,6 +43,7 @@
             raise ValueError("reserve: nobody can be known without `known` or `learn_known_s`")
 
     def settings(self) -> AdmissionSettings:
+        """Return the section as admission uses it."""
         return AdmissionSettings(
             per_address=self.per_address,
             known=tuple(map(parse_network, self.known)),
@@ -59,7 +60,7 @@
 
 
 class RecorderSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What the agent saw, on disk, for replays."""
+    """The recording of what the agent sees, for replays (docs/recording.md)."""
 
     path: str = ""
     max_mb: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 64
@@ -67,7 +68,7 @@
 
 
 class PeersSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What agents tell one another, where the platform lets them."""
+    """The channel between agents, where the platform allows it."""
 
     enabled: bool = False
     fleet: Annotated[str, msgspec.Meta(max_length=64)] = ""
@@ -84,7 +85,7 @@
 
 
 class RecoverySection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What is kept for the start after a power loss, where a disk lasts."""
+    """The state that is saved for a start after a power loss (docs/recovery.md)."""
 
     folder: str = ""
     fleet: Annotated[str, msgspec.Meta(max_length=64)] = ""
@@ -93,7 +94,7 @@
 
 
 class HostedSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """One service for many tenants; only `python -m lilacsill hosted` reads it."""
+    """The service for many tenants; only `python -m lilacsill hosted` reads this section."""
 
     listen: str = "127.0.0.1:8080"
     admin_listen: str = "127.0.0.1:8081"
@@ -113,7 +114,7 @@
 
 
 class OperatorFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The whole file; a section that is left out has its defaults."""
+    """The complete file; a section that is left out has its defaults."""
 
     admission: AdmissionSection = msgspec.field(default_factory=AdmissionSection)
     recorder: RecorderSection = msgspec.field(default_factory=RecorderSection)
@@ -122,11 +123,11 @@
     hosted: HostedSection = msgspec.field(default_factory=HostedSection)
 
 
-# What SIGHUP takes over, by section; any other key needs a restart.
+# The keys that SIGHUP applies, by section; any other key needs a restart.
 LIVE: dict[str, frozenset[str]] = {
     "admission": frozenset(AdmissionSection.__struct_fields__),
     "recorder": frozenset(),
-    "peers": frozenset(),  # the file of secrets is read again by itself
+    "peers": frozenset(),  # the file of secrets itself is read again at each SIGHUP
     "recovery": frozenset(),
     "hosted": frozenset(),
 }
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -20,7 +20,7 @@
 from ..discovery.listing import Member
 
 IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection: the pool closes it then
-SETTLE_US = 2_000  # idle time before reuse: bytes that do not belong to a response follow it within that time
+REUSE_DELAY_US = 2_000  # idle time before reuse: bytes that do not belong to a response follow it within that time
 MAX_RESPONSE_BYTES = 40 * 1024 * 1024  # responses of 32 MB occur
 
 
@@ -141,12 +141,12 @@
         connect_timeout_us: int,
         conn_idle_us: int,
         descriptors: DescriptorAccount,
-        settle_us: int = SETTLE_US,
+        reuse_delay_us: int = REUSE_DELAY_US,
     ) -> None:
         self._clock = clock
         self._connect_s = connect_timeout_us / 1e6
         self._idle_us = int(conn_idle_us * IDLE_SHARE)
-        self._settle_us = settle_us
+        self._reuse_delay_us = reuse_delay_us
         self._descriptors = descriptors
         self.evict_downstream: Callable[[], bool] = lambda: False  # closes a client's connection, if there is one
         self.descriptors_exhausted: Callable[[str], None] = lambda what: None
@@ -226,13 +226,13 @@
     def take(self, member: Member) -> UpstreamConnection | None:
         """Return the idle connection that was used last, if one is safe to use; None: there is none."""
         idle = self._idle.get(member.backend.id)
-        settled_since = self._clock.now() - self._settle_us
-        unsettled: list[UpstreamConnection] = []
+        reusable_since = self._clock.now() - self._reuse_delay_us
+        not_yet_reusable: list[UpstreamConnection] = []
         found: UpstreamConnection | None = None
         while idle and found is None:
             connection = idle.pop()
-            if connection.idle_since > settled_since:
-                unsettled.append(connection)
+            if connection.idle_since > reusable_since:
+                not_yet_reusable.append(connection)
             elif member.same_process(connection.member) and connection.is_usable():
                 found = connection
                 if connection.idle_timer is not None:
@@ -240,7 +240,7 @@
             else:
                 self.discard(connection)
         if idle is not None:
-            idle.extend(reversed(unsettled))
+            idle.extend(reversed(not_yet_reusable))
         return found
 
     def release(self, connection: UpstreamConnection, answered: bool, ready: Member | None) -> None:
--- a/lilacsill/agent/peers/cli.py
+++ b/lilacsill/agent/peers/cli.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..admin.ask import parser, show
+from ..admin.client import build_parser, print_responses
 
 EXAMPLES = """examples:
   python -m lilacsill peers 127.0.0.1:12000
@@ -15,10 +15,10 @@
 
 
 def main(argv: list[str]) -> int:
-    words = parser("peers", "What an agent knows of the others: members, budgets, judgements, counts.", EXAMPLES)
+    words = build_parser("peers", "What an agent knows of the others: members, budgets, judgements, counts.", EXAMPLES)
     words.add_argument("--explain", action="store_true", help="also what led to it, with the ids of the stories")
     arguments = words.parse_args(argv)
-    return show(arguments, ["peers", "notes"] if arguments.explain else ["peers"], table)
+    return print_responses(arguments, ["peers", "notes"] if arguments.explain else ["peers"], table)
 
 
 def table(told: dict[str, Any]) -> str:
--- a/lilacsill/agent/recorder/__init__.py
+++ b/lilacsill/agent/recorder/__init__.py
@@ -1,1 +1,1 @@
-"""Records what an agent saw, for replays: arrivals, attempts, answers and lists; no bodies and no keys."""
+"""Recordings of what an agent sees, for replays: arrivals, attempts, answers and lists; no bodies and no keys."""
--- a/lilacsill/agent/recorder/format.py
+++ b/lilacsill/agent/recorder/format.py
@@ -1,7 +1,7 @@
-"""The recording: JSON, one value a line; docs/recording.md is its specification.
+"""The format of recordings: one JSON value per line (specification: docs/recording.md).
 
-The first line is an object that names format and version, each other line an array that begins with its kind and the
-time in microseconds since the recording began.
+The first line is an object that names format and version. Each other line is an array that begins with its kind and
+the time in microseconds since the recording began.
 """
 
 from __future__ import annotations
@@ -10,21 +10,32 @@
 from typing import Any
 
 FORMAT, VERSION = "lilacsill-recording", 2
-READS = (1, VERSION)  # 1 has no beliefs
+READABLE_VERSIONS = (1, VERSION)  # version 1 has no estimates
 
-REQUEST = "q"  # time, number, class, tenant, patience in ms, whether it is a client's retry
+REQUEST = "q"  # time, number, class, tenant, time-out in ms, whether it is a client's retry
 ATTEMPT = "a"  # time of its end, request, attempt, backend, outcome, latency in us, report
 FINAL = "f"  # time, request, status
-LISTING = "l"  # time, revision, whole list, [[backend, state, started]] with started in ms of Unix time, 0: long ago
-BELIEF = "b"  # time, [[backend, own out, ghosts, others, age of the report in ms (-1: none), pace in ms, admitted]]
+# time, revision, whether the list is complete, [[backend, state, start in ms of Unix time, 0: long ago]]
+LISTING = "l"
+# time, [[backend, attempts in flight, abandoned attempts, load by others, age of the load report in ms (-1: none),
+# service time in ms, whether it is healthy]]
+ESTIMATES = "b"
 
 
 class RecordingError(Exception):
-    """It cannot be read; the text says where and why."""
+    """A recording cannot be read; the text says where and why."""
 
 
-def header(name: str, classes: list[str], tenants: list[str], unix_ms: int) -> bytes:
-    return line(
+def encode_header(name: str, classes: list[str], tenants: list[str], unix_ms: int) -> bytes:
+    """Return the first line of a recording.
+
+    Args:
+        name: The name of the agent.
+        classes: The names of the request classes, in the order of their numbers.
+        tenants: The names of the tenants, in the order of their numbers.
+        unix_ms: When the recording began, in milliseconds since 1970.
+    """
+    return encode_line(
         {
             "format": FORMAT,
             "version": VERSION,
@@ -36,13 +47,23 @@
     )
 
 
-def line(value: object) -> bytes:
+def encode_line(value: object) -> bytes:
+    """Return a value as a line of a recording."""
     return json.dumps(value, separators=(",", ":")).encode() + b"\n"
 
 
 def parse(data: bytes, name: str) -> tuple[dict[str, Any], list[list[Any]]]:
-    """Header and events of one file. A last line that is cut short is left out: the agent may have been killed.
-    Raises RecordingError."""
+    """Return header and events of one file.
+
+    An incomplete last line is ignored: the agent may have been killed while it wrote.
+
+    Args:
+        data: The contents of the file.
+        name: Its name, for the text of errors.
+
+    Raises:
+        RecordingError: The file is no recording, or of a version that cannot be read.
+    """
     values: list[Any] = []
     for number, text in enumerate(data.split(b"\n")[:-1], 1):
         try:
@@ -51,7 +72,7 @@
             raise RecordingError(f"{name}:{number}: no JSON") from None
     if not values or not isinstance(values[0], dict) or values[0].get("format") != FORMAT:
         raise RecordingError(f"{name}: no recording of an agent")
-    if values[0].get("version") not in READS:
+    if values[0].get("version") not in READABLE_VERSIONS:
         raise RecordingError(f"{name}: version {values[0].get('version')}; this program reads version {VERSION}")
     for number, value in enumerate(values[1:], 2):
         if not isinstance(value, list) or len(value) < 3 or not isinstance(value[1], int):
--- a/lilacsill/agent/recorder/ring.py
+++ b/lilacsill/agent/recorder/ring.py
@@ -1,4 +1,4 @@
-"""Writes a recording to a ring of two files on disk, within a bound, and never to the agent's harm."""
+"""The recorder: it writes a recording to a ring of two files within a bound of size, and never disturbs the agent."""
 
 from __future__ import annotations
 
@@ -15,17 +15,29 @@
 
 from ..discovery.listing import Listing
 from ..inbound.validation import DownstreamRequest
-from . import format as form
+from . import format as recording
 
 log = logging.getLogger(__name__)
 
-BUFFER = 64 * 1024  # written when so much has gathered, or
-EVERY_US = 1_000_000  # after so long
-REFUSED = 503
+MAX_BUFFERED_BYTES = 64 * 1024  # written when this much is buffered, or
+FLUSH_INTERVAL_US = 1_000_000  # after this time
+REJECTED = 503  # the status of a request that the agent rejects
 
 
 class Recorder:
-    """The agent's observer. A disk that fails ends the recording with one line in the log, nothing else."""
+    """An observer of the agent that records what it sees.
+
+    A disk that fails ends the recording with one line in the log, nothing else.
+
+    Args:
+        path: The file to write; the older half of a recording is in the same path with `.1` at its end.
+        max_bytes: The bound for both files together.
+        name: The name of the agent.
+        settings: The settings, whose classes and tenants the recording numbers.
+        clock: The agent's clock.
+        estimates: Returns the current estimates; called when a request is rejected.
+        estimates_interval_us: How often it is called at most, in microseconds; 0: never.
+    """
 
     def __init__(
         self,
@@ -34,30 +46,30 @@
         name: str,
         settings: Settings,
         clock: Clock,
-        beliefs: Callable[[], list[BackendEstimate]] | None = None,
-        beliefs_every_us: int = 0,
+        estimates: Callable[[], list[BackendEstimate]] | None = None,
+        estimates_interval_us: int = 0,
     ) -> None:
-        """`beliefs` is asked at refusals, at most every `beliefs_every_us`; 0: never."""
-        self._beliefs, self._beliefs_every_us = beliefs, beliefs_every_us
-        self._believed_at = -beliefs_every_us
-        self._path, self._half = Path(path), max_bytes // 2
+        self._estimates, self._estimates_interval_us = estimates, estimates_interval_us
+        self._estimates_at = -estimates_interval_us  # when they were recorded last
+        self._path, self._max_file_bytes = Path(path), max_bytes // 2
         self._clock = clock
-        self._began = clock.now()
-        self._header = form.header(
+        self._started_at = clock.now()
+        self._header = recording.encode_header(
             name, [c.name for c in settings.classes], [t.name for t in settings.tenants], time.time_ns() // 1_000_000
         )
         self._buffer: list[bytes] = []
-        self._size = self._written = 0
-        self._flushed_at = self._began
+        self._buffered_bytes = self._file_bytes = 0
+        self._flushed_at = self._started_at
         self._file: BinaryIO | None = None
         self._open()
 
-    # The agent's side
+    # Observer
 
     def request_arrived(self, call: DownstreamRequest) -> None:
+        """Record a new request."""
         self._add(
             [
-                form.REQUEST,
+                recording.REQUEST,
                 self._now(),
                 call.number,
                 call.request_class,
@@ -76,91 +88,92 @@
         latency_us: int,
         report: tuple[float, ...],
     ) -> None:
-        self._add([form.ATTEMPT, self._now(), number, attempt, str(backend), outcome.value, latency_us, report])
+        """Record the end of an attempt."""
+        self._add([recording.ATTEMPT, self._now(), number, attempt, str(backend), outcome.value, latency_us, report])
 
     def request_answered(self, number: int, status: int) -> None:
-        self._add([form.FINAL, self._now(), number, status])
+        """Record the answer to a request, and the estimates that explain it where it was rejected."""
+        self._add([recording.FINAL, self._now(), number, status])
         now = self._now()
-        due = now - self._believed_at >= self._beliefs_every_us > 0
-        if status == REFUSED and due and self._beliefs is not None:
-            self._believed_at = now
-            self._add(
-                [
-                    form.BELIEF,
-                    now,
-                    [
-                        [
-                            str(b.backend),
-                            b.in_flight,
-                            round(b.abandoned, 2),
-                            round(b.other_load, 2),
-                            -1 if b.report_age_us is None else b.report_age_us // 1000,
-                            round(b.service_time_us / 1000, 2),
-                            int(b.healthy),
-                        ]
-                        for b in self._beliefs()
-                    ],
-                ]
-            )
+        is_due = now - self._estimates_at >= self._estimates_interval_us > 0
+        if status == REJECTED and is_due and self._estimates is not None:
+            self._estimates_at = now
+            self._add([recording.ESTIMATES, now, [_estimate_row(estimate) for estimate in self._estimates()]])
 
     def backends_listed(self, listing: Listing) -> None:
+        """Record a list of backends."""
         self._add(
             [
-                form.LISTING,
+                recording.LISTING,
                 self._now(),
                 listing.revision,
                 listing.complete,
-                [[str(m.backend.id), m.backend.state.value, m.started_unix_ms] for m in listing.members],
+                [
+                    [str(member.backend.id), member.backend.state.value, member.started_unix_ms]
+                    for member in listing.members
+                ],
             ]
         )
 
     def close(self) -> None:
-        """Write what has gathered."""
+        """Write what is buffered and close the file."""
         self._flush()
         if self._file is not None:
             self._file.close()
             self._file = None
 
-    # The disk's side
+    # The files
 
     def _now(self) -> int:
-        return self._clock.now() - self._began
+        return self._clock.now() - self._started_at
 
     def _add(self, event: list[object]) -> None:
         if self._file is None:
             return
-        text = form.line(event)
-        self._buffer.append(text)
-        self._size += len(text)
-        if self._size >= BUFFER or self._clock.now() - self._flushed_at > EVERY_US:
+        line = recording.encode_line(event)
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
+        if self._buffered_bytes >= MAX_BUFFERED_BYTES or self._clock.now() - self._flushed_at > FLUSH_INTERVAL_US:
             self._flush()
 
     def _open(self) -> None:
         try:
             self._file = self._path.open("wb", buffering=0)
-            self._written = self._file.write(self._header)
-        except OSError as e:
-            self._fail(e)
+            self._file_bytes = self._file.write(self._header)
+        except OSError as error:
+            self._fail(error)
 
     def _flush(self) -> None:
-        data, self._buffer, self._size = b"".join(self._buffer), [], 0
+        data, self._buffer, self._buffered_bytes = b"".join(self._buffer), [], 0
         self._flushed_at = self._clock.now()
         if self._file is None or not data:
             return
         try:
             self._file.write(data)
-            self._written += len(data)
-            if self._written >= self._half:
-                # The older half makes way.
+            self._file_bytes += len(data)
+            if self._file_bytes >= self._max_file_bytes:
+                # The older file is replaced.
                 self._file.close()
                 os.replace(self._path, self._path.with_name(self._path.name + ".1"))
                 self._open()
-        except OSError as e:
-            self._fail(e)
+        except OSError as error:
+            self._fail(error)
 
-    def _fail(self, e: OSError) -> None:
-        log.error("the recording ends: %s: %s", self._path, e.strerror)
+    def _fail(self, error: OSError) -> None:
+        log.error("the recording ends: %s: %s", self._path, error.strerror)
         if self._file is not None:
             with suppress(OSError):
                 self._file.close()
         self._file = None
+
+
+def _estimate_row(estimate: BackendEstimate) -> list[object]:
+    return [
+        str(estimate.backend),
+        estimate.in_flight,
+        round(estimate.abandoned, 2),
+        round(estimate.other_load, 2),
+        -1 if estimate.report_age_us is None else estimate.report_age_us // 1000,
+        round(estimate.service_time_us / 1000, 2),
+        int(estimate.healthy),
+    ]
--- a/lilacsill/agent/recovery/cli.py
+++ b/lilacsill/agent/recovery/cli.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from ..admin.ask import parser, show
+from ..admin.client import build_parser, print_responses
 
 EXAMPLES = """examples:
   python -m lilacsill recovery 127.0.0.1:12000
@@ -14,10 +14,10 @@
 
 
 def main(argv: list[str]) -> int:
-    words = parser(
+    words = build_parser(
         "recovery", "What an agent trusted of what it knew before its start, and how far its return is.", EXAMPLES
     )
-    return show(words.parse_args(argv), ["recovery"], table)
+    return print_responses(words.parse_args(argv), ["recovery"], table)
 
 
 def table(told: dict[str, Any]) -> str:
--- a/lilacsill/agent/run.py
+++ b/lilacsill/agent/run.py
@@ -19,8 +19,8 @@
 from .reload import Reload
 
 if TYPE_CHECKING:
-    from .admin.door import Door
     from .admin.operations import Operations
+    from .admin.server import AdminServer
     from .peers.channel import Channel
     from .recorder.ring import Recorder
     from .recovery.room import Recovery
@@ -43,7 +43,7 @@
     recorder: Recorder | None = None
     peers: Channel | None = None
     operations: Operations | None = None
-    door: Door | None = None
+    admin: AdminServer | None = None
 
 
 async def serve(config: Config, clock: Clock, options: Options) -> int:
@@ -94,8 +94,8 @@
     """
     # What operators have asked for is in force from the first request on.
     operations = optional.operations = _open_operations(config, parts, optional)
-    optional.door = _open_door(config, parts, operations)
-    if operations is not None and operations.beside:
+    optional.admin = _open_admin(config, parts, operations)
+    if operations is not None and operations.other_pid:
         await _wait_for_backends(parts.agent, stop)
     return parts.server.listen(config.listen, descriptor=config.listen_fd)
 
@@ -104,13 +104,13 @@
     """Start what runs from the first request on."""
     operations = optional.operations
     if operations is not None:
-        operations.serves()
+        operations.mark_serving()
     if optional.peers is not None:
         optional.peers.start()
     recovery = optional.recovery
     if recovery is not None:
-        out = operations.out if operations is not None else lambda: recovery.start.out
-        recovery.follow(parts.agent.latency_model, out)
+        disabled = operations.disabled_backends if operations is not None else lambda: recovery.start.out
+        recovery.follow(parts.agent.latency_model, disabled)
 
 
 async def _shut_down(config: Config, parts: Parts, optional: OptionalParts) -> None:
@@ -119,8 +119,8 @@
         optional.peers.stop()  # before the drain: a successor needs the address
     end_s = max(c.deadline_us for c in config.settings.classes) / 1e6 + FINISH_S
     operations = optional.operations
-    if operations is not None and config.listen_fd is not None and operations.succeeded():
-        log.info("%s hands over to process %d", config.name, operations.beside)
+    if operations is not None and config.listen_fd is not None and operations.has_successor():
+        log.info("%s hands over to process %d", config.name, operations.other_pid)
         parts.server.hand_over()
         await parts.server.drain(DrainTimes(HANDED_OVER_IDLE_S, HANDED_OVER_IDLE_S, end_s))
     else:
@@ -129,8 +129,8 @@
         optional.recorder.close()
     if optional.recovery is not None:
         optional.recovery.stop()
-    if optional.door is not None and operations is not None:
-        optional.door.stop()
+    if optional.admin is not None and operations is not None:
+        optional.admin.stop()
         operations.stop()
 
 
@@ -174,18 +174,18 @@
 def _open_operations(config: Config, parts: Parts, optional: OptionalParts) -> Operations | None:
     if config.admin is None:
         return None
-    from .admin.file import StandingFile
     from .admin.operations import Operations
+    from .admin.operations_file import OperationsFile
 
     recovery = optional.recovery
-    file = StandingFile(os.environ.get("TMPDIR"))
+    file = OperationsFile(os.environ.get("TMPDIR"))
     operations = Operations(parts.server, parts.agent, file, optional.peers, recovery)
     operations.start(recovery.start.out if recovery is not None else frozenset())
-    parts.limit.other_process = lambda: operations.beside
+    parts.limit.other_process = lambda: operations.other_pid
     return operations
 
 
-def _open_door(config: Config, parts: Parts, operations: Operations | None) -> Door | None:
+def _open_admin(config: Config, parts: Parts, operations: Operations | None) -> AdminServer | None:
     """Open the admin API, where it has an address.
 
     Raises:
@@ -193,12 +193,12 @@
     """
     if config.admin is None or operations is None:
         return None
-    from .admin.door import Door
+    from .admin.server import AdminServer
 
-    door = Door(operations.carry_out, parts.spare, parts.server.descriptors_exhausted)
-    port = door.listen(config.admin)
+    server = AdminServer(operations.execute, parts.spare, parts.server.descriptors_exhausted)
+    port = server.listen(config.admin)
     log.info("%s answers operators on %s:%d", config.name, config.admin.host, port)
-    return door
+    return server
 
 
 def _open_recorder(config: Config, clock: Clock, options: Options, agent: Agent) -> Recorder | None:
--- a/lilacsill/http1/message.py
+++ b/lilacsill/http1/message.py
@@ -242,8 +242,8 @@
     if target[:7].lower() != b"http://":
         return target
     authority, slash, rest = target[7:].partition(b"/")
-    path, mark, query = authority.partition(b"?")  # no path at all
-    return slash + rest if slash and not mark else b"/" + mark + query + slash + rest
+    path, question_mark, query = authority.partition(b"?")  # no path at all
+    return slash + rest if slash and not question_mark else b"/" + question_mark + query + slash + rest
 
 
 def encode_request(method: bytes, target: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes = b"") -> bytes:
--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from lilacsill.agent.admin.calls import Call, Refused, Verb, read_call
+from lilacsill.agent.admin.calls import Call, CallRejected, Verb, parse_call
 
 
 @pytest.mark.parametrize(
@@ -19,7 +19,7 @@
     ],
 )
 def test_calls(method: str, target: str, call: Call) -> None:
-    assert read_call(method, target) == call
+    assert parse_call(method, target) == call
 
 
 @pytest.mark.parametrize(
@@ -43,7 +43,7 @@
     ],
 )
 def test_what_is_no_call(method: str, target: str, status: int) -> None:
-    with pytest.raises(Refused) as e:
-        read_call(method, target)
+    with pytest.raises(CallRejected) as e:
+        parse_call(method, target)
     assert e.value.status == status
     assert bool(e.value.allow) == (status == 405)
--- a/tests/admin/test_standing.py
+++ b/tests/admin/test_operations_state.py
@@ -11,24 +11,24 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lilacsill.agent.admin.file import NAME, StandingFile
-from lilacsill.agent.admin.standing import Standing, decoded
+from lilacsill.agent.admin.operations_file import FILE_NAME, OperationsFile
+from lilacsill.agent.admin.operations_state import OperationsState, decode
 
-STANDINGS = st.builds(
-    Standing,
+STATES = st.builds(
+    OperationsState,
     st.frozensets(st.text(max_size=8), max_size=4),
     st.booleans(),
     st.integers(min_value=0, max_value=2**22),
 )
 
 
-@given(STANDINGS)
-def test_what_is_written_is_read_and_nothing_shorter(standing: Standing) -> None:
-    data = standing.encoded()
-    assert decoded(data) == standing
+@given(STATES)
+def test_what_is_written_is_read_and_nothing_shorter(state: OperationsState) -> None:
+    data = state.encode()
+    assert decode(data) == state
     for cut in range(len(data)):
         with pytest.raises(ValueError):
-            decoded(data[:cut])
+            decode(data[:cut])
 
 
 @pytest.mark.parametrize(
@@ -47,7 +47,7 @@
 )
 def test_what_is_foreign_is_not_read(data: bytes) -> None:
     with pytest.raises(ValueError):
-        decoded(data)
+        decode(data)
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans(), st.booleans()), max_size=12))
@@ -56,53 +56,53 @@
 
     plain: set[str] = set()
     with TemporaryDirectory() as folder:
-        two = StandingFile(folder), StandingFile(folder)
+        two = OperationsFile(folder), OperationsFile(folder)
         for backend, out, second in calls:
             (plain.add if out else plain.discard)(backend)
             two[second].update(lambda s, b=backend, o=out: s.without(b) if o else s.with_(b))  # type: ignore[misc]
-            assert two[second].standing.out == plain
-            two[not second].look()
-            assert two[not second].standing.out == plain
+            assert two[second].state.disabled_backends == plain
+            two[not second].reload()
+            assert two[not second].state.disabled_backends == plain
         assert len(os.listdir(folder)) <= 2  # the file and its lock
 
 
 def test_a_file_torn_anywhere_changes_nothing_and_the_next_call_writes_it_anew(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
-    data = Standing(frozenset(["s1"]), True, 7).encoded()
+    data = OperationsState(frozenset(["s1"]), True, 7).encode()
     for cut in range(len(data)):
-        file, starting = StandingFile(str(tmp_path)), StandingFile(str(tmp_path))
-        file.update(lambda s: Standing(frozenset(["s2"])))
-        (tmp_path / NAME).write_bytes(data[:cut])
+        file, starting = OperationsFile(str(tmp_path)), OperationsFile(str(tmp_path))
+        file.update(lambda s: OperationsState(frozenset(["s2"])))
+        (tmp_path / FILE_NAME).write_bytes(data[:cut])
         with caplog.at_level(logging.ERROR):
             caplog.clear()
-            assert not file.look() and not file.look() and file.standing.out == {"s2"}
+            assert not file.reload() and not file.reload() and file.state.disabled_backends == {"s2"}
             assert len(caplog.records) == 1
-        assert not starting.look() and starting.standing == Standing()
+        assert not starting.reload() and starting.state == OperationsState()
         file.update(lambda s: s)  # a call that asks for what holds already is kept, too
-        assert starting.look() and starting.standing.out == {"s2"}
-        (tmp_path / NAME).unlink()
-        assert not file.look() and file.standing.out == {"s2"}
+        assert starting.reload() and starting.state.disabled_backends == {"s2"}
+        (tmp_path / FILE_NAME).unlink()
+        assert not file.reload() and file.state.disabled_backends == {"s2"}
 
 
 def test_what_cannot_be_written_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with pytest.raises(OSError):
-        StandingFile(str(tmp_path / "missing")).update(lambda s: s.without("s1"))
-    file = StandingFile(str(tmp_path))
-    file.update(lambda s: s.without("s1"))
+        OperationsFile(str(tmp_path / "missing")).update(lambda s: s.disable("s1"))
+    file = OperationsFile(str(tmp_path))
+    file.update(lambda s: s.disable("s1"))
 
     def full(path: Path, data: bytes) -> int:
         raise OSError(errno.ENOSPC, "no space left")
 
     monkeypatch.setattr(Path, "write_bytes", full)
     with pytest.raises(OSError):
-        file.update(lambda s: s.without("s2"))
-    assert file.standing.out == {"s1"} and not StandingFile(str(tmp_path)).standing.out
-    other = StandingFile(str(tmp_path))
-    assert other.look() and other.standing.out == {"s1"}
+        file.update(lambda s: s.disable("s2"))
+    assert file.state.disabled_backends == {"s1"} and not OperationsFile(str(tmp_path)).state.disabled_backends
+    other = OperationsFile(str(tmp_path))
+    assert other.reload() and other.state.disabled_backends == {"s1"}
 
 
 def test_without_a_folder_it_is_kept_in_memory() -> None:
-    file = StandingFile(None)
-    file.update(lambda s: s.without("s1"))
-    assert not file.look() and file.standing.out == {"s1"}
+    file = OperationsFile(None)
+    file.update(lambda s: s.disable("s1"))
+    assert not file.reload() and file.state.disabled_backends == {"s1"}
--- a/tests/admin/test_door.py
+++ b/tests/admin/test_server.py
@@ -9,24 +9,24 @@
 from pathlib import Path
 
 from lilacsill.address import Address
-from lilacsill.agent.admin import door as door_module
-from lilacsill.agent.admin.door import CALLERS, Door
-from lilacsill.agent.admin.file import StandingFile
+from lilacsill.agent.admin import server as admin_server
 from lilacsill.agent.admin.operations import Operations
+from lilacsill.agent.admin.operations_file import OperationsFile
+from lilacsill.agent.admin.server import MAX_CALLERS, AdminServer
 from lilacsill.agent.descriptors import SpareDescriptor
 from tests.loopback import Conversation, World, post, world
 
 
 @contextlib.asynccontextmanager
 async def opened(w: World, folder: str | None = None) -> AsyncIterator[int]:
-    operations = Operations(w.server, w.agent, StandingFile(folder))
-    door = Door(operations.carry_out, SpareDescriptor(), lambda what: None)
+    operations = Operations(w.server, w.agent, OperationsFile(folder))
+    server = AdminServer(operations.execute, SpareDescriptor(), lambda what: None)
     operations.start()
-    operations.serves()
+    operations.mark_serving()
     try:
-        yield door.listen(Address("127.0.0.1", 0))
+        yield server.listen(Address("127.0.0.1", 0))
     finally:
-        door.stop()
+        server.stop()
         operations.stop()
 
 
@@ -66,7 +66,7 @@
 def test_callers_that_never_finish_hold_nobody_up(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path) as w, opened(w) as port:
-            silent = [await connect(port) for _ in range(2 * CALLERS)]
+            silent = [await connect(port) for _ in range(2 * MAX_CALLERS)]
             for caller in silent[::2]:
                 await caller.write(b"GET /-/rea")
             assert await call(port, "GET /-/ready") == 200
@@ -86,11 +86,11 @@
             await caller.ended()
             caller.close()
 
-    before, door_module.CALL_S = door_module.CALL_S, 0.01
+    before, admin_server.CALL_TIMEOUT_S = admin_server.CALL_TIMEOUT_S, 0.01
     try:
         asyncio.run(run())
     finally:
-        door_module.CALL_S = before
+        admin_server.CALL_TIMEOUT_S = before
 
 
 def test_a_drain_serves_on_and_closes_and_a_resume_ends_it(tmp_path: Path) -> None:
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -10,7 +10,7 @@
 
 from lilacsill.agent.descriptors import SharedLimit
 from lilacsill.agent.inbound.accept import adopt_listener
-from tests.admin.test_door import call, connect
+from tests.admin.test_server import call, connect
 from tests.loopback import Conversation, Peer, Running, config_doc, member, post
 from tests.test_reload import whole
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lilacsill.agent.recorder.format import RecordingError, header, line, parse
+from lilacsill.agent.recorder.format import RecordingError, encode_header, encode_line, parse
 from lilacsill.agent.recorder.ring import Recorder
 from lilacsill.balancing.interface import BackendEstimate, Settings
 from lilacsill.clock import Clock
@@ -81,8 +81,8 @@
 
 
 def test_older_recordings_are_read_and_newer_ones_refused() -> None:
-    old = header("n0", ["a"], ["t"], 1).replace(b'"version":2', b'"version":1')
-    assert parse(old + line(["f", 1, 1, 200]), "x")[1] == [["f", 1, 1, 200]]
+    old = encode_header("n0", ["a"], ["t"], 1).replace(b'"version":2', b'"version":1')
+    assert parse(old + encode_line(["f", 1, 1, 200]), "x")[1] == [["f", 1, 1, 200]]
     with pytest.raises(RecordingError, match="version 3; this program reads version 2"):
         parse(old.replace(b'"version":1', b'"version":3'), "x")
 
@@ -93,9 +93,9 @@
     (tmp_path / "servers.json").write_text(
         json.dumps({"t0_unix_us": 5_000_000, "attempts": [attempt("a#0", 400 * MS, 600 * MS)]})
     )
-    events = [line(["f", (i + 1) * MS, i, 503]) for i in range(4)]
-    events.append(line(["b", 2 * MS, [["a", 0, 5.0, 0.0, 1, 9.0, 1]]]))
-    (tmp_path / "n0.rec").write_bytes(header("n0", ["a"], ["t"], 5_500) + b"".join(events))
+    events = [encode_line(["f", (i + 1) * MS, i, 503]) for i in range(4)]
+    events.append(encode_line(["b", 2 * MS, [["a", 0, 5.0, 0.0, 1, 9.0, 1]]]))
+    (tmp_path / "n0.rec").write_bytes(encode_header("n0", ["a"], ["t"], 5_500) + b"".join(events))
     assert main(["explain", str(tmp_path), "--json"]) == 0
     wave = json.loads(capsys.readouterr().out)[0]
     assert wave["refused"] == 4 and wave["gaps"][0]["truth"] == 1 and wave["gaps"][0]["at_us"] == 502 * MS
--- a/tests/test_fleet_counts.py
+++ b/tests/test_fleet_counts.py
@@ -10,7 +10,7 @@
 
 from lilacsill.emulator.__main__ import main
 from lilacsill.emulator.models.fleet_counts import SECOND, count
-from lilacsill.agent.recorder.format import header, line
+from lilacsill.agent.recorder.format import encode_header, encode_line
 
 EVENTS: list[list[Any]] = [
     ["l", 0, 1, True, [["s0", "ready", 0], ["s1", "ready", 9_000]]],
@@ -25,7 +25,7 @@
 
 
 def write(folder: Path, name: str, began_ms: int, events: list[list[Any]] = EVENTS) -> None:
-    text = header(name, ["c"], ["t"], began_ms) + b"".join(line(e) for e in events)
+    text = encode_header(name, ["c"], ["t"], began_ms) + b"".join(encode_line(e) for e in events)
     (folder / f"{name}.rec").write_bytes(text)
 
 
--- a/tests/test_recorder.py
+++ b/tests/test_recorder.py
@@ -17,12 +17,12 @@
 from lilacsill.emulator.models.scenario import Scenario
 from lilacsill.emulator.scenario_file import ScenarioError
 from lilacsill.clock import Clock
-from lilacsill.agent.recorder.format import RecordingError, header, line, parse
+from lilacsill.agent.recorder.format import RecordingError, encode_header, encode_line, parse
 from lilacsill.agent.recorder.ring import Recorder
 from tests.loopback import load_config, config_doc, post, world
 
 CLASSES = Scenario(name="x").classes
-HEAD = header("n0", ["registro-servicio", "vale-almacen"], ["a", "b"], 5)
+HEAD = encode_header("n0", ["registro-servicio", "vale-almacen"], ["a", "b"], 5)
 
 
 def recorder(folder: Path, max_bytes: int = 10**6) -> Recorder:
@@ -91,7 +91,7 @@
 
 
 def test_a_last_line_that_is_cut_short_is_left_out() -> None:
-    whole = HEAD + line(["f", 1, 2, 200])
+    whole = HEAD + encode_line(["f", 1, 2, 200])
     assert parse(whole + b'["f",1', "n0") == parse(whole, "n0")
 
 
@@ -145,7 +145,7 @@
 
 def test_plan_files(tmp_path: Path) -> None:
     path = tmp_path / "n0.rec"
-    path.write_bytes(HEAD + b"".join(map(line, served(1, 5, 0, "s0", 9000))))
+    path.write_bytes(HEAD + b"".join(map(encode_line, served(1, 5, 0, "s0", 9000))))
     plan = plan_file.from_recordings([str(path), str(path)], 1)
     assert plan.scenario.load.agents == 2 and len(plan.arrivals) == 2
     out = tmp_path / f"x{plan_file.SUFFIX}"
