--- a/lilacsill/agent/recovery/__init__.py
+++ b/lilacsill/agent/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What an agent still trusts after everything has lost power, and where it is kept."""
+"""Recovery after a power loss: the state that an agent saves, and what of it the next start trusts."""
--- a/lilacsill/agent/recovery/cli.py
+++ b/lilacsill/agent/recovery/cli.py
@@ -1,4 +1,4 @@
-"""`python -m lilacsill recovery`: what one agent began with and why, asked at its operators' door."""
+"""The command `python -m lilacsill recovery`: what one agent started with and why, by its admin API."""
 
 from __future__ import annotations
 
@@ -14,35 +14,36 @@
 
 
 def main(argv: list[str]) -> int:
-    words = build_parser(
+    """Run the command; return the exit status."""
+    parser = build_parser(
         "recovery", "What an agent trusted of what it knew before its start, and how far its return is.", EXAMPLES
     )
-    return print_responses(words.parse_args(argv), ["recovery"], table)
+    return print_responses(parser.parse_args(argv), ["recovery"], format_table)
 
 
-def table(told: dict[str, Any]) -> str:
-    """For people."""
-    loaded, saves = told["loaded"], told["saves"]
+def format_table(response: dict[str, Any]) -> str:
+    """Return a response of the admin API as lines for people."""
+    loaded, saves = response["loaded"], response["saves"]
     age = "unknown" if loaded["age_s"] is None else f"{loaded['age_s']} s"
     lines = [
-        f"{told['phase']} for {told['phase_s']} s, life {told['life']}",
+        f"{response['phase']} for {response['phase_s']} s, life {response['life']}",
         f"began with generation {loaded['generation']}, {age} old"
         if loaded["used"]
         else "began with nothing of its own",
     ]
-    lines += [f"  generation {x['generation']} left aside: {x['why']}" for x in loaded["left_aside"]]
+    lines += [f"  generation {skipped['generation']} left aside: {skipped['why']}" for skipped in loaded["left_aside"]]
     lines.append(
-        f"list: {told['list']['backends']} backends, revision {told['list']['revision']}, from the "
-        f"{told['list']['source']}"
+        f"list: {response['list']['backends']} backends, revision {response['list']['revision']}, from the "
+        f"{response['list']['source']}"
     )
     lines.append(
-        f"pace: {told['pace']['pace_ms']} ms, weighs as {told['pace']['answers']} answers"
-        if told["pace"]["answers"]
+        f"pace: {response['pace']['pace_ms']} ms, weighs as {response['pace']['answers']} answers"
+        if response["pace"]["answers"]
         else "pace: learned anew"
     )
-    if told["out"]:
-        lines.append(f"out by operators: {', '.join(told['out'])}")
-    lines += [f"  {x['what']}: {x['why']}" for x in told["why"]]
+    if response["out"]:
+        lines.append(f"out by operators: {', '.join(response['out'])}")
+    lines += [f"  {reason['what']}: {reason['why']}" for reason in response["why"]]
     last = "not yet" if saves["last_s"] is None else f"{saves['last_s']} s ago"
     lines.append(f"saved {last} in {saves['folder']}" + (f"; FAILS: {saves['failed']}" if saves["failed"] else ""))
     return "\n".join(lines)
--- a/lilacsill/agent/recovery/state.py
+++ b/lilacsill/agent/recovery/state.py
@@ -1,7 +1,7 @@
 """The saved state and its form in a file. No I/O.
 
-One line with magic, version and a digest, then the state as JSON. What is torn at any byte, foreign or of a later
-version is told apart and never half believed.
+The file is a line with magic, version and digest, then the state as JSON. A file that is truncated anywhere, altered,
+of another agent or of a later version is recognised, and nothing of it is used.
 """
 
 from __future__ import annotations
@@ -13,75 +13,82 @@
 from msgspec import Meta
 
 MAGIC, VERSION = b"lilacsill-state", 1
-MOST_BYTES = 8 << 20  # of a file: 20,000 backends take 2.9 MB
-MOST_MEMBERS = 20_000
+MAX_FILE_BYTES = 8 << 20  # 20,000 backends take 2.9 MB
+MAX_MEMBERS = 20_000
 
-Unix = Annotated[int, Meta(ge=0, lt=2**53)]  # milliseconds
-Real = Annotated[float, Meta(ge=0, le=1e12)]
+UnixMs = Annotated[int, Meta(ge=0, lt=2**53)]  # milliseconds since 1970
+Microseconds = Annotated[float, Meta(ge=0, le=1e12)]
 
 
 class StateError(ValueError):
-    """The bytes hold no state that may be used; the text says why."""
+    """The bytes are no state that may be used; the text gives the reason."""
 
 
 class SavedMember(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One backend, as discovery words it."""
+    """One backend, in the form of discovery (`ListingParser.encode`)."""
 
     id: str
     host_port: str
     phase: str
-    up_since_ms: Unix
-    locality: str | None = None  # None: discovery named none that the settings know
+    up_since_ms: UnixMs
+    locality: str | None = None  # None: discovery named none that the settings list
     flavor: str | None = None
     cell: int = 0
     size: Annotated[float, Meta(gt=0, le=1e12)] = 1.0
 
 
-class Pace(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What answers took: of a warm backend for each unit of load, and as clients saw it; from so many answers."""
+class SavedLatencyModel(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The measured latencies. 0 answers: nothing is known."""
 
-    pace_us: Real = 0.0
-    typical_us: Real = 0.0
+    # Of a warm backend, for each unit of load.
+    service_time_us: Microseconds = msgspec.field(default=0.0, name="pace_us")
+    typical_latency_us: Microseconds = msgspec.field(default=0.0, name="typical_us")  # as clients saw it
     answers: Annotated[int, Meta(ge=0, lt=2**53)] = 0
 
 
-class State(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All that is kept. `saved_us` is the monotonic clock of the machine's start named by `boot`."""
+class SavedState(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """The complete saved state."""
 
     fleet: str
     agent: str
-    saved_unix_ms: Unix
-    boot: str
-    saved_us: Annotated[int, Meta(ge=0)]
-    life: Annotated[int, Meta(ge=0, lt=2**53)]  # of the process that saved it
+    saved_unix_ms: UnixMs
+    boot_id: str = msgspec.field(name="boot")  # of the start of the machine in which it was saved
+    saved_us: Annotated[int, Meta(ge=0)]  # on the monotonic clock of that start
+    incarnation: Annotated[int, Meta(ge=0, lt=2**53)] = msgspec.field(name="life")  # of the process that saved it
     revision: Annotated[int, Meta(ge=0)]
-    members: Annotated[list[SavedMember], Meta(max_length=MOST_MEMBERS)]
-    pace: Pace = Pace()
-    out: list[str] = []  # backends that operators keep out of service
+    members: Annotated[list[SavedMember], Meta(max_length=MAX_MEMBERS)]
+    latency_model: SavedLatencyModel = msgspec.field(default=SavedLatencyModel(), name="pace")
+    # Backends that operators keep out of service.
+    disabled_backends: list[str] = msgspec.field(default_factory=list, name="out")
 
 
-def encode(state: State) -> bytes:
+def encode(state: SavedState) -> bytes:
+    """Return the contents of the file."""
     body = msgspec.json.encode(state)
     return b"%s %d %s\n%s\n" % (MAGIC, VERSION, _digest(body), body)
 
 
-def decode(data: bytes, fleet: str, agent: str) -> State:
-    """Raises StateError."""
-    if len(data) > MOST_BYTES:
-        raise StateError(f"{len(data)} bytes, {MOST_BYTES} are allowed")
+def decode(data: bytes, fleet: str, agent: str) -> SavedState:
+    """Parse the contents of the file of an agent.
+
+    Raises:
+        StateError: The contents are damaged, of another agent or of another version.
+    """
+    if len(data) > MAX_FILE_BYTES:
+        raise StateError(f"{len(data)} bytes, {MAX_FILE_BYTES} are allowed")
     head, _, rest = data.partition(b"\n")
-    words = head.split(b" ")
-    if len(words) != 3 or words[0] != MAGIC:
+    header = head.split(b" ")
+    if len(header) != 3 or header[0] != MAGIC:
         raise StateError("it is no saved state")
-    if words[1] != b"%d" % VERSION:
-        raise StateError(f"version {words[1].decode('ascii', 'replace')}, only {VERSION} is known")
+    if header[1] != b"%d" % VERSION:
+        raise StateError(f"version {header[1].decode('ascii', 'replace')}, only {VERSION} is known")
     body, end = rest[:-1], rest[-1:]
-    if end != b"\n" or _digest(body) != words[2]:
+    if end != b"\n" or _digest(body) != header[2]:
         raise StateError("it is torn or changed: its digest is another one")
     try:
-        state = msgspec.json.decode(body, type=State)
-    except msgspec.MsgspecError as e:
-        raise StateError(f"its contents do not fit: {e}") from None
+        state = msgspec.json.decode(body, type=SavedState)
+    except msgspec.MsgspecError as error:
+        raise StateError(f"its contents do not fit: {error}") from None
     if (state.fleet, state.agent) != (fleet, agent):
         raise StateError(f"it is of agent {state.agent!r} of fleet {state.fleet!r}, not of {agent!r} of {fleet!r}")
     return state
--- a/lilacsill/agent/recovery/store.py
+++ b/lilacsill/agent/recovery/store.py
@@ -1,7 +1,8 @@
-"""The saved state on disk: generations, each whole or not there. The only I/O of recovery.
+"""The saved state on disk, in generations, each complete or not there. The only I/O of recovery.
 
-A save goes to a temporary file, which is synced, and takes the newest generation's place by renames, oldest first;
-killed at any moment it leaves at least the generation before. Reading goes from the newest to the first that is whole.
+A save is written to a temporary file and synced. Renames then make it the newest generation, beginning with the oldest:
+a process that is killed at any moment leaves at least the generation before. Reading begins with the newest generation
+and ends with the first that is valid.
 """
 
 from __future__ import annotations
@@ -13,66 +14,71 @@
 from pathlib import Path
 
 from ..config import ConfigError
-from .state import MOST_BYTES, State, StateError, decode, encode
+from .state import MAX_FILE_BYTES, SavedState, StateError, decode, encode
 
 BOOT_ID = Path("/proc/sys/kernel/random/boot_id")
 
 
 @dataclass(slots=True, frozen=True)
-class Loaded:
-    """`state` None: nothing may be used. `tried`: a generation and why it was not."""
+class LoadResult:
+    """What was found on disk."""
 
-    state: State | None
-    generation: int
-    tried: tuple[tuple[int, str], ...]
+    state: SavedState | None  # None: nothing can be used
+    generation: int  # of the state; 0 is the newest
+    skipped: tuple[tuple[int, str], ...]  # newer generations, and the reason why each is not used
 
 
-class Store:
-    """Of one agent, in a folder that agents of one machine may share."""
+class StateStore:
+    """The generations of one agent, in a folder that the agents of one machine may share."""
 
     def __init__(self, folder: str, fleet: str, agent: str, generations: int) -> None:
         self._folder, self._fleet, self._agent, self._generations = Path(folder), fleet, agent, generations
-        self._name = re.sub(r"[^A-Za-z0-9._-]", lambda m: f"%{ord(m[0]):x}", agent or "agent")
+        self._name = re.sub(r"[^A-Za-z0-9._-]", lambda match: f"%{ord(match[0]):x}", agent or "agent")
 
     def path(self, generation: int) -> Path:
+        """Return the file of a generation."""
         return self._folder / f"{self._name}.state{f'.{generation}' if generation else ''}"
 
-    def load(self) -> Loaded:
-        """Never raises for what a disk may hold."""
-        tried: list[tuple[int, str]] = []
+    def load(self) -> LoadResult:
+        """Return the newest valid state. Errors of the disk and damaged files are reported in the result."""
+        skipped: list[tuple[int, str]] = []
         for generation in range(self._generations):
             try:
-                with self.path(generation).open("rb") as f:
-                    data = f.read(MOST_BYTES + 1)
-                return Loaded(decode(data, self._fleet, self._agent), generation, tuple(tried))
+                with self.path(generation).open("rb") as file:
+                    data = file.read(MAX_FILE_BYTES + 1)
+                return LoadResult(decode(data, self._fleet, self._agent), generation, tuple(skipped))
             except FileNotFoundError:
-                tried.append((generation, "there is none"))
-            except OSError as e:
-                tried.append((generation, e.strerror or str(e)))
-            except StateError as e:
-                tried.append((generation, str(e)))
-        return Loaded(None, 0, tuple(tried))
-
-    def save(self, state: State) -> None:
-        """Raises OSError, and then all generations are as they were or one older."""
-        fresh = self._folder / f"{self._name}.state.{os.getpid()}.new"
+                skipped.append((generation, "there is none"))
+            except OSError as error:
+                skipped.append((generation, error.strerror or str(error)))
+            except StateError as error:
+                skipped.append((generation, str(error)))
+        return LoadResult(None, 0, tuple(skipped))
+
+    def save(self, state: SavedState) -> None:
+        """Write a state as the newest generation.
+
+        Raises:
+            OSError: It cannot be written; all generations are as they were, or one older.
+        """
+        temporary = self._folder / f"{self._name}.state.{os.getpid()}.new"
         try:
-            with fresh.open("wb") as f:
-                f.write(encode(state))
-                f.flush()
-                os.fsync(f.fileno())
+            with temporary.open("wb") as file:
+                file.write(encode(state))
+                file.flush()
+                os.fsync(file.fileno())
             for generation in range(self._generations - 1, 0, -1):
                 with suppress(FileNotFoundError):
                     self.path(generation - 1).replace(self.path(generation))
-            fresh.replace(self.path(0))
+            temporary.replace(self.path(0))
         except OSError:
             with suppress(OSError):
-                fresh.unlink()
+                temporary.unlink()
             raise
         self._sync_folder()
 
     def _sync_folder(self) -> None:
-        """The renames, too, are on the disk."""
+        # The renames, too, must be on the disk.
         fd = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -81,7 +87,15 @@
 
 
 def check_folder(folder: str, file: str) -> None:
-    """For check-config. Raises ConfigError, naming file and key; a start goes on without."""
+    """Check the folder for check-config; a start goes on without it.
+
+    Args:
+        folder: The folder.
+        file: The operator file that names it, for the text of errors.
+
+    Raises:
+        ConfigError: There is no such folder, or it cannot be written to.
+    """
     if not os.path.isdir(folder):
         raise ConfigError(f"{file}: [recovery] folder: {folder} is no folder")
     if not os.access(folder, os.W_OK | os.X_OK):
@@ -89,7 +103,7 @@
 
 
 def boot_id() -> str:
-    """Of this start of the machine; empty where it does not tell."""
+    """Return the id of this start of the machine; empty where the system has none."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
--- a/lilacsill/agent/recovery/trust.py
+++ b/lilacsill/agent/recovery/trust.py
@@ -1,7 +1,8 @@
-"""What is trusted of what was known before, and for how long. No I/O; the clocks from outside.
+"""What a start trusts of the saved state, and for how long. No I/O; the caller passes the times in.
 
-docs/notes/recovery.md has the table with the reasons. Facts stay true (an id's start, a drain, an operator's word);
-what was measured fades by half in each half-life; what others could hold meanwhile (leases, rights) is gone.
+docs/notes/recovery.md has the table with the reasons. Facts stay true (the start of a backend, a drain, an operator's
+call). Measurements lose half of their weight in each half-life. What others may have acquired in the meantime (leases,
+quota) is lost.
 """
 
 from __future__ import annotations
@@ -13,151 +14,190 @@
 
 import msgspec
 
-from lilacsill.balancing.interface import BackendState as Serving
+from lilacsill.balancing.interface import BackendState
 
 from ..discovery.listing import Listing, Member
-from .state import Pace, SavedMember, State
+from .state import SavedLatencyModel, SavedMember, SavedState
 
 HOUR_S = 3600.0
-PACE_HALF_S = 24 * HOUR_S  # machines and the work they get change over days
-PACE_ANSWERS = 80  # as so many answers a pace of this moment weighs; the module then learns by a fortieth
-LEAST = 0.05  # trust below this is none
+LATENCY_HALVING_S = 24 * HOUR_S  # machines and their work change over days
+# The weight in answers of latencies that are saved this moment; the decision module then learns by a fortieth.
+MAX_LATENCY_ANSWERS = 80
+MIN_TRUST = 0.05  # trust below this is none
 
 
-class Kind(Enum):
-    """Whatever an agent knows, by what becomes of it at a start."""
+class Knowledge(Enum):
+    """The kinds of knowledge of an agent, by the names that operators read."""
 
     LIST = "list"
-    DRAINS = "drains"
-    STARTS = "starts of backends"
-    OUT = "out by operators"
-    PACE = "pace"
-    LIFE = "life"
-    ILLNESS = "illness"
+    DRAINING = "drains"
+    BACKEND_STARTS = "starts of backends"
+    DISABLED = "out by operators"
+    LATENCIES = "pace"
+    INCARNATION = "life"
+    HEALTH = "illness"
     LOADS = "loads"
     SHARES = "learned shares"
     LEASES = "leases"
     COUNTS = "counts"
 
 
-# Kept or not, and what takes its place.
-TABLE: dict[Kind, tuple[bool, str]] = {
-    Kind.LIST: (True, "by the configuration's list if that is of a later revision, by discovery's first answer"),
-    Kind.DRAINS: (True, "by a list of a later revision, never by age"),
-    Kind.STARTS: (True, "by another start of the same id; an id never gets what was known at its address"),
-    Kind.OUT: (True, "by operators alone"),
-    Kind.PACE: (True, "by own answers; it counts half after a day, and not at all where its age is unknown"),
-    Kind.LIFE: (True, "by a greater one: lives only grow, also where the clock went back"),
-    Kind.ILLNESS: (False, "by a look: who was ill may be the first that is back"),
-    Kind.LOADS: (False, "by reports: a second old they are worth half"),
-    Kind.SHARES: (False, "by the even part, learned anew within seconds"),
-    Kind.LEASES: (False, "by asking anew: what this process held is over once its lease is"),
-    Kind.COUNTS: (False, "by those that others keep of its earlier lives"),
+@dataclass(slots=True, frozen=True)
+class Retention:
+    """Whether a kind of knowledge is saved, and what replaces it."""
+
+    is_saved: bool
+    replaced: str  # by what, in words
+
+
+RETENTION: dict[Knowledge, Retention] = {
+    Knowledge.LIST: Retention(
+        True, "by the configuration's list if that has a later revision, by discovery's first answer"
+    ),
+    Knowledge.DRAINING: Retention(True, "by a list of a later revision, never by age"),
+    Knowledge.BACKEND_STARTS: Retention(
+        True, "by another start of the same id; an id never inherits what was known at its address"
+    ),
+    Knowledge.DISABLED: Retention(True, "by operators only"),
+    Knowledge.LATENCIES: Retention(
+        True, "by new answers; the weight halves in a day, and is nothing where the age is unknown"
+    ),
+    Knowledge.INCARNATION: Retention(True, "by a greater one: incarnations only grow, also where the clock went back"),
+    Knowledge.HEALTH: Retention(False, "by health checks: a backend that was unhealthy may be the first one back"),
+    Knowledge.LOADS: Retention(False, "by load reports, which lose half of their weight in a second"),
+    Knowledge.SHARES: Retention(False, "by equal shares, learned again within seconds"),
+    Knowledge.LEASES: Retention(False, "by new requests: a lease of an earlier incarnation ends by itself"),
+    Knowledge.COUNTS: Retention(False, "by the counts that peers keep of its earlier incarnations"),
 }
 
 
 @dataclass(slots=True, frozen=True)
-class Now:
-    """This start."""
+class StartTime:
+    """When and in which start of the machine the process starts."""
 
     unix_ms: int
-    boot: str
-    us: int  # monotonic
+    boot_id: str
+    monotonic_us: int
+
 
+def age_s(state: SavedState, now: StartTime) -> float | None:
+    """Return the age of a saved state in seconds; None: it is unknown.
 
-def age_s(state: State, now: Now) -> float | None:
-    """How old it is; None: nobody knows. Within one start of the machine its own clock tells, whatever was done to the
-    wall clock; else the wall clock does, unless it stands before the save."""
-    if state.boot and state.boot == now.boot:
-        return max(0.0, (now.us - state.saved_us) / 1e6) if now.us >= state.saved_us else None
+    Within one start of the machine its monotonic clock counts, whatever happened to the wall clock. Otherwise the wall
+    clock counts, unless it shows a time before the save.
+    """
+    if state.boot_id and state.boot_id == now.boot_id:
+        return max(0.0, (now.monotonic_us - state.saved_us) / 1e6) if now.monotonic_us >= state.saved_us else None
     age = (now.unix_ms - state.saved_unix_ms) / 1000
     return age if age >= 0 else None
 
 
-def trust(age: float | None, half_s: float) -> float:
-    """In 0..1: one half for each half-life, nothing for an unknown age."""
+def trust(age: float | None, halving_s: float) -> float:
+    """Return the weight of a measurement in 0..1: it halves in each half-life, and is 0 for an unknown age."""
     if age is None:
         return 0.0
-    left = 0.5 ** min(1000.0, age / half_s)
-    return left if left >= LEAST else 0.0
+    weight = 0.5 ** min(1000.0, age / halving_s)
+    return weight if weight >= MIN_TRUST else 0.0
+
+
+class ListSource(Enum):
+    """Where the list of backends at the start is from."""
+
+    CONFIGURATION = "configuration"
+    SAVED = "saved"
 
 
 @dataclass(slots=True, frozen=True)
-class Start:
-    """What the agent begins with."""
+class InitialKnowledge:
+    """What an agent starts with."""
 
     known: Listing
-    source: str  # of the list: configuration, saved
-    pace: Pace  # answers 0: none
-    out: frozenset[str]
-    life: int  # the greatest before
-    age_s: float | None  # of the saved state
-    why: tuple[tuple[str, str], ...]  # a kind and what became of it
-
-
-def begin(configured: Listing, saved: State | None, parsed: Listing | None, now: Now) -> Start:
-    """`parsed` is the saved state's list in this process's terms."""
-    if saved is None or parsed is None:
-        return Start(configured, "configuration", Pace(), frozenset(), 0, None, (("list", "nothing was saved"),))
-    age = age_s(saved, now)
-    why: list[tuple[str, str]] = []
-    known, source = configured, "configuration"
-    if parsed.members and parsed.revision > configured.revision:
-        known, source = parsed, "saved"
-        why.append(
-            (
-                "list",
-                f"the saved one, revision {parsed.revision}, is later than the configuration's {configured.revision}",
-            )
-        )
-    else:
-        why.append(
-            (
-                "list",
-                f"the configuration's, revision {configured.revision}, is not older than the saved {parsed.revision}",
-            )
+    source: ListSource  # of the list
+    latency_model: SavedLatencyModel  # 0 answers: none is known
+    disabled_backends: frozenset[str]
+    previous_incarnation: int  # the greatest one before this start; 0: none is known
+    age_s: float | None  # of the saved state; None: it is unknown, or there is none
+    reasons: tuple[tuple[str, str], ...]  # a kind of knowledge, and what became of it
+
+
+def choose_knowledge(
+    configured: Listing, saved: SavedState | None, saved_listing: Listing | None, now: StartTime
+) -> InitialKnowledge:
+    """Choose what to start with.
+
+    Args:
+        configured: The list of the configuration.
+        saved: The saved state; None: there is none.
+        saved_listing: The list of the saved state, as this process parses it.
+        now: The time of the start.
+    """
+    if saved is None or saved_listing is None:
+        reasons = ((Knowledge.LIST.value, "nothing was saved"),)
+        return InitialKnowledge(
+            configured, ListSource.CONFIGURATION, SavedLatencyModel(), frozenset(), 0, None, reasons
         )
-    weight = trust(age, PACE_HALF_S)
-    pace = _counting(saved.pace, weight)
-    why.append(
+    age = age_s(saved, now)
+    known, source, list_reason = _choose_listing(configured, saved_listing)
+    latency_model = _weighted(saved.latency_model, trust(age, LATENCY_HALVING_S))
+    return InitialKnowledge(
+        known,
+        source,
+        latency_model,
+        frozenset(saved.disabled_backends),
+        saved.incarnation,
+        age,
         (
-            "pace",
-            f"weighs as {pace.answers} answers"
-            if pace.answers
-            else "not trusted: " + ("its age is unknown" if age is None else "too old, or too few answers"),
-        )
+            (Knowledge.LIST.value, list_reason),
+            (Knowledge.LATENCIES.value, _latency_reason(latency_model, age)),
+            (Knowledge.DISABLED.value, f"{len(saved.disabled_backends)} stay out of service"),
+            *((kind.value, "not kept") for kind, retention in RETENTION.items() if not retention.is_saved),
+        ),
     )
-    why.append(("out by operators", f"{len(saved.out)} stay out of service"))
-    why += [(kind.value, "not kept") for kind, (kept, _) in TABLE.items() if not kept]
-    return Start(known, source, pace, frozenset(saved.out), saved.life, age, tuple(why))
 
 
-def _counting(pace: Pace, weight: float) -> Pace:
-    """With as many answers as it may still count for."""
-    answers = round(weight * min(PACE_ANSWERS, pace.answers))
-    return Pace(pace.pace_us, pace.typical_us, answers) if answers and pace.pace_us and pace.typical_us else Pace()
+def _choose_listing(configured: Listing, saved: Listing) -> tuple[Listing, ListSource, str]:
+    if saved.members and saved.revision > configured.revision:
+        reason = f"the saved one, revision {saved.revision}, is later than the configuration's {configured.revision}"
+        return saved, ListSource.SAVED, reason
+    reason = f"the configuration's, revision {configured.revision}, is not older than the saved {saved.revision}"
+    return configured, ListSource.CONFIGURATION, reason
+
+
+def _latency_reason(model: SavedLatencyModel, age: float | None) -> str:
+    if model.answers:
+        return f"weighs as {model.answers} answers"
+    return "not trusted: " + ("its age is unknown" if age is None else "too old, or too few answers")
+
+
+def _weighted(model: SavedLatencyModel, weight: float) -> SavedLatencyModel:
+    """Return the model with as many answers as it may still count for."""
+    answers = round(weight * min(MAX_LATENCY_ANSWERS, model.answers))
+    if not answers or not model.service_time_us or not model.typical_latency_us:
+        return SavedLatencyModel()
+    return SavedLatencyModel(model.service_time_us, model.typical_latency_us, answers)
 
 
-class Learned:
-    """The list as it is to be saved: all that was told, in discovery's own words, which `word` puts an entry into."""
+class SavedListing:
+    """The list as it is saved: all that discovery has said, in its form, which `encode` gives an entry."""
 
-    def __init__(self, word: Callable[[Member], dict[str, Any]]) -> None:
-        self._word = word
+    def __init__(self, encode: Callable[[Member], dict[str, Any]]) -> None:
+        self._encode = encode
         self.revision = 0
         self.members: dict[str, SavedMember] = {}
 
-    def heard(self, listing: Listing) -> None:
+    def update(self, listing: Listing) -> None:
+        """Apply a list from discovery."""
         if listing.complete:
             self.members.clear()
-        for m in listing.members:
-            entry = msgspec.convert(self._word(m), SavedMember)
-            if m.backend.state is Serving.GONE:
+        for member in listing.members:
+            entry = msgspec.convert(self._encode(member), SavedMember)
+            if member.backend.state is BackendState.GONE:
                 self.members.pop(entry.id, None)
             else:
                 self.members[entry.id] = entry
         self.revision = listing.revision
 
 
-def listing_doc(state: State) -> dict[str, Any]:
-    """As discovery would have worded it, for its parser."""
+def listing_doc(state: SavedState) -> dict[str, Any]:
+    """Return the saved list in the form of discovery, for its parser."""
     return {"revision": state.revision, "complete": True, "members": msgspec.to_builtins(state.members)}
--- a/lilacsill/agent/run.py
+++ b/lilacsill/agent/run.py
@@ -23,7 +23,7 @@
     from .admin.server import AdminServer
     from .peers.channel import Channel
     from .recorder.ring import Recorder
-    from .recovery.room import Recovery
+    from .recovery.service import Recovery
 
 log = logging.getLogger("lilacsill")
 
@@ -69,7 +69,7 @@
         return 2
     if optional.recovery is not None:
         parts.agent.add_observer(optional.recovery)
-        parts.agent.restore_latency_model(optional.recovery.known_pace())
+        parts.agent.restore_latency_model(optional.recovery.restored_latency_model())
     reload = Reload(parts, clock, options, budget_for(config), optional.peers)
     loop.add_signal_handler(signal.SIGHUP, reload.begin)
     parts.agent.start(config.known)
@@ -109,8 +109,10 @@
         optional.peers.start()
     recovery = optional.recovery
     if recovery is not None:
-        disabled = operations.disabled_backends if operations is not None else lambda: recovery.start.out
-        recovery.follow(parts.agent.latency_model, disabled)
+        disabled = (
+            operations.disabled_backends if operations is not None else lambda: recovery.initial.disabled_backends
+        )
+        recovery.start_saving(parts.agent.latency_model, disabled)
 
 
 async def _shut_down(config: Config, parts: Parts, optional: OptionalParts) -> None:
@@ -147,7 +149,7 @@
     # Platforms without a persistent disk name no folder.
     if options.operator is None or not options.operator.recovery.folder:
         return None
-    from .recovery.room import Recovery
+    from .recovery.service import Recovery
 
     return Recovery(config, options.operator.recovery, clock)
 
@@ -168,7 +170,7 @@
         return None
     from .peers.channel import Channel
 
-    return Channel(config, options.operator.peers, clock, agent, recovery.life if recovery is not None else 0)
+    return Channel(config, options.operator.peers, clock, agent, recovery.incarnation if recovery is not None else 0)
 
 
 def _open_operations(config: Config, parts: Parts, optional: OptionalParts) -> Operations | None:
@@ -180,7 +182,7 @@
     recovery = optional.recovery
     file = OperationsFile(os.environ.get("TMPDIR"))
     operations = Operations(parts.server, parts.agent, file, optional.peers, recovery)
-    operations.start(recovery.start.out if recovery is not None else frozenset())
+    operations.start(recovery.initial.disabled_backends if recovery is not None else frozenset())
     parts.limit.other_process = lambda: operations.other_pid
     return operations
 
--- a/tests/admin/test_operations_state.py
+++ b/tests/admin/test_operations_state.py
@@ -59,7 +59,7 @@
         two = OperationsFile(folder), OperationsFile(folder)
         for backend, out, second in calls:
             (plain.add if out else plain.discard)(backend)
-            two[second].update(lambda s, b=backend, o=out: s.without(b) if o else s.with_(b))  # type: ignore[misc]
+            two[second].update(lambda s, b=backend, o=out: s.disable(b) if o else s.enable(b))  # type: ignore[misc]
             assert two[second].state.disabled_backends == plain
             two[not second].reload()
             assert two[not second].state.disabled_backends == plain
--- a/tests/recovery/test_decisions.py
+++ b/tests/recovery/test_decisions.py
@@ -14,19 +14,20 @@
 from lilacsill.address import Address
 from lilacsill.agent.config import ConfigError
 from lilacsill.agent.discovery.listing import Listing, ListingParser, Member
-from lilacsill.agent.recovery.phases import FEWEST, WINDOW_US, Phase, Phases
-from lilacsill.agent.recovery.state import Pace, SavedMember, State, StateError, decode, encode
-from lilacsill.agent.recovery.store import Store, check_folder
+from lilacsill.agent.recovery.phases import MIN_ANSWERS, WINDOW_US, Phase, PhaseTracker
+from lilacsill.agent.recovery.state import SavedLatencyModel, SavedMember, SavedState, StateError, decode, encode
+from lilacsill.agent.recovery.store import StateStore, check_folder
 from lilacsill.agent.recovery.trust import (
-    LEAST,
-    PACE_ANSWERS,
-    PACE_HALF_S,
-    TABLE,
-    Kind,
-    Learned,
-    Now,
+    LATENCY_HALVING_S,
+    MAX_LATENCY_ANSWERS,
+    MIN_TRUST,
+    RETENTION,
+    Knowledge,
+    ListSource,
+    SavedListing,
+    StartTime,
     age_s,
-    begin,
+    choose_knowledge,
     listing_doc,
     trust,
 )
@@ -54,25 +55,25 @@
 )
 
 
-def state(**changes: Any) -> State:
+def state(**changes: Any) -> SavedState:
     facts: dict[str, Any] = {
         "fleet": "f",
         "agent": "n0",
         "saved_unix_ms": 10**12,
-        "boot": "b1",
+        "boot_id": "b1",
         "saved_us": 10**9,
-        "life": 7,
+        "incarnation": 7,
         "revision": 50,
         "members": [SavedMember("s1", "127.0.0.1:80", "DRAINING", 5, "b", "m")],
-        "pace": Pace(1e4, 1.3e4, 500),
-        "out": ["s9"],
+        "latency_model": SavedLatencyModel(1e4, 1.3e4, 500),
+        "disabled_backends": ["s9"],
     }
-    return State(**(facts | changes))
+    return SavedState(**(facts | changes))
 
 
-def start_of(saved: State, now: Now, revision: int = 41) -> Any:
+def start_of(saved: SavedState, now: StartTime, revision: int = 41) -> Any:
     configured = Listing(revision, True, (Member(Backend("s1"), Address("127.0.0.1", 80)),))
-    return begin(configured, saved, PARSER.parse(listing_doc(saved)), now)
+    return choose_knowledge(configured, saved, PARSER.parse(listing_doc(saved)), now)
 
 
 # Form
@@ -80,7 +81,7 @@
 
 @given(MEMBERS, st.text(ANY, max_size=9), st.lists(st.text(ANY, max_size=9), max_size=3), st.integers(0, 2**50))
 def test_a_state_is_read_as_it_was_written(members: list[SavedMember], agent: str, out: list[str], at: int) -> None:
-    saved = state(members=members, agent=agent, out=out, saved_unix_ms=at)
+    saved = state(members=members, agent=agent, disabled_backends=out, saved_unix_ms=at)
     assert decode(encode(saved), "f", agent) == saved
 
 
@@ -112,22 +113,22 @@
 def test_the_list_is_saved_in_words_that_mean_the_same_again(members: list[SavedMember]) -> None:
     unique = list({m.id: m for m in members}.values())
     told = PARSER.parse(listing_doc(state(members=unique)))
-    learned = Learned(PARSER.encode)
-    learned.heard(told)
+    learned = SavedListing(PARSER.encode)
+    learned.update(told)
     again = PARSER.parse(listing_doc(state(members=list(learned.members.values()))))
     assert again == told
 
 
 def test_the_saved_list_follows_changes() -> None:
-    learned = Learned(PARSER.encode)
+    learned = SavedListing(PARSER.encode)
     at = Address("::1", 80)
-    learned.heard(Listing(1, True, (Member(Backend("x"), at), Member(Backend("y"), at))))
-    learned.heard(
+    learned.update(Listing(1, True, (Member(Backend("x"), at), Member(Backend("y"), at))))
+    learned.update(
         Listing(2, False, (Member(Backend("x", Serving.GONE), at), Member(Backend("y", Serving.DRAINING), at)))
     )
     assert learned.revision == 2
     assert [(m.id, m.phase, m.host_port) for m in learned.members.values()] == [("y", "DRAINING", "[::1]:80")]
-    learned.heard(Listing(3, True, ()))
+    learned.update(Listing(3, True, ()))
     assert not learned.members
 
 
@@ -135,8 +136,8 @@
 
 
 def test_every_kind_of_knowledge_has_its_row() -> None:
-    assert set(TABLE) == set(Kind)
-    assert not TABLE[Kind.LEASES][0] and TABLE[Kind.DRAINS][0]
+    assert set(RETENTION) == set(Knowledge)
+    assert not RETENTION[Knowledge.LEASES].is_saved and RETENTION[Knowledge.DRAINING].is_saved
 
 
 @given(st.floats(0, 1e8), st.floats(0, 1e8))
@@ -144,51 +145,55 @@
     low, high = sorted((a, b))
     assert 1 >= trust(low, DAY_S) >= trust(high, DAY_S) >= 0
     assert trust(None, DAY_S) == 0 and trust(0, DAY_S) == 1 and trust(DAY_S, DAY_S) == 0.5
-    assert trust(a, DAY_S) == 0 or trust(a, DAY_S) >= LEAST
+    assert trust(a, DAY_S) == 0 or trust(a, DAY_S) >= MIN_TRUST
 
 
 def test_the_age_is_the_machines_own_within_one_start_and_the_wall_clocks_else() -> None:
     saved = state()
-    assert age_s(saved, Now(0, "b1", 10**9 + 3 * SECOND)) == 3  # the wall clock was set back: no matter
-    assert age_s(saved, Now(10**12 + 5000, "b2", 0)) == 5
-    assert age_s(saved, Now(10**12 - 1, "b2", 0)) is None
-    assert age_s(state(boot=""), Now(10**12 + 5000, "", 10**9)) == 5
-    assert age_s(saved, Now(10**12, "b1", 5)) is None
+    assert age_s(saved, StartTime(0, "b1", 10**9 + 3 * SECOND)) == 3  # the wall clock was set back: no matter
+    assert age_s(saved, StartTime(10**12 + 5000, "b2", 0)) == 5
+    assert age_s(saved, StartTime(10**12 - 1, "b2", 0)) is None
+    assert age_s(state(boot_id=""), StartTime(10**12 + 5000, "", 10**9)) == 5
+    assert age_s(saved, StartTime(10**12, "b1", 5)) is None
 
 
 def test_the_later_list_is_begun_with_and_a_drain_is_not_forgotten() -> None:
-    now = Now(10**12 + 1000, "b2", 0)
+    now = StartTime(10**12 + 1000, "b2", 0)
     kept = start_of(state(), now)
-    assert kept.source == "saved" and kept.known.revision == 50
+    assert kept.source is ListSource.SAVED and kept.known.revision == 50
     assert [m.backend.state for m in kept.known.members] == [Serving.DRAINING]
-    assert kept.out == {"s9"} and kept.life == 7
+    assert kept.disabled_backends == {"s9"} and kept.previous_incarnation == 7
     for revision in (50, 51):
         configured = start_of(state(), now, revision)
-        assert configured.source == "configuration" and configured.known.revision == revision
-    old = start_of(state(), Now(10**12 + 30 * DAY_S * 1000, "b2", 0))
-    assert old.known.members[0].backend.state is Serving.DRAINING and not old.pace.answers
+        assert configured.source is ListSource.CONFIGURATION and configured.known.revision == revision
+    old = start_of(state(), StartTime(10**12 + 30 * DAY_S * 1000, "b2", 0))
+    assert old.known.members[0].backend.state is Serving.DRAINING and not old.latency_model.answers
 
 
 @pytest.mark.parametrize(
-    ("age", "answers"), [(0, PACE_ANSWERS), (PACE_HALF_S, PACE_ANSWERS // 2), (8 * PACE_HALF_S, 0)]
+    ("age", "answers"),
+    [(0, MAX_LATENCY_ANSWERS), (LATENCY_HALVING_S, MAX_LATENCY_ANSWERS // 2), (8 * LATENCY_HALVING_S, 0)],
 )
 def test_a_pace_weighs_less_the_older_it_is(age: float, answers: int) -> None:
-    start = start_of(state(), Now(10**12 + int(age * 1000), "b2", 0))
-    assert start.pace.answers == answers
-    assert start_of(state(pace=Pace(1e4, 1e4, 3)), Now(10**12, "b2", 0)).pace.answers == 3
+    start = start_of(state(), StartTime(10**12 + int(age * 1000), "b2", 0))
+    assert start.latency_model.answers == answers
+    assert (
+        start_of(state(latency_model=SavedLatencyModel(1e4, 1e4, 3)), StartTime(10**12, "b2", 0)).latency_model.answers
+        == 3
+    )
 
 
 def test_a_pace_of_unknown_age_is_none_and_nothing_saved_is_the_configuration() -> None:
-    assert start_of(state(), Now(1, "b2", 0)).pace == Pace()
+    assert start_of(state(), StartTime(1, "b2", 0)).latency_model == SavedLatencyModel()
     configured = Listing(1, True, ())
-    assert begin(configured, None, None, Now(1, "", 0)).known is configured
+    assert choose_knowledge(configured, None, None, StartTime(1, "", 0)).known is configured
 
 
 # Generations
 
 
 def test_the_newest_that_is_whole_is_used(tmp_path: Path) -> None:
-    store = Store(str(tmp_path), "f", "n0", 3)
+    store = StateStore(str(tmp_path), "f", "n0", 3)
     assert store.load().state is None
     for revision in (1, 2, 3, 4):
         store.save(state(revision=revision))
@@ -200,7 +205,7 @@
         path = store.path(loaded.generation)
         path.write_bytes(path.read_bytes()[:-7])
     loaded = store.load()
-    assert loaded.state is None and len(loaded.tried) == 3
+    assert loaded.state is None and len(loaded.skipped) == 3
 
 
 def killed_at(step: int, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -226,7 +231,7 @@
 def test_killed_at_any_step_of_a_save_it_leaves_a_whole_one(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
-    store = Store(str(tmp_path), "f", "n0", 3)
+    store = StateStore(str(tmp_path), "f", "n0", 3)
     for revision in (1, 2, 3):
         store.save(state(revision=revision))
     with monkeypatch.context() as m:
@@ -244,7 +249,7 @@
 
 
 def test_a_disk_that_fails_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    store = Store(str(tmp_path), "f", "n0", 2)
+    store = StateStore(str(tmp_path), "f", "n0", 2)
     store.save(state(revision=1))
 
     def full(_: int) -> None:
@@ -263,35 +268,35 @@
 
 def test_agents_that_share_a_folder_keep_to_their_own(tmp_path: Path) -> None:
     for name in ("a/b", "a%2fb", ""):
-        Store(str(tmp_path), "f", name, 2).save(state(agent=name))
+        StateStore(str(tmp_path), "f", name, 2).save(state(agent=name))
     for name in ("a/b", "a%2fb", ""):
-        loaded = Store(str(tmp_path), "f", name, 2).load().state
+        loaded = StateStore(str(tmp_path), "f", name, 2).load().state
         assert loaded is not None and loaded.agent == name
     assert all(p.parent == tmp_path for p in tmp_path.rglob("*"))
 
 
-# Phases
+# PhaseTracker
 
 
 def test_a_return_is_told_by_work_and_not_by_time() -> None:
-    p, now = Phases(0), 0
+    p, now = PhaseTracker(0), 0
 
     def window(good: int, bad: int) -> Phase:
         nonlocal now
         for i in range(good + bad):
-            p.answered(i < good, now)
+            p.request_answered(i < good, now)
         now += WINDOW_US
-        p.answered(True, now)  # the first of the next one closes it
+        p.request_answered(True, now)  # the first of the next one closes it
         return p.phase
 
     for _ in range(100):
-        p.answered(False, now)
+        p.request_answered(False, now)
         now += WINDOW_US
     assert p.phase is Phase.WAITING
     assert window(1, 20) is Phase.RETURNING
     for _ in range(50):  # what is sent again holds it down
         assert window(10, 10) is Phase.RETURNING
-    assert window(FEWEST - 3, 0) is Phase.RETURNING  # too few tell nothing
+    assert window(MIN_ANSWERS - 3, 0) is Phase.RETURNING  # too few tell nothing
     assert window(40, 1) is Phase.STEADY
     assert window(12, 10) is Phase.STEADY
     assert window(2, 20) is Phase.RETURNING
--- a/tests/recovery/test_power_loss.py
+++ b/tests/recovery/test_power_loss.py
@@ -13,9 +13,9 @@
 
 import pytest
 
+from lilacsill.agent.recovery.state import SavedState, decode
 from lilacsill.emulator.processes.pipe import ROOT
 from lilacsill.emulator.processes.rig import Rig, ask_door, rig
-from lilacsill.agent.recovery.state import State, decode
 from tests.loopback import Message, Peer, config_doc, member
 from tests.peers.fleets import Worker, ask
 
@@ -74,7 +74,7 @@
     return await r.peers(number, "recovery")
 
 
-def kept(folder: Path, number: int, generation: int = 0) -> State | None:
+def kept(folder: Path, number: int, generation: int = 0) -> SavedState | None:
     path = folder / "saved" / f"n{number}.state{f'.{generation}' if generation else ''}"
     try:
         return decode(path.read_bytes(), "test", f"n{number}")
@@ -82,7 +82,7 @@
         return None
 
 
-async def saved(folder: Path, number: int, done: Callable[[State], bool]) -> None:
+async def saved(folder: Path, number: int, done: Callable[[SavedState], bool]) -> None:
     """Until that agent's newest generation is so."""
     while (state := kept(folder, number)) is None or not done(state):
         await asyncio.sleep(0)
@@ -109,8 +109,8 @@
             await asyncio.gather(*(ask(r.agents[n], 30) for n in range(6)))
             await ask_door(r.agents[0].door, "/-/backends/new/disable", "POST")
             for n in range(6):  # a pace is written again once it rests on twice as many answers
-                await saved(tmp_path, n, lambda s: s.pace.answers >= 15)
-            await saved(tmp_path, 0, lambda s: s.out == ["new"])
+                await saved(tmp_path, n, lambda s: s.latency_model.answers >= 15)
+            await saved(tmp_path, 0, lambda s: s.disabled_backends == ["new"])
             discovery.listing = {}  # it is gone, too
             await asyncio.gather(*(r.kill(n) for n in range(6)))
             for path in tmp_path.glob("tmp*/*"):
@@ -133,9 +133,9 @@
         async with power(2, tmp_path) as (r, discovery, _):
             await r.start(0)
             await ask(r.agents[0], 10)
-            await saved(tmp_path, 0, lambda s: s.pace.answers >= 5)
+            await saved(tmp_path, 0, lambda s: s.latency_model.answers >= 5)
             await ask(r.agents[0], 30)
-            await saved(tmp_path, 0, lambda s: s.pace.answers >= 20)
+            await saved(tmp_path, 0, lambda s: s.latency_model.answers >= 20)
             await r.kill(0)
             before = kept(tmp_path, 0, 1)
             assert before is not None
@@ -144,7 +144,7 @@
             (tmp_path / "saved" / "n1.state").write_bytes((tmp_path / "saved" / "n0.state.1").read_bytes())
             await asyncio.gather(r.start(0), r.start(1))
             t = await told(r, 0)
-            assert (t["loaded"]["generation"], t["pace"]["answers"]) == (1, before.pace.answers)
+            assert (t["loaded"]["generation"], t["pace"]["answers"]) == (1, before.latency_model.answers)
             assert "torn" in t["loaded"]["left_aside"][0]["why"]
             await r.agents[0].line("generation 0 is left aside")
             t = await told(r, 1)
