--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -6,9 +6,10 @@
 from typing import Any
 
 import pytest
+from msgspec.structs import replace
 
 from lilacsill.address import Address
-from lilacsill.mesh.proxy.budget import Budget
+from lilacsill.mesh.proxy.retry_budget import RetryBudget, RetryBudgetSettings
 from lilacsill.mesh.proxy.backend_request import BackendRequest
 from lilacsill.mesh.proxy.forwarding import Forwarding
 from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
@@ -22,8 +23,8 @@
 from lilacsill.mesh.runtime.link import Link
 from lilacsill.mesh.runtime.messages import Endpoint, Message, Response, decode
 from lilacsill.mesh.runtime.rpc import Peer
-from lilacsill.mesh.store.followers import Follower, Followers
-from lilacsill.mesh.store.frontend import UNCLEAR, WAIT_US, Frontend
+from lilacsill.mesh.store.followers import Followers, Poll
+from lilacsill.mesh.store.frontend import CALL_TIMEOUT_US, OUTCOME_UNKNOWN, Frontend
 
 Patch = pytest.MonkeyPatch
 
@@ -146,11 +147,11 @@
 
 
 def the_slack_is_there_at_once(patch: Patch) -> None:
-    def begin(self: Budget, ratio: float, window_us: int, slack: float, slack_from: int = 0) -> None:
-        real(self, ratio, window_us, slack)
+    def begin(self: RetryBudget, settings: RetryBudgetSettings) -> None:
+        real(self, replace(settings, slack_from=0))
 
-    real = Budget.__init__
-    patch.setattr(Budget, "__init__", begin)
+    real = RetryBudget.__init__
+    patch.setattr(RetryBudget, "__init__", begin)
 
 
 def routes_without_a_usual_time_have_no_room(patch: Patch) -> None:
@@ -189,20 +190,20 @@
 
 
 def followers_that_were_answered_still_wait(patch: Patch) -> None:
-    def waited(self: Followers, follower: Follower) -> None:
-        if follower in self._waiting:
-            self._answer(follower)
+    def on_timeout(self: Followers, poll: Poll) -> None:
+        if poll in self._polls:
+            self._answer(poll)
 
-    patch.setattr(Followers, "_waited", waited)
+    patch.setattr(Followers, "_on_timeout", on_timeout)
 
 
 def a_call_is_answered_by_time_and_by_the_chain(patch: Patch) -> None:
     def call(self: Frontend, m: messages.Patch, reply: Callable[[Message], None]) -> None:
-        self._environment.after(WAIT_US // 20, reply, UNCLEAR)
+        self._environment.after(CALL_TIMEOUT_US // 20, reply, OUTCOME_UNKNOWN)
         real(self, m, reply)
 
-    real = Frontend.patch
-    patch.setattr(Frontend, "patch", call)
+    real = Frontend.handle_patch
+    patch.setattr(Frontend, "handle_patch", call)
 
 
 def a_call_under_way_counts_as_rest(patch: Patch) -> None:
