--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -14,8 +14,8 @@
 from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import IndirectPing, Message
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Answered, Peers
-from lilacsill.mesh.runtime.settings import Settings, SettingsError, load
+from lilacsill.mesh.runtime.rpc import OnReply, RpcClientPool
+from lilacsill.mesh.runtime.settings import Settings, SettingsError, load_settings
 
 from .active_config import ActiveConfig
 from .backend_gateway import BackendGateway
@@ -32,27 +32,21 @@
 from .shutdown_sequence import ShutdownSequence
 from .status_report import status_report
 
-DEFAULT_DRAIN_MS = 2_000
-DEFAULT_GRACE_MS = 6_000
-DEFAULT_RETRY_RATIO = 0.2  # retries for each request
-DEFAULT_RETRY_SLACK = 0.0  # retries in each window beyond the ratio
-DEFAULT_RETRY_WINDOW_MS = 10_000
-
 
 class Process:
     """One proxy."""
 
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
         """Start the proxy. Raises OSError, SettingsError."""
-        if settings.app is None:
-            raise SettingsError(f"{settings.path}: AppAddress: a proxy stands beside a backend")
+        if settings.backend_address is None:
+            raise SettingsError(settings.path, "AppAddress", "a proxy stands beside a backend")
         self._settings, self._reactor = settings, reactor
-        self._lifecycle = BackendLifecycle(settings.bound_us("DrainWithinMs", DEFAULT_DRAIN_MS))
-        self._gateway = BackendGateway(reactor, self._lifecycle, settings.app)
+        self._lifecycle = BackendLifecycle(settings.timing.drain_us)
+        self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
         self._forwarder = self._create_forwarder()
-        self._endpoints = KnownEndpoints(settings.node, self._forwarder)
+        self._endpoints = KnownEndpoints(settings.node_name, self._forwarder)
         self._failure_detector = FailureDetector(
-            ReactorEnvironment(reactor), settings.node, self._endpoints.peers, self._on_suspect
+            ReactorEnvironment(reactor), settings.node_name, self._endpoints.peers, self._on_suspect
         )
         self._discovery = DiscoveryClient(
             settings,
@@ -63,7 +57,7 @@
             self._failure_detector.suspects,
             self._on_update,
         )
-        self._offer_server = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway, self)
+        self._offer_server = OfferServer(reactor, Address(settings.ip, settings.internal_ports[0]), self._gateway, self)
         self._clients = Clients(reactor, settings.listen["Outgoing"], self._forwarder)
         heartbeats = HeartbeatApi(reactor, self._gateway, self._discovery.announce)
         self._heartbeat_server = ControlServer(reactor, settings.listen["ControlPort"], heartbeats.handle)
@@ -78,7 +72,7 @@
         )
         self._shutdown = ShutdownSequence(
             reactor,
-            settings.bound_us("GracePeriodS", DEFAULT_GRACE_MS),
+            settings.timing.grace_period_us,
             self._forwarder,
             self._clients,
             self._gateway,
@@ -92,19 +86,19 @@
 
     def _create_forwarder(self) -> Forwarder:
         settings, reactor = self._settings, self._reactor
-        window_us = settings.bound_us("RetryWindowS", DEFAULT_RETRY_WINDOW_MS)
+        window_us = settings.timing.retry_window_us
         return Forwarder(
             reactor,
             ActiveConfig(),
             self._gateway,
-            settings.node,
+            settings.node_name,
             settings.service,
             RetryBudgetSettings(
-                settings.bounds.get("RetryRatio", DEFAULT_RETRY_RATIO),
+                settings.timing.retry_ratio,
                 window_us,
-                settings.bounds.get("RetrySlack", DEFAULT_RETRY_SLACK),
+                settings.timing.retry_slack,
                 # A process before this one may have spent the slack; on the first start of all there was none.
-                slack_from=0 if settings.fresh else reactor.now() + window_us,
+                slack_from=0 if settings.fresh_start else reactor.now() + window_us,
             ),
             Random(),
         )
@@ -127,7 +121,7 @@
 
     def _is_drain_new(self) -> bool:
         """Return whether the registries know of a drain that the backend told an earlier run of this proxy."""
-        own = self._endpoints.get(self._settings.node)
+        own = self._endpoints.get(self._settings.node_name)
         if own is None or own.state != EndpointState.DRAINING or not own.server:
             return False
         return self._lifecycle.on_reported_drain(own.server, self._reactor.now())
@@ -139,7 +133,7 @@
     def _on_settings_changed(self) -> None:
         """Check the settings file, and log what is wrong with it. Settings are only read at the start."""
         try:
-            load(self._settings.path)
+            load_settings(self._settings.path)
         except SettingsError as error:
             log.warning("%s", error)
 
@@ -148,7 +142,7 @@
     def status(self) -> bytes:
         """Return the status report as JSON."""
         report = status_report(
-            self._settings.node,
+            self._settings.node_name,
             self._shutdown.is_started,
             self._forwarder,
             self._gateway,
@@ -167,8 +161,8 @@
     """The clock, the timers and the links that the failure detector uses in a real process."""
 
     def __init__(self, reactor: Reactor) -> None:
-        self.now, self.after, self._peers = reactor.now, reactor.after, Peers(reactor)
+        self.now, self.after, self._peers = reactor.now, reactor.after, RpcClientPool(reactor)
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
         """Send a question; `answered` is called once, with None if there was no answer in time."""
-        self._peers.to(parse_address(address)).ask(message, timeout_us, answered)
+        self._peers.client(parse_address(address)).request(message, timeout_us, answered)
--- a/lilacsill/mesh/proxy/watch_list.py
+++ b/lilacsill/mesh/proxy/watch_list.py
@@ -10,7 +10,7 @@
 
 from collections.abc import Iterable
 
-from lilacsill.mesh.runtime.hashing import weight
+from lilacsill.mesh.runtime.hashing import rendezvous_weight
 
 
 class WatchList:
@@ -45,15 +45,15 @@
         """Find the new nodes that take this one's place as a monitor."""
         for node, outranking in self._outranking.items():
             if len(outranking) < self._monitors:
-                own = (weight(node, self._node), self._node)
-                more = [other for other in added if (weight(node, other), other) > own]
+                own = (rendezvous_weight(node, self._node), self._node)
+                more = [other for other in added if (rendezvous_weight(node, other), other) > own]
                 self._outranking[node] = (*outranking, *more)[: self._monitors]
 
     def _find_outranking(self, node: str) -> tuple[str, ...]:
-        own = (weight(node, self._node), self._node)
+        own = (rendezvous_weight(node, self._node), self._node)
         found: list[str] = []
         for other in self._outranking:
-            if other != node and (weight(node, other), other) > own:
+            if other != node and (rendezvous_weight(node, other), other) > own:
                 found.append(other)
                 if len(found) == self._monitors:
                     break
