--- a/lilacsill/mesh/proxy/__main__.py
+++ b/lilacsill/mesh/proxy/__main__.py
@@ -4,23 +4,23 @@
 
 import sys
 
-from lilacsill.mesh.runtime.start import start
+from lilacsill.mesh.runtime.start import run_process
 
 
-def run_process() -> int:
+def run() -> int:
     """Run the proxy until it is shut down. Return the exit status."""
     from .process import Process
 
-    return start("proxy", Process)
+    return run_process("proxy", Process)
 
 
 def main() -> int:
     """Run the proxy, or the command that the arguments name. Return the exit status."""
     if len(sys.argv) == 1:
-        return run_process()
-    from lilacsill.mesh.runtime.commands import Commands, run
+        return run()
+    from lilacsill.mesh.runtime.commands import Commands, run_command
 
-    return run("proxy", Commands)
+    return run_command("proxy", Commands)
 
 
 if __name__ == "__main__":
--- a/lilacsill/mesh/proxy/registry_selector.py
+++ b/lilacsill/mesh/proxy/registry_selector.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lilacsill.mesh.runtime.hashing import chosen
+from lilacsill.mesh.runtime.hashing import rendezvous_select
 
 POLLED_REGISTRIES = 2
 
@@ -45,4 +45,4 @@
         return self.addresses - self._backoff_until.keys()
 
     def _choose(self, registries: set[str], count: int) -> list[str]:
-        return chosen(self._node, registries, count)
+        return rendezvous_select(self._node, registries, count)
--- a/lilacsill/mesh/proxy/status_report.py
+++ b/lilacsill/mesh/proxy/status_report.py
@@ -75,7 +75,7 @@
         node=node,
         config_seq=forwarder.config.seq,
         sure=discovery.is_config_current(),
-        unsure_reason=discovery.evidence.why_not_current(now),
+        unsure_reason=discovery.evidence.stale_reason(now),
         age_ms=discovery.evidence.age_ms(now),
         leaving=leaving,
         requests=len(forwarder.in_hand),
