--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -205,7 +205,7 @@
     call = [validation.Change("route", "r-1", size + 1, msgspec.json.decode(change.body))]
 
     def check() -> None:
-        assert validation.is_good(validation.against(Draft(state), call))
+        assert validation.is_success(validation.apply_call(Draft(state), call))
 
     return Step("store: one change checked", size, cpu_us(check), "us")
 
--- a/benchmarks/order_cost.py
+++ b/benchmarks/order_cost.py
@@ -17,7 +17,7 @@
 
 from lilacsill.mesh.simulation.store_fleet import put, route
 from lilacsill.mesh.store import validation
-from lilacsill.mesh.store.accepted_changes import MOST_VERSIONS
+from lilacsill.mesh.store.accepted_changes import MAX_VERSIONS
 from lilacsill.mesh.store.draft import Draft
 from lilacsill.mesh.store.state import ConfigState
 
@@ -36,9 +36,9 @@
 
 
 def take(state: ConfigState, body: dict[str, Any]) -> None:
-    call = validation.read(msgspec.json.encode(body)).unwrap()
+    call = validation.parse_call(msgspec.json.encode(body)).unwrap()
     draft = Draft(state)
-    draft.merge(validation.against(draft, call).unwrap())
+    draft.merge(validation.apply_call(draft, call).unwrap())
     state.apply(draft.items.values(), draft.seq)
 
 
@@ -48,10 +48,10 @@
     take(state, put([route(f"r{i}", 1, f"/{i}/") for i in range(routes)], first=True))
     first = process_time_ns() - began
     before = state.size
-    state.uses("s")
+    state.reference_count("s")
     change = microseconds(lambda number: take(state, put([route("r3", number + 2, "/3/")])))
     again = microseconds(lambda number: take(state, put([route("r5", 1, "/5/")])))
-    for version in range(TIMES + 2, 2 * MOST_VERSIONS):
+    for version in range(TIMES + 2, 2 * MAX_VERSIONS):
         take(state, put([route("r3", version << 20, "/3/")]))
     return {
         "first_ms": round(first / 1e6, 1),
--- a/benchmarks/store_size.py
+++ b/benchmarks/store_size.py
@@ -38,7 +38,7 @@
 def items_of(state: ConfigState, call: bytes) -> list[Item]:
     """What the call changes in that state."""
     draft = Draft(state)
-    draft.merge(validation.against(draft, validation.read(call).unwrap()).unwrap())
+    draft.merge(validation.apply_call(draft, validation.parse_call(call).unwrap()).unwrap())
     return list(draft.items.values())
 
 
--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..records import Departure, Endpoint, Freshness, Item, Load, Member, View
+from ..records import Ballot, Departure, Endpoint, Freshness, Item, Load, Member, View
 from .base import Headers, Message
 from .configuration import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply, Status, StatusReply
 from .consensus import (
@@ -89,6 +89,7 @@
     "Accepted",
     "AnyMessage",
     "BadMessage",
+    "Ballot",
     "BodyChunk",
     "ConfigUpdate",
     "Confirm",
--- a/lilacsill/mesh/runtime/messages/consensus.py
+++ b/lilacsill/mesh/runtime/messages/consensus.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..records import Departure, Member, View
+from ..records import Ballot, Departure, Member, View
 from .base import Message
 
 
@@ -17,7 +17,7 @@
     synced: bool  # the sender's place in the chain is confirmed by its predecessor
     peers: list[str]  # addresses of all core machines that the sender knows
     complete: bool  # the sender's disk has all that was acknowledged before this view
-    promised: tuple[int, str]  # highest ballot promised, on disk; leases requested before it are void for the sender
+    promised: Ballot  # highest ballot promised, on disk; leases requested before it are void for the sender
     requests_lease: bool
 
 
@@ -40,15 +40,15 @@
 
     to: Member
     view_number: int  # of the view that is to be chosen
-    ballot: tuple[int, str]
+    ballot: Ballot
 
 
 class Promise(Message):
     """The answer to `Prepare`."""
 
     ok: bool
-    ballot: tuple[int, str]  # the highest one promised
-    accepted_ballot: tuple[int, str] | None
+    ballot: Ballot  # the highest one promised
+    accepted_ballot: Ballot | None
     accepted_view: View | None
     view: View  # the one in force at the sender
 
@@ -57,7 +57,7 @@
     """Phase 2 of Paxos for one view."""
 
     to: Member
-    ballot: tuple[int, str]
+    ballot: Ballot
     view: View
 
 
@@ -65,7 +65,7 @@
     """The answer to `Accept`."""
 
     ok: bool
-    ballot: tuple[int, str]
+    ballot: Ballot
     view: View
 
 
--- a/lilacsill/mesh/runtime/records.py
+++ b/lilacsill/mesh/runtime/records.py
@@ -6,6 +6,7 @@
 from __future__ import annotations
 
 from enum import IntEnum
+from typing import NamedTuple
 
 import msgspec
 
@@ -63,6 +64,13 @@
     incarnation: str
 
 
+class Ballot(NamedTuple):
+    """A proposal number of Paxos: ballots are ordered by number, and of equal numbers by proposer."""
+
+    number: int
+    proposer: str  # address of the member that proposes
+
+
 class View(msgspec.Struct, array_like=True, gc=False, frozen=True):
     """The voters and the chain, head first. A majority of the members of view n - 1 agrees on view n.
 
--- a/lilacsill/mesh/simulation/explore_losses.py
+++ b/lilacsill/mesh/simulation/explore_losses.py
@@ -116,7 +116,7 @@
         replica = store.replica
         same = head is not None and replica.state.digests == head.state.digests
         on_disk = day.net.machines[replica.me.address].disk.facts.get("whole")
-        accepted = replica.acceptor.acceptor_state.accepted is not None
+        accepted = replica.acceptor.state.accepted_view is not None
         told.append(
             f"{members.get(replica.me, -1)}{replica.complete:d}{same:d}{on_disk == b'1':d}"
             f"{replica.view == view:d}{replica.view_pending:d}{accepted:d}{replica.departure:d}"
--- a/lilacsill/mesh/simulation/paxos_contest.py
+++ b/lilacsill/mesh/simulation/paxos_contest.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from lilacsill.mesh.runtime.messages import Accept, Member, Message, Prepare, View
-from lilacsill.mesh.store.paxos import Acceptor, AcceptorState, Ballot, Proposal, ProposalCallbacks
+from lilacsill.mesh.runtime.messages import Accept, Ballot, Member, Message, Prepare, View
+from lilacsill.mesh.store.paxos import Acceptor, AcceptorState, Proposal, ProposalCallbacks
 
 from .network import MS, Time, once_only
 from .store_fleet import RuleBroken
@@ -34,7 +34,7 @@
         self.up = True
         self.acceptor = Acceptor(member, AcceptorState(), self)
 
-    def keep(self, name: str, value: bytes, done: Callable[[], None]) -> None:
+    def persist(self, name: str, value: bytes, done: Callable[[], None]) -> None:
         life, time = self._life, self._contest.time
 
         def synced() -> None:
@@ -60,8 +60,8 @@
 
     def ballot(self, beyond: int) -> Ballot:
         """As a proposer in this life would: a life before may have had the same."""
-        self._rounds = max(beyond, self._rounds, self.acceptor.acceptor_state.promised[0]) + 1
-        return self._rounds, self.member.address
+        self._rounds = max(beyond, self._rounds, self.acceptor.state.promised.number) + 1
+        return Ballot(self._rounds, self.member.address)
 
 
 class Contest:
@@ -98,9 +98,9 @@
         if self.rng.random() < STRUCK:
             self.time.after(self.rng.randrange(SYNC_US), seat.crash)
 
-    def _failed(self, view: View | None, beyond: tuple[int, str]) -> None:
+    def _failed(self, view: View | None, beyond: Ballot) -> None:
         if self.time.now < LENGTH_US:
-            self.time.after(self.rng.randrange(50 * MS), self.propose, beyond[0])
+            self.time.after(self.rng.randrange(50 * MS), self.propose, beyond.number)
 
     def _agreed(self, view: View) -> None:
         self.agreed.add(view)
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -36,12 +36,12 @@
             news = configuration(against)
             state.apply(news.items, news.seq)
         try:
-            read = validation.read(Path(path).read_bytes())
+            read = validation.parse_call(Path(path).read_bytes())
         except OSError as e:
             raise Refused(f"{path}: {e.strerror}") from None
         if isinstance(read, Failure):
             raise Refused(f"{path}: {read.failure()}")
-        changed = validation.against(state, read.unwrap())
+        changed = validation.apply_call(state, read.unwrap())
         if isinstance(changed, Failure):
             raise Refused(f"{path}: {changed.failure().why}")
         for item in changed.unwrap().items.values():
--- a/lilacsill/mesh/store/draft.py
+++ b/lilacsill/mesh/store/draft.py
@@ -10,7 +10,7 @@
 
 from lilacsill.mesh.runtime.messages import Item
 
-from .route_index import Place, RouteReferences, references_of
+from .route_index import RouteMatch, RouteReferences, references_of
 from .state import size_of
 
 
@@ -22,9 +22,9 @@
 
     def item(self, kind: str, name: str) -> Item | None: ...
 
-    def route_at(self, place: Place) -> str | None: ...
+    def route_at(self, place: RouteMatch) -> str | None: ...
 
-    def uses(self, service: str) -> int: ...
+    def reference_count(self, service: str) -> int: ...
 
 
 class Draft:
@@ -33,18 +33,18 @@
     def __init__(self, base: Base) -> None:
         self._base = base
         self.items: dict[tuple[str, str], Item] = {}
-        self._places: dict[Place, str | None] = {}
+        self._places: dict[RouteMatch, str | None] = {}
         self._uses: dict[str, int] = {}  # routes more than below
         self.seq, self.size = base.seq, base.size
 
     def item(self, kind: str, name: str) -> Item | None:
         return self.items.get((kind, name)) or self._base.item(kind, name)
 
-    def route_at(self, place: Place) -> str | None:
+    def route_at(self, place: RouteMatch) -> str | None:
         return self._places[place] if place in self._places else self._base.route_at(place)
 
-    def uses(self, service: str) -> int:
-        return self._base.uses(service) + self._uses.get(service, 0)
+    def reference_count(self, service: str) -> int:
+        return self._base.reference_count(service) + self._uses.get(service, 0)
 
     def put(self, items: Iterable[Item]) -> list[tuple[str, str]]:
         """All at once, each name once: routes may exchange their places. Returns pairs of routes at one place."""
--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -13,7 +13,7 @@
 from lilacsill.mesh.runtime.freshness import told
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Message
 
-from .accepted_changes import for_followers
+from .accepted_changes import without_history
 from .chain import Chain
 from .membership import Membership
 from .replica import Replica
@@ -55,7 +55,7 @@
         self._environment.after(m.wait_ms * 1000, self._waited, follower)
 
     def _may_speak(self) -> bool:
-        return self._replica.is_tail and self._chain.synced and self._membership.sure()
+        return self._replica.is_tail and self._chain.synced and self._membership.holds_lease()
 
     def _answer(self, follower: Follower) -> None:
         """With what is in force at this moment, if this member may say so."""
@@ -63,7 +63,7 @@
             return follower.reply(FollowReply(None, self._membership.peers()))
         state, now = self._replica.state, self._environment.now()
         lacking = state.items_since(follower.question.seq) if state.seq > follower.question.seq else []
-        news = ConfigUpdate(state.seq, for_followers(lacking), told(now, follower.asked_at, now))
+        news = ConfigUpdate(state.seq, without_history(lacking), told(now, follower.asked_at, now))
         follower.reply(FollowReply(news, self._membership.peers()))
 
     def _waited(self, follower: Follower) -> None:
--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -64,8 +64,8 @@
             return self._pass_on(replica.view.chain[:1], m, reply)
         from . import validation  # with cerberus and returns: 7 MB that only a head needs
 
-        read = validation.read(m.body)
-        if not validation.is_good(read):
+        read = validation.parse_call(m.body)
+        if not validation.is_success(read):
             refusal = self._rejected(read.failure(), validation.INVALID)
             return self._if_in_force(lambda ok: reply(refusal if ok else UNCLEAR))
         if len(self._queue) >= MOST_WAITING:
@@ -112,8 +112,8 @@
         """The answer, once all that it rests on is on all disks. A call that is taken changes the draft."""
         from . import validation
 
-        judged = validation.against(draft, waiting.call)
-        if not validation.is_good(judged):
+        judged = validation.apply_call(draft, waiting.call)
+        if not validation.is_success(judged):
             return self._refused(waiting.body, judged.failure())
         changed = judged.unwrap()
         if changed.size > max(self.max_state_bytes, draft.size):  # what makes it smaller is taken
--- a/lilacsill/mesh/store/fencing.py
+++ b/lilacsill/mesh/store/lease_manager.py
@@ -7,41 +7,41 @@
 
 from collections.abc import Callable
 
-from lilacsill.mesh.runtime.messages import Accept, Heartbeat, HeartbeatReply, Message, Prepare, Promise
+from lilacsill.mesh.runtime.messages import Accept, Ballot, Heartbeat, HeartbeatReply, Message, Prepare, Promise
 from lilacsill.timers import Timer
 
-from .leases import GrantedLeases, HeldLeases
-from .paxos import NONE, Ballot
+from .leases import LeaseGrantor, LeaseHolder
+from .paxos import NO_BALLOT
 from .replica import Replica
 
 Replier = Callable[[Message], None]
 
 
-class Fence:
+class LeaseManager:
     """One member's."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica, self._environment = replica, replica.environment
-        self.granted = GrantedLeases(replica.environment.now())
-        self.held = HeldLeases()
+        self.grantor = LeaseGrantor(replica.environment.now())
+        self.holder = LeaseHolder()
         self.promised: Ballot = replica.acceptor.promised(replica.view)  # as it is on disk
-        self.on_give_up: Callable[[], None] = lambda: None  # the others should be told with the next heartbeat
+        self.on_release: Callable[[], None] = lambda: None  # the others should be told with the next heartbeat
         self._deferred: list[tuple[Accept, Replier]] = []  # votes that wait for leases to end
         self._retry: Timer | None = None  # of what is deferred
         replica.on_view.append(self._new_view)
 
     def _new_view(self) -> None:
-        self.granted.drop()
-        self.held.give_up(self._environment.now())
-        self.promised = NONE
+        self.grantor.clear()
+        self.holder.release_all(self._environment.now())
+        self.promised = NO_BALLOT
 
     # The holder
 
-    def sure(self) -> bool:
+    def is_valid(self) -> bool:
         """The own view is in force at this moment: leases of a majority of its members run."""
-        return not self.why_unsure()
+        return not self.invalid_reason()
 
-    def why_unsure(self) -> str:
+    def invalid_reason(self) -> str:
         """For operators; empty if `sure`."""
         replica, now = self._replica, self._environment.now()
         number = replica.view.number
@@ -49,34 +49,34 @@
             return f"not a member of view {number}"
         if replica.view_pending:
             return f"has accepted view {number + 1}, which may be in force"
-        if not self.held.left_us(replica.view, replica.me, now):
-            voters = len(self.held.granted_by(replica.view.members, now))
+        if not self.holder.remaining_us(replica.view, replica.me, now):
+            voters = len(self.holder.grantors(replica.view.members, now))
             return f"of {len(replica.view.members) - 1} other members of view {number} {voters} grant a lease"
         return ""
 
-    def lease_granted(self, m: HeartbeatReply, asked_at: int) -> None:
+    def on_lease_granted(self, m: HeartbeatReply, asked_at: int) -> None:
         """The answer to a heartbeat sent at `asked_at`."""
         if m.lease_us and m.view.number == self._replica.view.number:
-            self.held.granted(m.sender, m.lease_us, asked_at)
+            self.holder.add(m.sender, m.lease_us, asked_at)
 
     def status(self) -> dict[str, object]:
         """For operators: the lease that this member holds, those it has granted, and why it does not speak."""
         replica, now = self._replica, self._environment.now()
-        voters = self.held.granted_by(replica.view.members, now)
+        voters = self.holder.grantors(replica.view.members, now)
         return {
-            "sure": self.sure(),
-            "why_unsure": self.why_unsure(),
+            "sure": self.is_valid(),
+            "why_unsure": self.invalid_reason(),
             "lease": {
                 "view": replica.view.number,
-                "left_ms": self.held.left_us(replica.view, replica.me, now) // 1000,
+                "left_ms": self.holder.remaining_us(replica.view, replica.me, now) // 1000,
                 "granted_by": sorted(m.address for m in voters),
             },
-            "leases_granted_ms": {m.address: us // 1000 for m, us in self.granted.running(now).items()},
+            "leases_granted_ms": {m.address: us // 1000 for m, us in self.grantor.remaining_by_holder(now).items()},
         }
 
     # The voter
 
-    def lease_for(self, m: Heartbeat, answers: bool) -> int:
+    def lease_offer_us(self, m: Heartbeat, answers: bool) -> int:
         """For how long a lease is granted to whoever asks; 0: none. `answers`: it has answered this member of late."""
         replica = self._replica
         if not replica.is_member or m.view.number != replica.view.number or m.sender not in replica.view.members:
@@ -84,13 +84,13 @@
         if m.promised > replica.acceptor.promised(replica.view):
             # A vote is under way, and its proposer may be out of reach: as if its question had come here, too.
             self.prepare(Prepare(replica.me, replica.view.number + 1, m.promised), lambda answer: None)
-        self.granted.given_up(m.sender, m.promised)
+        self.grantor.release(m.sender, m.promised)
         if self._deferred:
             self._accept_deferred()
         # One that does not answer is soon left out: a lease would delay that.
         if replica.view_pending or not m.requests_lease or not answers:
             return 0
-        return self.granted.grant(m.sender, m.promised, self._environment.now())
+        return self.grantor.grant(m.sender, m.promised, self._environment.now())
 
     def prepare(self, m: Prepare, reply: Replier) -> None:
         """The first phase of a vote on the next view: whoever promises relies on no lease, and grants none for now."""
@@ -101,25 +101,25 @@
             if isinstance(answer, Promise) and answer.ok and replica.view == view:
                 # In this order: what is asked for from here on carries the ballot.
                 self.promised = max(answer.ballot, self.promised)
-                self.held.give_up(self._environment.now())
-                self.on_give_up()
+                self.holder.release_all(self._environment.now())
+                self.on_release()
             reply(answer)
 
         if m.to == replica.me and m.view_number == view.number + 1 and m.ballot > replica.acceptor.promised(view):
-            self.granted.pause(self._environment.now())
+            self.grantor.suspend_grants(self._environment.now())
         replica.acceptor.prepare(view, m, answered)
 
     def accept(self, m: Accept, reply: Replier) -> None:
         """The second phase: not before the leases granted for this view have ended."""
         self._deferred.append((m, reply))
-        self.granted.pause(self._environment.now())
+        self.grantor.suspend_grants(self._environment.now())
         self._accept_deferred()
 
     def _accept_deferred(self) -> None:
         if self._retry is not None:
             self._retry.cancel()
             self._retry = None
-        wait_us = self.granted.bound_for_us(self._environment.now())
+        wait_us = self.grantor.blocked_for_us(self._environment.now())
         if wait_us:
             self._retry = self._environment.after(wait_us, self._accept_deferred)
             return
--- a/lilacsill/mesh/store/leases.py
+++ b/lilacsill/mesh/store/leases.py
@@ -18,9 +18,7 @@
 from typing import NamedTuple
 
 from lilacsill.mesh.runtime.freshness import longest, shortest
-from lilacsill.mesh.runtime.messages import Member, View
-
-from .paxos import Ballot
+from lilacsill.mesh.runtime.messages import Ballot, Member, View
 
 LEASE_US = 450_000  # less than the silence after which a member is suspected
 
@@ -32,7 +30,7 @@
     promised: Ballot  # the holder's, as it asked
 
 
-class GrantedLeases:
+class LeaseGrantor:
     """A voter's side."""
 
     def __init__(self, started_at: int) -> None:
@@ -49,53 +47,53 @@
         self._grants[holder] = Grant(now + LEASE_US, promised if held is None else max(promised, held.promised))
         return LEASE_US
 
-    def given_up(self, holder: Member, promised: Ballot) -> None:
+    def release(self, holder: Member, promised: Ballot) -> None:
         """The holder relies on nothing that it asked for before that promise."""
         held = self._grants.get(holder)
         if held is not None and held.promised < promised:
             del self._grants[holder]
 
-    def drop(self) -> None:
+    def clear(self) -> None:
         """Another view began: it was agreed, and leases for the one before bind nobody."""
         self._grants.clear()
 
-    def pause(self, now: int) -> None:
+    def suspend_grants(self, now: int) -> None:
         """A later view is being voted on: no new leases, so that those which run come to an end."""
         self._grants_from = now + LEASE_US
 
-    def bound_for_us(self, now: int) -> int:
+    def blocked_for_us(self, now: int) -> int:
         """For how long no later view may be accepted."""
-        return max(0, self._unknown_until - now, *self.running(now).values())
+        return max(0, self._unknown_until - now, *self.remaining_by_holder(now).values())
 
-    def running(self, now: int) -> Mapping[Member, int]:
+    def remaining_by_holder(self, now: int) -> Mapping[Member, int]:
         """For how long each holder's lease still runs."""
         return {holder: grant.end - now for holder, grant in self._grants.items() if grant.end > now}
 
 
-class HeldLeases:
+class LeaseHolder:
     """A holder's side: one lease of each voter, all for one view."""
 
     def __init__(self) -> None:
         self._ends: dict[Member, int] = {}
-        self._given_up_at = -1
+        self._released_at = -1
 
-    def granted(self, voter: Member, lease_us: int, asked_at: int) -> None:
+    def add(self, voter: Member, lease_us: int, asked_at: int) -> None:
         """The answer to the question sent at `asked_at`."""
-        if asked_at <= self._given_up_at:
+        if asked_at <= self._released_at:
             return
         end = asked_at + shortest(lease_us)
         self._ends[voter] = max(end, self._ends.get(voter, end))
 
-    def give_up(self, now: int) -> None:
+    def release_all(self, now: int) -> None:
         """All, and the answers to what was asked until now: another view began, or is to be voted on."""
         self._ends.clear()
-        self._given_up_at = now
+        self._released_at = now
 
-    def granted_by(self, members: Iterable[Member], now: int) -> list[Member]:
+    def grantors(self, members: Iterable[Member], now: int) -> list[Member]:
         """The voters among `members` whose leases run."""
         return [m for m in members if self._ends.get(m, now) > now]
 
-    def left_us(self, view: View, me: Member, now: int) -> int:
+    def remaining_us(self, view: View, me: Member, now: int) -> int:
         """How long leases of a majority of the view still run; the holder counts for itself. 0: they do not."""
         others_needed = len(view.members) // 2
         if not others_needed:
--- a/lilacsill/mesh/store/leaving.py
+++ b/lilacsill/mesh/store/leaving.py
@@ -41,7 +41,7 @@
         now = self._environment.now()
         if self._membership.is_alone() or now >= self._must_end_at:
             return self._stop()
-        if not self._membership.can_be_missed():
+        if not self._membership.is_dispensable():
             self._dispensable_since = None
         elif self._dispensable_since is None:
             self._dispensable_since = now
--- a/lilacsill/mesh/store/membership.py
+++ b/lilacsill/mesh/store/membership.py
@@ -12,6 +12,7 @@
 
 from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import (
+    Ballot,
     Departure,
     Heartbeat,
     HeartbeatReply,
@@ -23,22 +24,22 @@
 )
 
 from .chain import Chain
-from .fencing import Fence
-from .paxos import Ballot, Proposal, ProposalCallbacks
-from .reconfiguration import Machine, Situation, next_view, to_fill, why_it_stays
+from .lease_manager import LeaseManager
+from .paxos import Proposal, ProposalCallbacks
+from .reconfiguration import ClusterState, MachineState, departure_blocker, learners_to_sync, next_view
 from .replica import Replica
 
-BEAT_US = 150_000
-HELLO_US = 350_000
-SUSPECT_US = 700_000  # no answer for so long
-RECENT_US = 450_000  # an answer so recent: a machine that may be taken in, or granted a lease
-STAND_IN_US = 150_000  # each place in the view waits so much longer
-VOTE_US = 500_000
-STUCK_US = 600_000  # a save that is out for so long: the disk stands still
-SLOW_US = 150_000  # and so long: it may come to that, and no lease of this member should delay it
-FORGET_US = 30_000_000
-STOOD_US = 250_000  # a beat that is so late: this process stood still
-LEARNER_US = 2_000_000  # another learner has its turn after so long
+HEARTBEAT_INTERVAL_US = 150_000
+HEARTBEAT_TIMEOUT_US = 350_000
+SUSPECT_AFTER_US = 700_000  # no answer for so long
+RECENT_REPLY_US = 450_000  # an answer so recent: a machine that may be taken in, or granted a lease
+PROPOSER_DELAY_US = 150_000  # each place in the view waits so much longer
+VOTE_TIMEOUT_US = 500_000
+DISK_STALLED_AFTER_US = 600_000  # a save that is out for so long: the disk stands still
+DISK_SLOW_AFTER_US = 150_000  # and so long: it may come to that, and no lease of this member should delay it
+PEER_EXPIRY_US = 30_000_000
+PAUSE_TOLERANCE_US = 250_000  # a beat that is so late: this process stood still
+LEARNER_SLICE_US = 2_000_000  # another learner has its turn after so long
 
 
 @dataclass(slots=True)
@@ -52,7 +53,7 @@
 class Membership:
     """One machine's."""
 
-    def __init__(self, replica: Replica, chain: Chain, fence: Fence, seeds: list[str]) -> None:
+    def __init__(self, replica: Replica, chain: Chain, lease_manager: LeaseManager, seeds: list[str]) -> None:
         self._replica, self._environment, self._chain = replica, replica.environment, chain
         self._seeds = [s for s in seeds if s != replica.me.address]
         self._last_seen: dict[str, LastSeen] = {}
@@ -68,8 +69,8 @@
         self._round = 0
         self.lost_machines = 1
         self.lost_places = 0
-        self.fence = fence
-        fence.on_give_up = lambda: self._ask_all(replica.environment.now())
+        self.lease_manager = lease_manager
+        lease_manager.on_release = lambda: self._ask_all(replica.environment.now())
         replica.on_view.append(self._entered)
         chain.on_learner_synced = self._learner_filled
 
@@ -81,7 +82,7 @@
     def peers(self) -> list[str]:
         """All machines of the core known of."""
         now = self._environment.now()
-        met = {a for a, at in self._met.items() if now - at < FORGET_US}
+        met = {a for a, at in self._met.items() if now - at < PEER_EXPIRY_US}
         return sorted({m.address for m in self._replica.view.members} | met | {self._replica.me.address})
 
     def fresh(self, member: Member, within_us: int) -> Heartbeat | HeartbeatReply | None:
@@ -91,9 +92,9 @@
             return None
         return seen.message
 
-    def sure(self) -> bool:
+    def holds_lease(self) -> bool:
         """The own view is in force at this moment."""
-        return self.fence.sure()
+        return self.lease_manager.is_valid()
 
     # Beats
 
@@ -109,22 +110,22 @@
             self._chain.synced,
             self.peers(),
             replica.complete,
-            self.fence.promised,
-            self._environment.oldest_save_age_us() < SLOW_US,
+            self.lease_manager.promised,
+            self._environment.oldest_save_age_us() < DISK_SLOW_AFTER_US,
         )
 
     def _departure(self) -> Departure:
         return max(self._replica.departure, Departure.DISK_STALLED if self._stuck() else Departure.NONE)
 
     def _stuck(self) -> bool:
-        return self._environment.oldest_save_age_us() > STUCK_US
+        return self._environment.oldest_save_age_us() > DISK_STALLED_AFTER_US
 
     def _beat(self) -> None:
         now = self._environment.now()
-        if now - self._beat_at > BEAT_US + STOOD_US:
+        if now - self._beat_at > HEARTBEAT_INTERVAL_US + PAUSE_TOLERANCE_US:
             self._since = now
         self._beat_at = now
-        self._environment.after(BEAT_US, self._beat)
+        self._environment.after(HEARTBEAT_INTERVAL_US, self._beat)
         self._ask_all(now)
         if not self._stuck():
             self._mend(now)
@@ -135,12 +136,12 @@
         # In order, so that a simulated day depends on its seed alone.
         for address in sorted({*self._seeds, *self.peers()} - {self._replica.me.address} - self._asked):
             self._asked.add(address)
-            self._environment.ask(address, hello, HELLO_US, partial(self._greeted, address, now))
+            self._environment.ask(address, hello, HEARTBEAT_TIMEOUT_US, partial(self._greeted, address, now))
 
-    def hello(self, m: Heartbeat, reply: Callable[[Message], None]) -> None:
+    def handle_heartbeat(self, m: Heartbeat, reply: Callable[[Message], None]) -> None:
         self._meet(m)
         h = self._hello()
-        lease_us = self.fence.lease_for(m, self.fresh(m.sender, RECENT_US) is not None)
+        lease_us = self.lease_manager.lease_offer_us(m, self.fresh(m.sender, RECENT_REPLY_US) is not None)
         reply(
             HeartbeatReply(
                 h.sender, h.view, h.seq, h.view_pending, h.departure, h.synced, h.peers, h.complete, lease_us
@@ -155,7 +156,7 @@
         # Only an answer counts as a sign of life: on a way that is cut in one direction none comes.
         self._last_seen[m.sender.address] = LastSeen(self._environment.now(), m)
         self._meet(m)
-        self.fence.lease_granted(m, asked_at)
+        self.lease_manager.on_lease_granted(m, asked_at)
         self._chain.resync(m.sender.address, m.view.number, m.synced)
 
     def _meet(self, m: Heartbeat | HeartbeatReply) -> None:
@@ -167,7 +168,7 @@
             self._met.setdefault(member.address, now)
         self._replica.adopt_from(m)
 
-    def agreed(self, m: ViewChange, reply: Callable[[Message], None]) -> None:
+    def handle_view_change(self, m: ViewChange, reply: Callable[[Message], None]) -> None:
         self._replica.adopt(m.view)
         reply(ViewChangeReply(self._replica.view.number))
 
@@ -181,20 +182,20 @@
     def _alive(self, member: Member, now: int) -> bool:
         if member == self._replica.me:
             return True
-        if self.fresh(member, SUSPECT_US) is not None:
+        if self.fresh(member, SUSPECT_AFTER_US) is not None:
             return True
-        return not self._disk_lost(member, now) and now - self._since <= SUSPECT_US
+        return not self._disk_lost(member, now) and now - self._since <= SUSPECT_AFTER_US
 
     def _disk_lost(self, member: Member, now: int) -> bool:
         """It is back with another disk."""
         seen = self._last_seen.get(member.address)
-        return seen is not None and seen.message.sender != member and now - seen.at < SUSPECT_US
+        return seen is not None and seen.message.sender != member and now - seen.at < SUSPECT_AFTER_US
 
     def wanted(self, now: int) -> View | None:
         """The view that should follow; None: this one is right, or nothing can be done."""
-        return next_view(self.situation(now))
+        return next_view(self.cluster(now))
 
-    def situation(self, now: int) -> Situation:
+    def cluster(self, now: int) -> ClusterState:
         """What is known at this moment."""
         view = self._replica.view
         outside = [m for m in self._others(now) if m not in view.members]
@@ -202,51 +203,51 @@
         machines = [self._machine(m, m in chain, now) for m in (*view.members, *outside)]
         # Where whole zones or regions may go, all core machines are members: those of any one place are the fewer.
         full = sum(m.alive for m in machines) if self.lost_places else 2 * self.lost_machines + 1
-        return Situation(view, machines, self.lost_machines + 1, full, len(self.peers()))
+        return ClusterState(view, machines, self.lost_machines + 1, full, len(self.peers()))
 
     def _others(self, now: int) -> list[Member]:
         """Machines that are there and not in the chain."""
         chain = self._replica.view.chain
-        heard = [seen.message.sender for _, seen in sorted(self._last_seen.items()) if now - seen.at < RECENT_US]
+        heard = [seen.message.sender for _, seen in sorted(self._last_seen.items()) if now - seen.at < RECENT_REPLY_US]
         return [m for m in heard if m not in chain]
 
-    def _machine(self, member: Member, in_chain: bool, now: int) -> Machine:
+    def _machine(self, member: Member, in_chain: bool, now: int) -> MachineState:
         replica = self._replica
         if member == replica.me:
-            return Machine(member, True, replica.complete, self._departure())
-        said = self.fresh(member, SUSPECT_US)
+            return MachineState(member, True, replica.complete, self._departure())
+        said = self.fresh(member, SUSPECT_AFTER_US)
         if said is None:
-            return Machine(member, self._alive(member, now), None, disk_lost=self._disk_lost(member, now))
+            return MachineState(member, self._alive(member, now), None, disk_lost=self._disk_lost(member, now))
         whole = said.complete if in_chain else said.synced
-        return Machine(member, True, whole if said.view.number == replica.view.number else None, said.departure)
+        return MachineState(member, True, whole if said.view.number == replica.view.number else None, said.departure)
 
     # The end of this machine
 
     def is_alone(self) -> bool:
         """There is nobody who could take its place."""
         replica = self._replica
-        return replica.view.chain == (replica.me,) and not self.situation(self._environment.now()).learners
+        return replica.view.chain == (replica.me,) and not self.cluster(self._environment.now()).learners
 
-    def can_be_missed(self) -> bool:
+    def is_dispensable(self) -> bool:
         """The chain goes on without it, and all of the chain know that."""
         replica = self._replica
         if replica.in_chain:
             return False
-        heard = [self.fresh(m, SUSPECT_US) for m in replica.view.chain]
+        heard = [self.fresh(m, SUSPECT_AFTER_US) for m in replica.view.chain]
         return all(said is not None and said.view.number >= replica.view.number for said in heard)
 
-    def why_it_stays(self) -> str:
+    def departure_blocker(self) -> str:
         """For operators; empty: it is not leaving."""
         if not self._replica.departure:
             return ""
-        return why_it_stays(self.situation(self._environment.now()), self._replica.me)
+        return departure_blocker(self.cluster(self._environment.now()), self._replica.me)
 
-    def learners(self) -> dict[str, str]:
+    def learner_states(self) -> dict[str, str]:
         """For operators: machines that are no members, and how far they are."""
-        learners = self.situation(self._environment.now()).learners
+        learners = self.cluster(self._environment.now()).learners
         being_filled = self._replica.learner
         return {
-            m.member.address: "synced" if m.whole else "being filled" if m.member == being_filled else "waits"
+            m.member.address: "synced" if m.complete else "being filled" if m.member == being_filled else "waits"
             for m in learners
         }
 
@@ -259,22 +260,22 @@
             return
         if replica.learner is None and not self._others(now):
             return
-        lacking = [m for m in to_fill(self.situation(now), max(1, self.lost_machines)) if self._lacks(m)]
+        lacking = [m for m in learners_to_sync(self.cluster(now), max(1, self.lost_machines)) if self._lacks(m)]
         learners = [m.member for m in lacking]
-        if replica.learner in learners and (now - self._turn_at < LEARNER_US or len(learners) == 1):
+        if replica.learner in learners and (now - self._turn_at < LEARNER_SLICE_US or len(learners) == 1):
             return
         self._turn_at = now
         at = learners.index(replica.learner) + 1 if replica.learner in learners else 0
         self._chain.sync_learner(learners[at % len(learners)] if learners else None)
 
-    def _lacks(self, machine: Machine) -> bool:
+    def _lacks(self, machine: MachineState) -> bool:
         seen = self._last_seen.get(machine.member.address)
         if seen is None:
             return False  # counted alive only because this view is new
         seq, at = self._filled.get(machine.member, (-1, 0))
         if at > seen.at:  # what it has said is older than what it was given
             return seq < self._replica.state.seq
-        return not machine.whole or seen.message.seq < self._replica.state.seq
+        return not machine.complete or seen.message.seq < self._replica.state.seq
 
     def _learner_filled(self) -> None:
         learner, now = self._replica.learner, self._environment.now()
@@ -287,8 +288,8 @@
         if not replica.in_chain or self._proposal is not None:
             return
         wanted = self.wanted(now)
-        if wanted is None and replica.view_pending and replica.acceptor.acceptor_state.accepted is not None:
-            wanted = replica.acceptor.acceptor_state.accepted  # begun by somebody, and not known to have ended
+        if wanted is None and replica.view_pending and replica.acceptor.state.accepted_view is not None:
+            wanted = replica.acceptor.state.accepted_view  # begun by somebody, and not known to have ended
         if wanted is None:
             self._wish = None
             return
@@ -296,36 +297,36 @@
         if self._wish != wish:
             self._wish, self._wish_at = wish, now
         place = [m for m in replica.view.chain if self._alive(m, now)].index(replica.me)
-        if now - self._wish_at >= place * STAND_IN_US:
+        if now - self._wish_at >= place * PROPOSER_DELAY_US:
             self._propose(wanted)
 
     def _propose(self, wanted: View) -> None:
         replica = self._replica
         self._round += 1
-        ballot: Ballot = (max(self._round, replica.acceptor.acceptor_state.promised[0] + 1), replica.me.address)
+        ballot = Ballot(max(self._round, replica.acceptor.state.promised.number + 1), replica.me.address)
         log.info("proposes view %d: %s", wanted.number, wanted)
         ways = ProposalCallbacks(self._vote, partial(self._decided, replica.view), self._failed)
         self._proposal = proposal = Proposal(replica.view, wanted, ballot, ways)
-        self._environment.after(2 * VOTE_US, self._over, proposal)
+        self._environment.after(2 * VOTE_TIMEOUT_US, self._over, proposal)
         proposal.begin()
 
     def _vote(self, member: Member, message: Message, answered: Callable[[Message | None], None]) -> None:
-        self._environment.ask(member.address, message, VOTE_US, answered)
+        self._environment.ask(member.address, message, VOTE_TIMEOUT_US, answered)
 
     def _decided(self, before: View, view: View) -> None:
         everyone = {m.address for m in (*before.members, *view.members)} - {self._replica.me.address}
         self._replica.adopt(view)
         for address in everyone:
-            self._environment.ask(address, ViewChange(view), VOTE_US, lambda m: None)
+            self._environment.ask(address, ViewChange(view), VOTE_TIMEOUT_US, lambda m: None)
 
     def _failed(self, view: View | None, ballot: Ballot) -> None:
-        self._round = max(self._round, ballot[0])
+        self._round = max(self._round, ballot.number)
         proposal, self._proposal = self._proposal, None
         if view is not None:
             self._replica.adopt(view)
         elif proposal is not None:
             # Two that propose at once: each waits for its place anew.
-            self._wish_at = self._environment.now() + STAND_IN_US
+            self._wish_at = self._environment.now() + PROPOSER_DELAY_US
 
     def _over(self, proposal: Proposal) -> None:
         if self._proposal is proposal and not proposal.over:
--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -26,9 +26,9 @@
 
 from .chain import Chain
 from .environment import Environment, Save
-from .fencing import Fence
 from .followers import Followers
 from .frontend import Frontend
+from .lease_manager import LeaseManager
 from .membership import Membership
 from .paxos import AcceptorState
 from .replica import NO_VIEW, Replica
@@ -54,22 +54,22 @@
         """`stranger`: the incarnation for a disk that is empty now; `fresh`: at the very first start of all."""
         self.replica = replica = recall(environment, address, seeds, fresh, stranger, items, facts)
         self.chain = chain = Chain(replica)
-        self.fence = fence = Fence(replica)
-        self.membership = membership = Membership(replica, chain, fence, seeds)
+        self.lease_manager = lease_manager = LeaseManager(replica)
+        self.membership = membership = Membership(replica, chain, lease_manager, seeds)
         membership.lost_machines, membership.lost_places = lost_machines, lost_places
         self.frontend = frontend = Frontend(replica, chain)
         followers = Followers(replica, chain, membership)
         self.handlers: dict[type, Callable[[Any, Callable[[Message], None]], None]] = {
-            Heartbeat: membership.hello,
-            ViewChange: membership.agreed,
+            Heartbeat: membership.handle_heartbeat,
+            ViewChange: membership.handle_view_change,
             SummaryRequest: chain.handle_summary_request,
             Replicate: chain.handle_replicate,
             Patch: frontend.patch,
             Read: frontend.read,
             Follow: followers.follow,
             Confirm: frontend.confirm,
-            Prepare: fence.prepare,
-            Accept: fence.accept,
+            Prepare: lease_manager.prepare,
+            Accept: lease_manager.accept,
         }
 
     def start(self) -> None:
--- a/lilacsill/mesh/store/paxos.py
+++ b/lilacsill/mesh/store/paxos.py
@@ -12,67 +12,71 @@
 
 import msgspec
 
-from lilacsill.mesh.runtime.messages import Accept, Accepted, Member, Message, Prepare, Promise, View
+from lilacsill.mesh.runtime.messages import Accept, Accepted, Ballot, Member, Message, Prepare, Promise, View
 
-Ballot = tuple[int, str]
-NONE: Ballot = (0, "")
+NO_BALLOT = Ballot(0, "")
+"""Lower than every ballot of a proposal."""
 
 
 class AcceptorState(msgspec.Struct, array_like=True):
     """What an acceptor must not forget."""
 
     number: int = 0  # of the view that it is about
-    promised: Ballot = NONE
+    promised: Ballot = NO_BALLOT
     accepted_ballot: Ballot | None = None
-    accepted: View | None = None
+    accepted_view: View | None = None
 
 
-class Keeper(Protocol):
-    def keep(self, name: str, value: bytes, done: Callable[[], None]) -> None:
+class StableStorage(Protocol):
+    def persist(self, name: str, value: bytes, done: Callable[[], None]) -> None:
         """On disk before `done`."""
 
 
 class Acceptor:
     """One member's voice."""
 
-    def __init__(self, me: Member, acceptor_state: AcceptorState, keeper: Keeper) -> None:
-        self.me, self.acceptor_state, self._keeper = me, acceptor_state, keeper
+    def __init__(self, me: Member, acceptor_state: AcceptorState, storage: StableStorage) -> None:
+        self.me, self.state, self._storage = me, acceptor_state, storage
 
-    def blocked(self, view: View) -> bool:
+    def has_accepted_next(self, view: View) -> bool:
         """It has accepted a next view: whether that stands it does not know, and no read may rest on it."""
-        return self.acceptor_state.number == view.number + 1 and self.acceptor_state.accepted is not None
+        return self.state.number == view.number + 1 and self.state.accepted_view is not None
 
     def promised(self, view: View) -> Ballot:
         """The highest ballot promised for the next view."""
-        return self.acceptor_state.promised if self.acceptor_state.number == view.number + 1 else NONE
+        return self.state.promised if self.state.number == view.number + 1 else NO_BALLOT
 
-    def _of(self, number: int) -> AcceptorState:
-        if self.acceptor_state.number != number:
-            self.acceptor_state = AcceptorState(number)
-        return self.acceptor_state
+    def _state_of(self, number: int) -> AcceptorState:
+        if self.state.number != number:
+            self.state = AcceptorState(number)
+        return self.state
 
     def prepare(self, view: View, m: Prepare, reply: Callable[[Message], None]) -> None:
         if m.to != self.me or self.me not in view.members or m.view_number != view.number + 1:
-            return reply(Promise(False, NONE, None, None, view))
-        acceptor_state = self._of(m.view_number)
+            return reply(Promise(False, NO_BALLOT, None, None, view))
+        acceptor_state = self._state_of(m.view_number)
         if m.ballot <= acceptor_state.promised:
             return reply(Promise(False, acceptor_state.promised, None, None, view))
         acceptor_state.promised = m.ballot
-        answer = Promise(True, m.ballot, acceptor_state.accepted_ballot, acceptor_state.accepted, view)
-        self._keep(lambda: reply(answer))
+        answer = Promise(True, m.ballot, acceptor_state.accepted_ballot, acceptor_state.accepted_view, view)
+        self._persist(lambda: reply(answer))
 
     def accept(self, view: View, m: Accept, reply: Callable[[Message], None]) -> None:
         if m.to != self.me or self.me not in view.members or m.view.number != view.number + 1:
-            return reply(Accepted(False, NONE, view))
-        acceptor_state = self._of(m.view.number)
+            return reply(Accepted(False, NO_BALLOT, view))
+        acceptor_state = self._state_of(m.view.number)
         if m.ballot < acceptor_state.promised:
             return reply(Accepted(False, acceptor_state.promised, view))
-        acceptor_state.promised, acceptor_state.accepted_ballot, acceptor_state.accepted = m.ballot, m.ballot, m.view
+        acceptor_state.promised, acceptor_state.accepted_ballot, acceptor_state.accepted_view = (
+            m.ballot,
+            m.ballot,
+            m.view,
+        )
         answer = Accepted(True, m.ballot, view)
-        self._keep(lambda: reply(answer))
+        self._persist(lambda: reply(answer))
 
-    def _keep(self, done: Callable[[], None]) -> None:
-        self._keeper.keep("accord", msgspec.msgpack.encode(self.acceptor_state), done)
+    def _persist(self, done: Callable[[], None]) -> None:
+        self._storage.persist("accord", msgspec.msgpack.encode(self.state), done)
 
 
 @dataclass(slots=True)
@@ -90,7 +94,7 @@
     def __init__(self, view: View, wanted: View, ballot: Ballot, ways: ProposalCallbacks) -> None:
         assert wanted.number == view.number + 1 and wanted.members
         self._view, self._value, self._ballot, self._ways = view, wanted, ballot, ways
-        self._best: Ballot = NONE
+        self._best: Ballot = NO_BALLOT
         self._yes = self._no = 0
         self._second = self.over = False
         self._beyond = ballot
@@ -107,7 +111,7 @@
             return
         if not isinstance(m, Promise) or not m.ok:
             return self._refused(
-                m.view if isinstance(m, Promise) else None, m.ballot if isinstance(m, Promise) else NONE
+                m.view if isinstance(m, Promise) else None, m.ballot if isinstance(m, Promise) else NO_BALLOT
             )
         if m.accepted_view is not None and m.accepted_ballot is not None and m.accepted_ballot > self._best:
             self._best, self._value = m.accepted_ballot, m.accepted_view  # it may stand already
@@ -122,7 +126,7 @@
             return
         if not isinstance(m, Accepted) or not m.ok:
             return self._refused(
-                m.view if isinstance(m, Accepted) else None, m.ballot if isinstance(m, Accepted) else NONE
+                m.view if isinstance(m, Accepted) else None, m.ballot if isinstance(m, Accepted) else NO_BALLOT
             )
         self._yes += 1
         if self._yes == self._majority():
--- a/lilacsill/mesh/store/recent_refusals.py
+++ b/lilacsill/mesh/store/recent_refusals.py
@@ -9,8 +9,8 @@
 
 from xxhash import xxh3_64_intdigest
 
-REMEMBERED_US = 2_500_000  # two relays may wait 0.85 s each, and a connection gives up after 1.5 s
-MOST_CALLS = 256
+RETENTION_US = 2_500_000  # two relays may wait 0.85 s each, and a connection gives up after 1.5 s
+MAX_CALLS = 256
 
 
 class RecentRefusals:
@@ -23,9 +23,9 @@
         digest = xxh3_64_intdigest(call)
         self._refused_at.pop(digest, None)
         self._refused_at[digest] = now
-        if len(self._refused_at) > MOST_CALLS:
+        if len(self._refused_at) > MAX_CALLS:
             del self._refused_at[next(iter(self._refused_at))]
 
     def includes(self, call: bytes, now: int) -> bool:
         refused_at = self._refused_at.get(xxh3_64_intdigest(call))
-        return refused_at is not None and now - refused_at < REMEMBERED_US
+        return refused_at is not None and now - refused_at < RETENTION_US
--- a/lilacsill/mesh/store/reconfiguration.py
+++ b/lilacsill/mesh/store/reconfiguration.py
@@ -17,7 +17,7 @@
 - a majority of the present members, suspended ones too, is alive, or no step is decided;
 - the head is a machine of the present chain that is whole: it has all that was acknowledged. A learner, even a synced
   one, is never the head of the view that takes it in: the last calls may have been acknowledged without it;
-- a member that can still serve goes only when enough whole copies stand without it (`_may_go`);
+- a member that can still serve goes only when enough whole copies stand without it (`_can_leave`);
 - a learner joins behind all others, and is compared again with the one before it before a call counts as on its disk.
 """
 
@@ -30,37 +30,39 @@
 from lilacsill.mesh.runtime.messages import Departure, Member, View
 
 
-class Machine(msgspec.Struct, frozen=True):
+class MachineState(msgspec.Struct, frozen=True):
     """What is known of one machine, with this disk."""
 
     member: Member
     alive: bool
-    whole: bool | None  # a member: it has all that was acknowledged; another: filled in this view; None: not heard yet
+    complete: (
+        bool | None
+    )  # a member: it has all that was acknowledged; another: filled in this view; None: not heard yet
     departure: Departure = Departure.NONE
     disk_lost: bool = False
 
 
-class Situation(msgspec.Struct, frozen=True):
+class ClusterState(msgspec.Struct, frozen=True):
     """What one member knows."""
 
     view: View
-    machines: Sequence[Machine]  # members in their order, then all others
-    fewest: int  # whole copies that must stand: one more than may be lost at once
-    full: int  # members at full strength
-    known: int  # machines that there are, as far as is known, also those that are down
+    machines: Sequence[MachineState]  # members in their order, then all others
+    min_copies: int  # whole copies that must stand: one more than may be lost at once
+    target_size: int  # members at full strength
+    known_machines: int  # machines that there are, as far as is known, also those that are down
 
     @property
-    def voters(self) -> list[Machine]:
+    def voters(self) -> list[MachineState]:
         return list(self.machines[: len(self.view.members)])
 
     @property
-    def chain(self) -> list[Machine]:
+    def chain(self) -> list[MachineState]:
         """Those of it that are alive."""
         chain = self.view.chain
         return [m for m in self.machines if m.alive and m.member in chain]
 
     @property
-    def learners(self) -> list[Machine]:
+    def learners(self) -> list[MachineState]:
         """Those that may join the chain; suspended ones first."""
         chain = self.view.chain
         return [m for m in self.machines if m.member not in chain and m.alive and not m.departure]
@@ -70,95 +72,95 @@
         return sum(m.alive for m in self.voters) >= self.view.majority
 
 
-def next_view(situation: Situation) -> View | None:
+def next_view(cluster: ClusterState) -> View | None:
     """None: the present view is right, or nothing can be done."""
-    if not situation.majority_alive:
+    if not cluster.majority_alive:
         return None
-    staying = _whole_first(_without_those_that_may_go(situation))
+    staying = _complete_first(_without_leavers(cluster))
     if not staying:
         return None
-    chain = [*staying, *_joining(situation, staying)]
-    if {m.member for m in chain} == set(situation.view.chain) and not _head_cannot_serve(situation.chain[0], chain[0]):
+    chain = [*staying, *_joining(cluster, staying)]
+    if {m.member for m in chain} == set(cluster.view.chain) and not _is_head_incomplete(cluster.chain[0], chain[0]):
         return None  # another order alone is no reason
-    suspended = _suspended(situation, chain)
+    suspended = _suspended(cluster, chain)
     members = tuple(m.member for m in (*chain, *suspended))
-    return View(situation.view.number + 1, members, len(suspended))
+    return View(cluster.view.number + 1, members, len(suspended))
 
 
-def _suspended(situation: Situation, chain: list[Machine]) -> list[Machine]:
+def _suspended(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
     """Those that keep a vote without a place in the chain, the living first; a new machine takes a vote from one."""
-    kept = [m for m in situation.voters if m not in chain and not m.disk_lost]
+    kept = [m for m in cluster.voters if m not in chain and not m.disk_lost]
     kept = [m for m in kept if m.departure in (Departure.NONE, Departure.DISK_STALLED)]
-    free = max(situation.full, len(situation.view.members)) - len(chain)
+    free = max(cluster.target_size, len(cluster.view.members)) - len(chain)
     return sorted(kept, key=lambda m: not m.alive)[: max(0, free)]
 
 
-def _without_those_that_may_go(situation: Situation) -> list[Machine]:
-    staying = situation.chain
+def _without_leavers(cluster: ClusterState) -> list[MachineState]:
+    staying = cluster.chain
     # Whoever ends first is first asked whether the others can do without it.
     for leaver in sorted((m for m in staying if m.departure), key=lambda m: -m.departure):
         rest = [m for m in staying if m is not leaver]
-        if _may_go(situation, leaver, rest):
+        if _can_leave(cluster, leaver, rest):
             staying = rest
     return staying
 
 
-def _may_go(situation: Situation, leaver: Machine, rest: list[Machine]) -> bool:
-    """Enough whole copies stand without it: `fewest`, or as many as there are machines.
+def _can_leave(cluster: ClusterState, leaver: MachineState, rest: list[MachineState]) -> bool:
+    """Enough whole copies stand without it: `min_copies`, or as many as there are machines.
 
     One that is about to end goes if there is one copy: as a member it would only be missed by the next majority.
     """
     lasting = [m for m in rest if not m.departure]
-    copies = [m for m in lasting if m.whole]
+    copies = [m for m in lasting if m.complete]
     if not copies:
         return False  # nobody could be the head
     if leaver.departure is Departure.IMMEDIATE:
         return True
-    joining = _joining(situation, rest)
-    if leaver.departure is Departure.PLANNED and _successor_is_coming(situation, len(lasting) + len(joining), joining):
+    joining = _joining(cluster, rest)
+    if leaver.departure is Departure.PLANNED and _is_successor_syncing(cluster, len(lasting) + len(joining), joining):
         return False
-    return len(copies) + len(joining) >= min(situation.fewest, situation.known - 1)
+    return len(copies) + len(joining) >= min(cluster.min_copies, cluster.known_machines - 1)
 
 
-def _successor_is_coming(situation: Situation, members: int, joining: list[Machine]) -> bool:
+def _is_successor_syncing(cluster: ClusterState, members: int, joining: list[MachineState]) -> bool:
     """Waited for, so that the next view is no smaller than this one, and a second loss leaves a majority of it."""
-    return members < situation.full and len(joining) < len(situation.learners)
+    return members < cluster.target_size and len(joining) < len(cluster.learners)
 
 
-def _joining(situation: Situation, chain: list[Machine]) -> list[Machine]:
+def _joining(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
     """Synced learners, for the places that are free or will be."""
-    free = situation.full - sum(not m.departure for m in chain)
-    return [m for m in situation.learners if m.whole][: max(0, free)]
+    free = cluster.target_size - sum(not m.departure for m in chain)
+    return [m for m in cluster.learners if m.complete][: max(0, free)]
 
 
-def _whole_first(chain: list[Machine]) -> list[Machine]:
+def _complete_first(chain: list[MachineState]) -> list[MachineState]:
     """The order is kept, but the head must have all of the state. Empty: nobody has."""
-    first = next((m for m in chain if m.whole), None)
+    first = next((m for m in chain if m.complete), None)
     if first is None:
         return []
     return [first, *(m for m in chain if m is not first)]
 
 
-def _head_cannot_serve(present: Machine, chosen: Machine) -> bool:
+def _is_head_incomplete(present: MachineState, chosen: MachineState) -> bool:
     """It says itself that it is not whole, as after a loss of the member that was filling it."""
-    return present.whole is False and chosen is not present
+    return present.complete is False and chosen is not present
 
 
-def to_fill(situation: Situation, spares: int) -> list[Machine]:
+def learners_to_sync(cluster: ClusterState, spares: int) -> list[MachineState]:
     """Learners that the tail keeps filled: for the free places, and so many more that stand by as successors."""
-    free = situation.full - sum(not m.departure for m in situation.chain)
-    return situation.learners[: max(0, free) + spares]
+    free = cluster.target_size - sum(not m.departure for m in cluster.chain)
+    return cluster.learners[: max(0, free) + spares]
 
 
-def why_it_stays(situation: Situation, member: Member) -> str:
+def departure_blocker(cluster: ClusterState, member: Member) -> str:
     """For operators: what a member that wants to go still waits for."""
-    if member not in situation.view.chain:
+    if member not in cluster.view.chain:
         return "left out of the chain"
-    if not situation.majority_alive:
-        return f"no majority of {len(situation.view.members)} members answers, to agree on a view without it"
-    rest = [m for m in situation.chain if m.member != member]
-    copies = [m for m in rest if m.whole and not m.departure]
-    ready = _joining(situation, rest)
-    wanted = min(situation.fewest, situation.known - 1)
+    if not cluster.majority_alive:
+        return f"no majority of {len(cluster.view.members)} members answers, to agree on a view without it"
+    rest = [m for m in cluster.chain if m.member != member]
+    copies = [m for m in rest if m.complete and not m.departure]
+    ready = _joining(cluster, rest)
+    wanted = min(cluster.min_copies, cluster.known_machines - 1)
     filled = f"{len(copies) + len(ready)} whole copies without it, {wanted} wanted"
-    return f"{filled}; {len(situation.learners) - len(ready)} learners being filled"
+    return f"{filled}; {len(cluster.learners) - len(ready)} learners being filled"
--- a/lilacsill/mesh/store/replica.py
+++ b/lilacsill/mesh/store/replica.py
@@ -80,7 +80,7 @@
 
     @property
     def view_pending(self) -> bool:
-        return self.acceptor.blocked(self.view)
+        return self.acceptor.has_accepted_next(self.view)
 
     # The disk
 
@@ -90,7 +90,7 @@
         self.complete = False
         self.environment.save(Save(facts=self.view_facts()), lambda: None)
 
-    def keep(self, name: str, value: bytes, done: Callable[[], None]) -> None:
+    def persist(self, name: str, value: bytes, done: Callable[[], None]) -> None:
         self.environment.save(Save(facts={name: value}), done)
 
     # Views
--- a/lilacsill/mesh/store/route_index.py
+++ b/lilacsill/mesh/store/route_index.py
@@ -8,7 +8,7 @@
 
 ROUTE, SERVICE, LIMITS = "route", "service", "limits"
 
-Place = tuple[str, str]  # host in lower case, prefix
+RouteMatch = tuple[str, str]  # host in lower case, prefix
 
 
 class _Share(msgspec.Struct):
@@ -37,7 +37,7 @@
 class RouteReferences(msgspec.Struct, frozen=True):
     """What a route that stands refers to."""
 
-    place: Place
+    place: RouteMatch
     services: frozenset[str]
 
 
@@ -60,13 +60,13 @@
     """Of the routes that stand in one state; of two that claim one place within a batch, the later change counts."""
 
     def __init__(self) -> None:
-        self._places: dict[Place, str] = {}
+        self._places: dict[RouteMatch, str] = {}
         self._uses: dict[str, int] = {}
 
-    def route_at(self, place: Place) -> str | None:
+    def route_at(self, place: RouteMatch) -> str | None:
         return self._places.get(place)
 
-    def uses(self, service: str) -> int:
+    def reference_count(self, service: str) -> int:
         return self._uses.get(service, 0)
 
     def replace(self, held: Item | None, item: Item) -> None:
@@ -77,7 +77,7 @@
             return
         self._places[references.place] = item.name
         for service in references.services:
-            self._uses[service] = self.uses(service) + 1
+            self._uses[service] = self.reference_count(service) + 1
 
     def _release(self, held: Item | None) -> None:
         references = references_of(held)
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -18,7 +18,7 @@
 from lilacsill.mesh.runtime.sequence import Items, Key, dropped_first, in_order, later_than, newest
 
 from .digests import RANGE_COUNT, checksum_of, digest_of, range_of
-from .route_index import LIMITS, ROUTE, SERVICE, Place, RouteIndex
+from .route_index import LIMITS, ROUTE, SERVICE, RouteIndex, RouteMatch
 
 ITEM = 100  # bytes of an item beyond its body and its record, on disk and in a message
 TOMBSTONES = 4096  # kept; an older change of a name that was dropped before so many others would be taken as new
@@ -167,12 +167,12 @@
     def item(self, kind: str, name: str) -> Item | None:
         return self.items.get((kind, name))
 
-    def route_at(self, place: Place) -> str | None:
+    def route_at(self, place: RouteMatch) -> str | None:
         return self._routes().route_at(place)
 
-    def uses(self, service: str) -> int:
+    def reference_count(self, service: str) -> int:
         """How many routes that stand name it."""
-        return self._routes().uses(service)
+        return self._routes().reference_count(service)
 
     def _routes(self) -> RouteIndex:
         if self._index is None:
--- a/lilacsill/mesh/store/validation.py
+++ b/lilacsill/mesh/store/validation.py
@@ -15,7 +15,7 @@
 
 from lilacsill.mesh.runtime.messages import Item
 
-from .accepted_changes import Verdict, noted, succeeded, verdict_of
+from .accepted_changes import ChangeKind, classify_change, with_new_version, with_recorded_version
 from .draft import Base, Draft
 from .route_index import LIMITS, ROUTE, SERVICE
 
@@ -170,7 +170,7 @@
     return f"{'.'.join(place)}: {errors}"
 
 
-def is_good(outcome: Result[Any, Any]) -> bool:
+def is_success(outcome: Result[Any, Any]) -> bool:
     """Whether it is no Failure."""
     return isinstance(outcome, Success)
 
@@ -179,7 +179,7 @@
     return int(tag[1:])
 
 
-def read(body: bytes) -> Result[Call, str]:
+def parse_call(body: bytes) -> Result[Call, str]:
     """The form of a call. Failure: why it cannot be read in full."""
     try:
         raw = msgspec.json.decode(body)
@@ -237,20 +237,20 @@
     return [then["TargetService"]] if "TargetService" in then else [p["TargetService"] for p in then["TrafficSplit"]]
 
 
-def against(base: Base, call: Call) -> Result[Draft, Rejection]:
+def apply_call(base: Base, call: Call) -> Result[Draft, Rejection]:
     """The base with what the call changes; all of it or, as a Failure, nothing. Costs as much as the call is long."""
     draft = Draft(base)
     newer: Call = []
     overtaken: Call = []
     for change in call:
-        verdict = verdict_of(base.item(change.kind, change.name), change.version, change.body)
-        if verdict is Verdict.CONFLICT:
+        verdict = classify_change(base.item(change.kind, change.name), change.version, change.body)
+        if verdict is ChangeKind.CONFLICT:
             return Failure(Rejection(f"{_named(change)} was accepted with another content", CONFLICT))
-        if verdict is Verdict.FORGOTTEN:
+        if verdict is ChangeKind.FORGOTTEN:
             return Failure(Rejection(f"{_named(change)} is too old to tell if it was accepted", UNKNOWN_OUTCOME))
-        if verdict is Verdict.NEWER:
+        if verdict is ChangeKind.NEWER:
             newer.append(change)
-        elif verdict is Verdict.OVERTAKEN:
+        elif verdict is ChangeKind.SUPERSEDED:
             overtaken.append(change)
     wrong = _put(draft, newer) or _overtaken_is_wrong(base, draft, overtaken)
     if wrong:
@@ -259,7 +259,7 @@
     for change in overtaken:
         held = base.item(change.kind, change.name)
         assert held is not None
-        draft.put([noted(held, change.version, change.body, draft.seq + 1)])
+        draft.put([with_recorded_version(held, change.version, change.body, draft.seq + 1)])
     return Success(draft)
 
 
@@ -277,7 +277,7 @@
     for seq, change in enumerate(newer, draft.seq + 1):
         body = None if change.body is None else msgspec.json.encode(change.body)
         held = draft.item(change.kind, change.name)
-        items.append(succeeded(held, change.kind, change.name, change.version, seq, body))
+        items.append(with_new_version(held, change.kind, change.name, change.version, seq, body))
     for other, name in draft.put(items):
         return f"routes {other} and {name} have the same host and prefix"
     for change in newer:
@@ -285,8 +285,8 @@
             for service in _targets(change.body):
                 if not _stands(draft.item(SERVICE, service)):
                     return f"route {change.name}: service {service} is not known"
-        if change.kind == SERVICE and change.body is None and draft.uses(change.name):
-            return f"service {change.name} is named by {draft.uses(change.name)} routes"
+        if change.kind == SERVICE and change.body is None and draft.reference_count(change.name):
+            return f"service {change.name} is named by {draft.reference_count(change.name)} routes"
     return ""
 
 
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -208,7 +208,7 @@
         """All the time: at whoever is awake and calls its configuration current."""
         self.time.after(LOOK_US, self.look)
         for address, store in self.stores.items():
-            if self._awake(address) and store.replica.is_tail and store.chain.synced and store.membership.sure():
+            if self._awake(address) and store.replica.is_tail and store.chain.synced and store.membership.holds_lease():
                 self._judge("store", address, store.replica.state.version("route", "r"))
         for ip, registry in self.registries.items():
             if self._awake(f"{ip}:0") and registry._sure:
--- a/tests/control/defects_point_1.py
+++ b/tests/control/defects_point_1.py
@@ -12,50 +12,50 @@
 from lilacsill.mesh.runtime import freshness
 from lilacsill.mesh.runtime.freshness import Evidence
 from lilacsill.mesh.runtime.messages import Accept, Freshness, HeartbeatReply, Message, Prepare
-from lilacsill.mesh.store.fencing import Fence
 from lilacsill.mesh.store.frontend import Frontend
-from lilacsill.mesh.store.leases import LEASE_US, GrantedLeases, HeldLeases
+from lilacsill.mesh.store.lease_manager import LeaseManager
+from lilacsill.mesh.store.leases import LEASE_US, LeaseGrantor, LeaseHolder
 
 Patch = pytest.MonkeyPatch
 Replier = Callable[[Message], None]
 
 
 def voters_do_not_wait_for_leases(patch: Patch) -> None:
-    def accept(self: Fence, m: Accept, reply: Replier) -> None:
+    def accept(self: LeaseManager, m: Accept, reply: Replier) -> None:
         self._replica.acceptor.accept(self._replica.view, m, reply)
 
-    patch.setattr(Fence, "accept", accept)
+    patch.setattr(LeaseManager, "accept", accept)
 
 
 def a_lease_is_counted_from_the_answer(patch: Patch) -> None:
-    def lease_granted(self: Fence, m: HeartbeatReply, asked_at: int) -> None:
+    def on_lease_granted(self: LeaseManager, m: HeartbeatReply, asked_at: int) -> None:
         real(self, m, self._environment.now())
 
-    real = Fence.lease_granted
-    patch.setattr(Fence, "lease_granted", lease_granted)
+    real = LeaseManager.on_lease_granted
+    patch.setattr(LeaseManager, "on_lease_granted", on_lease_granted)
 
 
 def a_lease_never_ends_for_its_holder(patch: Patch) -> None:
-    def left_us(self: HeldLeases, view: Any, me: Any, now: int) -> int:
+    def remaining_us(self: LeaseHolder, view: Any, me: Any, now: int) -> int:
         return LEASE_US if 2 * len(self._ends.keys() & {*view.members}) >= len(view.members) - 1 else 0
 
-    patch.setattr(HeldLeases, "left_us", left_us)
+    patch.setattr(LeaseHolder, "remaining_us", remaining_us)
 
 
 def one_lease_is_enough(patch: Patch) -> None:
-    def left_us(self: HeldLeases, view: Any, me: Any, now: int) -> int:
+    def remaining_us(self: LeaseHolder, view: Any, me: Any, now: int) -> int:
         return max((end - now for end in self._ends.values()), default=0)
 
-    patch.setattr(HeldLeases, "left_us", left_us)
+    patch.setattr(LeaseHolder, "remaining_us", remaining_us)
 
 
 def a_restarted_voter_forgets_its_grants(patch: Patch) -> None:
-    def init(self: GrantedLeases, started_at: int) -> None:
+    def init(self: LeaseGrantor, started_at: int) -> None:
         real(self, started_at)
         self._unknown_until = 0
 
-    real = GrantedLeases.__init__
-    patch.setattr(GrantedLeases, "__init__", init)
+    real = LeaseGrantor.__init__
+    patch.setattr(LeaseGrantor, "__init__", init)
 
 
 def the_old_rule_of_recent_answers(patch: Patch) -> None:
@@ -63,18 +63,18 @@
     voters_do_not_wait_for_leases(patch)
     a_lease_is_counted_from_the_answer(patch)
 
-    def prepare(self: Fence, m: Prepare, reply: Replier) -> None:
+    def prepare(self: LeaseManager, m: Prepare, reply: Replier) -> None:
         self._replica.acceptor.prepare(self._replica.view, m, reply)
 
-    patch.setattr(Fence, "prepare", prepare)
+    patch.setattr(LeaseManager, "prepare", prepare)
 
 
 def any_heartbeat_gives_up_a_lease(patch: Patch) -> None:
-    patch.setattr(GrantedLeases, "given_up", lambda self, holder, promised: self._grants.pop(holder, None))
+    patch.setattr(LeaseGrantor, "release", lambda self, holder, promised: self._grants.pop(holder, None))
 
 
 def a_holder_keeps_what_it_gave_up(patch: Patch) -> None:
-    patch.setattr(HeldLeases, "give_up", lambda self, now: None)
+    patch.setattr(LeaseHolder, "release_all", lambda self, now: None)
 
 
 def refusals_need_nobody(patch: Patch) -> None:
--- a/tests/control/defects_point_2.py
+++ b/tests/control/defects_point_2.py
@@ -11,7 +11,7 @@
 from lilacsill.mesh.runtime.messages import Item, Message, Replicate
 from lilacsill.mesh.simulation import network
 from lilacsill.mesh.store import accepted_changes, draft, frontend, route_index, validation
-from lilacsill.mesh.store.accepted_changes import AcceptedChanges, Verdict, for_followers
+from lilacsill.mesh.store.accepted_changes import ChangeKind, VersionHistory, without_history
 from lilacsill.mesh.store.chain import Chain
 from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.recent_refusals import RecentRefusals
@@ -20,44 +20,46 @@
 
 
 def a_version_that_is_not_higher_is_always_confirmed(patch: Patch) -> None:
-    def verdict_of(held: Item | None, version: int, content: Any) -> Verdict:
-        return Verdict.NEWER if held is None or version > held.version else Verdict.ACCEPTED
+    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
+        return ChangeKind.NEWER if held is None or version > held.version else ChangeKind.ACCEPTED
 
-    patch.setattr(validation, "verdict_of", verdict_of)
+    patch.setattr(validation, "classify_change", classify_change)
 
 
 def only_the_number_is_compared_below_the_newest(patch: Patch) -> None:
-    def verdict_of(held: Item | None, version: int, content: Any) -> Verdict:
+    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
         older = held is not None and version < held.version
-        return Verdict.ACCEPTED if older else real(held, version, content)
+        return ChangeKind.ACCEPTED if older else real(held, version, content)
 
-    real = accepted_changes.verdict_of
-    patch.setattr(validation, "verdict_of", verdict_of)
+    real = accepted_changes.classify_change
+    patch.setattr(validation, "classify_change", classify_change)
 
 
 def a_newer_version_clears_the_record(patch: Patch) -> None:
-    def succeeded(held: Item | None, kind: str, name: str, version: int, seq: int, body: bytes | None) -> Item:
+    def with_new_version(held: Item | None, kind: str, name: str, version: int, seq: int, body: bytes | None) -> Item:
         return Item(kind, name, version, seq, body)
 
-    patch.setattr(validation, "succeeded", succeeded)
+    patch.setattr(validation, "with_new_version", with_new_version)
 
 
 def overtaken_changes_are_not_noted(patch: Patch) -> None:
-    patch.setattr(validation, "noted", lambda held, version, content, seq: msgspec.structs.replace(held, seq=seq))
+    patch.setattr(
+        validation, "with_recorded_version", lambda held, version, content, seq: msgspec.structs.replace(held, seq=seq)
+    )
 
 
 def accepted_changes_are_checked_against_todays_state(patch: Patch) -> None:
-    def verdict_of(held: Item | None, version: int, content: Any) -> Verdict:
+    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
         verdict = real(held, version, content)
-        return Verdict.NEWER if verdict is Verdict.ACCEPTED else verdict
+        return ChangeKind.NEWER if verdict is ChangeKind.ACCEPTED else verdict
 
-    real = accepted_changes.verdict_of
-    patch.setattr(validation, "verdict_of", verdict_of)
+    real = accepted_changes.classify_change
+    patch.setattr(validation, "classify_change", classify_change)
 
 
 def records_stay_at_the_head(patch: Patch) -> None:
     def handle_replicate(self: Chain, m: Replicate, reply: Callable[[Message], None]) -> None:
-        real(self, msgspec.structs.replace(m, items=for_followers(m.items)), reply)
+        real(self, msgspec.structs.replace(m, items=without_history(m.items)), reply)
 
     real = Chain.handle_replicate
     patch.setattr(Chain, "handle_replicate", handle_replicate)
@@ -65,20 +67,20 @@
 
 def records_are_not_on_disk(patch: Patch) -> None:
     def write(self: network.Disk, save: Save) -> None:
-        real(self, Save(for_followers(list(save.items)), save.ranges, save.facts))
+        real(self, Save(without_history(list(save.items)), save.ranges, save.facts))
 
     real = network.Disk._write
     patch.setattr(network.Disk, "_write", write)
 
 
 def a_removal_is_no_content(patch: Patch) -> None:
-    def verdict_of(held: Item | None, version: int, content: Any) -> Verdict:
+    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
         verdict = real(held, version, content)
         removal = content is None or (held is not None and held.body is None)
-        return Verdict.ACCEPTED if removal and verdict is Verdict.CONFLICT else verdict
+        return ChangeKind.ACCEPTED if removal and verdict is ChangeKind.CONFLICT else verdict
 
-    real = accepted_changes.verdict_of
-    patch.setattr(validation, "verdict_of", verdict_of)
+    real = accepted_changes.classify_change
+    patch.setattr(validation, "classify_change", classify_change)
 
 
 def a_refusal_waits_for_nobody(patch: Patch) -> None:
@@ -97,16 +99,16 @@
 
 
 def forgotten_versions_are_confirmed(patch: Patch) -> None:
-    def verdict_of(held: Item | None, version: int, content: Any) -> Verdict:
+    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
         verdict = real(held, version, content)
-        return Verdict.OVERTAKEN if verdict is Verdict.FORGOTTEN else verdict
+        return ChangeKind.SUPERSEDED if verdict is ChangeKind.FORGOTTEN else verdict
 
-    real = accepted_changes.verdict_of
-    patch.setattr(validation, "verdict_of", verdict_of)
+    real = accepted_changes.classify_change
+    patch.setattr(validation, "classify_change", classify_change)
 
 
 def the_record_keeps_too_few_versions(patch: Patch) -> None:
-    patch.setattr(accepted_changes, "MOST_VERSIONS", 1)
+    patch.setattr(accepted_changes, "MAX_VERSIONS", 1)
 
 
 def a_place_is_never_free_again(patch: Patch) -> None:
@@ -115,14 +117,14 @@
 
 
 def what_uses_a_service_is_not_counted(patch: Patch) -> None:
-    patch.setattr(draft.Draft, "uses", lambda self, service: 0)
+    patch.setattr(draft.Draft, "reference_count", lambda self, service: 0)
 
 
 def records_grow_for_ever(patch: Patch) -> None:
-    def add(self: AcceptedChanges, version: int, digest: int) -> None:
+    def add(self: VersionHistory, version: int, digest: int) -> None:
         self.digests[version] = digest
 
-    patch.setattr(AcceptedChanges, "add", add)
+    patch.setattr(VersionHistory, "add", add)
 
 
 DEFECTS = [
--- a/tests/control/defects_point_3.py
+++ b/tests/control/defects_point_3.py
@@ -9,25 +9,25 @@
 from lilacsill.mesh.store import leaving, reconfiguration
 from lilacsill.mesh.store.chain import Chain
 from lilacsill.mesh.store.membership import Membership
-from lilacsill.mesh.store.reconfiguration import Machine, Situation
+from lilacsill.mesh.store.reconfiguration import ClusterState, MachineState
 from lilacsill.mesh.store.replica import Replica
 
 Patch = pytest.MonkeyPatch
 
 
 def learners_join_before_they_are_filled(patch: Patch) -> None:
-    def joining(situation: Situation, chain: list[Machine]) -> list[Machine]:
-        return situation.learners[: max(0, situation.full - sum(not m.departure for m in chain))]
+    def joining(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
+        return cluster.learners[: max(0, cluster.target_size - sum(not m.departure for m in chain))]
 
     patch.setattr(reconfiguration, "_joining", joining)
 
 
 def a_learner_may_be_the_head(patch: Patch) -> None:
-    def next_view(situation: Situation) -> View | None:
-        view = real(situation)
+    def next_view(cluster: ClusterState) -> View | None:
+        view = real(cluster)
         if view is None:
             return None
-        learners = [m for m in view.chain if m not in situation.view.chain]
+        learners = [m for m in view.chain if m not in cluster.view.chain]
         return View(view.number, (*learners, *(m for m in view.members if m not in learners)), view.suspended)
 
     real = reconfiguration.next_view
@@ -35,41 +35,41 @@
 
 
 def a_leaver_goes_whatever_stands_without_it(patch: Patch) -> None:
-    def may_go(situation: Situation, leaver: Machine, rest: list[Machine]) -> bool:
+    def may_go(cluster: ClusterState, leaver: MachineState, rest: list[MachineState]) -> bool:
         return bool(rest)
 
-    patch.setattr(reconfiguration, "_may_go", may_go)
+    patch.setattr(reconfiguration, "_can_leave", may_go)
 
 
 def one_copy_is_enough(patch: Patch) -> None:
-    def may_go(situation: Situation, leaver: Machine, rest: list[Machine]) -> bool:
-        return real(replace(situation, fewest=1), leaver, rest)
+    def may_go(cluster: ClusterState, leaver: MachineState, rest: list[MachineState]) -> bool:
+        return real(replace(cluster, min_copies=1), leaver, rest)
 
-    real = reconfiguration._may_go
-    patch.setattr(reconfiguration, "_may_go", may_go)
+    real = reconfiguration._can_leave
+    patch.setattr(reconfiguration, "_can_leave", may_go)
 
 
 def members_that_want_to_go_are_counted_on(patch: Patch) -> None:
-    def may_go(situation: Situation, leaver: Machine, rest: list[Machine]) -> bool:
-        return len([m for m in rest if m.whole]) >= min(situation.fewest, situation.known - 1)
+    def may_go(cluster: ClusterState, leaver: MachineState, rest: list[MachineState]) -> bool:
+        return len([m for m in rest if m.complete]) >= min(cluster.min_copies, cluster.known_machines - 1)
 
-    patch.setattr(reconfiguration, "_may_go", may_go)
+    patch.setattr(reconfiguration, "_can_leave", may_go)
 
 
 def a_minority_decides(patch: Patch) -> None:
-    patch.setattr(Situation, "majority_alive", property(lambda self: any(m.alive for m in self.voters)))
+    patch.setattr(ClusterState, "majority_alive", property(lambda self: any(m.alive for m in self.voters)))
 
 
 def a_lost_disk_keeps_its_vote(patch: Patch) -> None:
-    def suspended(situation: Situation, chain: list[Machine]) -> list[Machine]:
-        return real(replace(situation, machines=[replace(m, disk_lost=False) for m in situation.machines]), chain)
+    def suspended(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
+        return real(replace(cluster, machines=[replace(m, disk_lost=False) for m in cluster.machines]), chain)
 
     real = reconfiguration._suspended
     patch.setattr(reconfiguration, "_suspended", suspended)
 
 
 def who_is_suspended_loses_its_vote(patch: Patch) -> None:
-    patch.setattr(reconfiguration, "_suspended", lambda situation, chain: [])
+    patch.setattr(reconfiguration, "_suspended", lambda cluster, chain: [])
 
 
 def the_tail_waits_for_its_learner(patch: Patch) -> None:
@@ -83,17 +83,17 @@
 
 
 def a_process_ends_at_once(patch: Patch) -> None:
-    patch.setattr(Membership, "can_be_missed", lambda self: True)
+    patch.setattr(Membership, "is_dispensable", lambda self: True)
 
 
 def a_process_ends_before_the_others_know(patch: Patch) -> None:
-    patch.setattr(Membership, "can_be_missed", lambda self: not self._replica.in_chain)
+    patch.setattr(Membership, "is_dispensable", lambda self: not self._replica.in_chain)
     patch.setattr(leaving, "LINGER_US", 0)
     patch.setattr(leaving, "LOOK_US", 1)
 
 
 def a_head_that_is_not_whole_stays(patch: Patch) -> None:
-    patch.setattr(reconfiguration, "_head_cannot_serve", lambda present, chosen: False)
+    patch.setattr(reconfiguration, "_is_head_incomplete", lambda present, chosen: False)
 
 
 def a_learner_counts_as_whole_where_it_joins(patch: Patch) -> None:
--- a/tests/control/long_days_scene.py
+++ b/tests/control/long_days_scene.py
@@ -59,7 +59,7 @@
         """At every millisecond: who may give out numbers has all that was acknowledged."""
         for address in self.fleet.up():
             store = self.fleet.stores.get(address)
-            if store is None or not store.chain.may_append or not store.membership.sure():
+            if store is None or not store.chain.may_append or not store.membership.holds_lease():
                 continue
             as_of = (store.replica.state.seq, self.acks)
             if self._judged.get(address) != as_of and self.lacking(store.replica.state):
--- a/tests/control/test_point_1_leases.py
+++ b/tests/control/test_point_1_leases.py
@@ -11,12 +11,12 @@
 import pytest
 
 from lilacsill.mesh.runtime.freshness import DRIFT, Evidence, dated, told
-from lilacsill.mesh.runtime.messages import Departure, Freshness, Member, View
+from lilacsill.mesh.runtime.messages import Ballot, Departure, Freshness, Member, View
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.store_fleet import Operator, RuleBroken, put, route
-from lilacsill.mesh.store.leases import LEASE_US, GrantedLeases, HeldLeases
-from lilacsill.mesh.store.membership import SUSPECT_US
-from lilacsill.mesh.store.paxos import NONE
+from lilacsill.mesh.store.leases import LEASE_US, LeaseGrantor, LeaseHolder
+from lilacsill.mesh.store.membership import SUSPECT_AFTER_US
+from lilacsill.mesh.store.paxos import NO_BALLOT
 
 from .control_plane import CALL_US, ControlPlane
 from .defects_point_1 import DEFECTS
@@ -262,29 +262,29 @@
 
 def test_a_lease_ends_for_its_holder_before_it_ends_for_the_voter() -> None:
     me, voter = Member("a", "first"), Member("b", "first")
-    granted, held = GrantedLeases(-S), HeldLeases()
-    held.granted(voter, granted.grant(me, NONE, 1_000), 0)
+    granted, held = LeaseGrantor(-S), LeaseHolder()
+    held.add(voter, granted.grant(me, NO_BALLOT, 1_000), 0)
     view = View(0, (me, voter))
-    assert held.left_us(view, me, LEASE_US - LEASE_US // DRIFT - 1) == 1
-    assert held.left_us(view, me, LEASE_US - LEASE_US // DRIFT) == 0
-    assert granted.bound_for_us(LEASE_US) == 1_000 and granted.bound_for_us(LEASE_US + 1_000) == 0
-    assert LEASE_US + LEASE_US // DRIFT < SUSPECT_US  # a dead holder delays no repair
-    granted.pause(LEASE_US)
-    assert granted.grant(me, NONE, LEASE_US + 1) == 0 and granted.grant(me, NONE, 2 * LEASE_US) == LEASE_US
+    assert held.remaining_us(view, me, LEASE_US - LEASE_US // DRIFT - 1) == 1
+    assert held.remaining_us(view, me, LEASE_US - LEASE_US // DRIFT) == 0
+    assert granted.blocked_for_us(LEASE_US) == 1_000 and granted.blocked_for_us(LEASE_US + 1_000) == 0
+    assert LEASE_US + LEASE_US // DRIFT < SUSPECT_AFTER_US  # a dead holder delays no repair
+    granted.suspend_grants(LEASE_US)
+    assert granted.grant(me, NO_BALLOT, LEASE_US + 1) == 0 and granted.grant(me, NO_BALLOT, 2 * LEASE_US) == LEASE_US
 
 
 def test_a_lease_that_was_given_up_binds_nobody_and_a_newer_one_stays() -> None:
-    me, voter, ballot = Member("a", "first"), Member("b", "first"), (1, "b")
-    granted, held = GrantedLeases(-S), HeldLeases()
-    granted.grant(me, NONE, 0)
-    held.give_up(5)
-    held.granted(voter, LEASE_US, 5)  # the answer to a question from before
-    assert held.left_us(View(0, (me, voter)), me, 6) == 0
-    granted.given_up(me, ballot)
-    assert granted.bound_for_us(1) == 0
+    me, voter, ballot = Member("a", "first"), Member("b", "first"), Ballot(1, "b")
+    granted, held = LeaseGrantor(-S), LeaseHolder()
+    granted.grant(me, NO_BALLOT, 0)
+    held.release_all(5)
+    held.add(voter, LEASE_US, 5)  # the answer to a question from before
+    assert held.remaining_us(View(0, (me, voter)), me, 6) == 0
+    granted.release(me, ballot)
+    assert granted.blocked_for_us(1) == 0
     granted.grant(me, ballot, 10)  # asked for after the promise
-    granted.given_up(me, ballot)  # a heartbeat that came late
-    assert granted.bound_for_us(10) == LEASE_US
+    granted.release(me, ballot)  # a heartbeat that came late
+    assert granted.blocked_for_us(10) == LEASE_US
 
 
 def test_a_statement_ages_in_flight_and_not_while_it_was_held_for_news() -> None:
--- a/tests/control/test_point_2_orders.py
+++ b/tests/control/test_point_2_orders.py
@@ -27,7 +27,7 @@
 )
 from lilacsill.mesh.simulation.store_fleet import RuleBroken, put, route
 from lilacsill.mesh.store import validation
-from lilacsill.mesh.store.accepted_changes import MOST_VERSIONS, for_followers
+from lilacsill.mesh.store.accepted_changes import MAX_VERSIONS, without_history
 from lilacsill.mesh.store.digests import RANGE_COUNT
 from lilacsill.mesh.store.draft import Draft
 from lilacsill.mesh.store.state import ConfigState
@@ -85,11 +85,11 @@
     """As a head does with calls that wait together."""
     draft, statuses = Draft(state), []
     for body in bodies:
-        read = validation.read(msgspec.json.encode(body))
+        read = validation.parse_call(msgspec.json.encode(body))
         if isinstance(read, Failure):
             statuses.append(400)
             continue
-        outcome = validation.against(draft, read.unwrap())
+        outcome = validation.apply_call(draft, read.unwrap())
         if isinstance(outcome, Failure):
             statuses.append(outcome.failure().status)
             continue
@@ -136,12 +136,12 @@
 def test_the_record_is_bounded_and_stays_in_the_store() -> None:
     state = ConfigState()
     judged(state, [put([route("r", 1, "/r/")], first=True)])
-    for version in range(2, 40 * MOST_VERSIONS):
+    for version in range(2, 40 * MAX_VERSIONS):
         judged(state, [put([route("r", version << 20, "/r/")])])
     (item,) = (i for i in state.items.values() if i.name == "r")
-    assert item.accepted is not None and len(item.accepted) <= 16 * MOST_VERSIONS
+    assert item.accepted is not None and len(item.accepted) <= 16 * MAX_VERSIONS
     assert state.size == sum(100 + len(i.body or b"") + len(i.accepted or b"") for i in state.items.values())
-    assert for_followers([item])[0].accepted is None
+    assert without_history([item])[0].accepted is None
 
 
 def test_a_call_costs_as_much_as_it_is_long() -> None:
--- a/tests/control/test_point_3_membership.py
+++ b/tests/control/test_point_3_membership.py
@@ -12,9 +12,9 @@
 from lilacsill.mesh.simulation.replacement_day import CATCH_UP_US, GRACE_US, play
 from lilacsill.mesh.simulation.store_fleet import Fleet, Operator, begun, put, route
 from lilacsill.mesh.store import reconfiguration
-from lilacsill.mesh.store.membership import SUSPECT_US
+from lilacsill.mesh.store.membership import SUSPECT_AFTER_US
 from lilacsill.mesh.store.paxos import AcceptorState
-from lilacsill.mesh.store.reconfiguration import Machine, Situation
+from lilacsill.mesh.store.reconfiguration import ClusterState, MachineState
 from lilacsill.mesh.store.replica import Replica
 
 from .defects_point_3 import (
@@ -49,7 +49,7 @@
     assert broken(range(first, first + AT_ONCE)) == []
 
 
-# Every step from every small situation
+# Every step from every small cluster
 
 STATES = (
     (False, None, Departure.NONE, False),
@@ -64,52 +64,52 @@
 LEARNER_STATES = (STATES[0], STATES[3], STATES[4], STATES[5])
 
 
-def situations() -> Iterator[Situation]:
+def situations() -> Iterator[ClusterState]:
     """Three members, of which the last may be suspended; two others; one may be lost."""
     members = tuple(Member(f"m{i}", "d") for i in range(3))
     others = tuple(Member(f"n{i}", "d") for i in range(2))
     for suspended, full in ((0, 3), (1, 3), (0, 5)):
         view = View(7, members, suspended)
         for states in product(*[STATES] * 3, *[LEARNER_STATES] * 2):
-            machines = [Machine(m, *state) for m, state in zip(members + others, states, strict=True)]
-            yield Situation(view, machines, 2, full, 5)
+            machines = [MachineState(m, *state) for m, state in zip(members + others, states, strict=True)]
+            yield ClusterState(view, machines, 2, full, 5)
 
 
-def fault(situation: Situation) -> str:
+def fault(cluster: ClusterState) -> str:
     """What is wrong with the step from there; empty: nothing."""
-    new = reconfiguration.next_view(situation)
-    by_member = {m.member: m for m in situation.machines}
-    chain = [by_member[m] for m in situation.view.chain]
-    alive = [m for m in situation.voters if m.alive]
+    new = reconfiguration.next_view(cluster)
+    by_member = {m.member: m for m in cluster.machines}
+    chain = [by_member[m] for m in cluster.view.chain]
+    alive = [m for m in cluster.voters if m.alive]
     serving = [m for m in chain if m.alive]
-    staying = [m for m in serving if m.whole and not m.departure]
+    staying = [m for m in serving if m.complete and not m.departure]
     if new is None:
         dead = any(not m.alive for m in chain)
-        stuck = bool(serving) and serving[0].whole is False and any(m.whole for m in serving)
+        stuck = bool(serving) and serving[0].complete is False and any(m.complete for m in serving)
         if len(alive) >= 2 and staying and (dead or stuck):
             return "the chain stands still"
         return ""
     if len(alive) < 2:
         return "decided by a minority"
     head = by_member[new.chain[0]]
-    if head not in chain or not head.whole:
+    if head not in chain or not head.complete:
         return "the head may lack what was acknowledged"
-    if any(not by_member[m].whole for m in new.chain if m not in situation.view.chain):
+    if any(not by_member[m].complete for m in new.chain if m not in cluster.view.chain):
         return "a learner that is not filled joins"
     if any(not by_member[m].alive for m in new.chain):
         return "the chain waits for a machine that is down"
     gone = [m for m in chain if m.alive and m.member not in new.chain]
-    copies = [m for m in new.chain if by_member[m].whole and not by_member[m].departure]
-    if any(m.departure is not Departure.IMMEDIATE for m in gone) and len(copies) < situation.fewest:
+    copies = [m for m in new.chain if by_member[m].complete and not by_member[m].departure]
+    if any(m.departure is not Departure.IMMEDIATE for m in gone) and len(copies) < cluster.min_copies:
         return "a member goes, and too few copies stand"
     if gone and not copies:
         return "the only copy goes"
     if any(by_member[m].disk_lost for m in new.members):
         return "a disk that is lost has a vote"
-    returning = [m for m in situation.voters if m not in gone and not m.disk_lost and not m.departure]
-    if len(new.chain) < situation.full and any(m.member not in new.members for m in returning):
-        joined = [m for m in new.chain if m not in situation.view.members]
-        if len(new.members) < len(situation.view.members) and not joined:
+    returning = [m for m in cluster.voters if m not in gone and not m.disk_lost and not m.departure]
+    if len(new.chain) < cluster.target_size and any(m.member not in new.members for m in returning):
+        joined = [m for m in new.chain if m not in cluster.view.members]
+        if len(new.members) < len(cluster.view.members) and not joined:
             return "a machine that may return loses its vote"
     return ""
 
@@ -173,7 +173,10 @@
     fleet.terminate(one, GRACE_US, lambda: ended.append(fleet.net.time.now))
     run(fleet, GRACE_US // 3)
     assert not ended
-    assert fleet.stores[one].membership.why_it_stays() == "1 whole copies without it, 2 wanted; 0 learners being filled"
+    assert (
+        fleet.stores[one].membership.departure_blocker()
+        == "1 whole copies without it, 2 wanted; 0 learners being filled"
+    )
     fleet.start(two)
     run(fleet, GRACE_US // 3)
     assert ended and sorted(chain_of(fleet)) == sorted([two, three])
@@ -244,7 +247,7 @@
     ended: list[int] = []
     before = fleet.stores[one].replica.view.number
     cut = fleet.net.cut({one, two}, {three, D}, one_way=True)
-    time.after(SUSPECT_US - 20 * MS, fleet.net.heal, cut)  # nobody is suspected
+    time.after(SUSPECT_AFTER_US - 20 * MS, fleet.net.heal, cut)  # nobody is suspected
     fleet.terminate(one, GRACE_US, lambda: ended.append(time.now))
     while not ended:
         time.run(time.now + 10)
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -23,13 +23,13 @@
 from lilacsill.mesh.store import chain as chains
 from lilacsill.mesh.store import node
 from lilacsill.mesh.store import validation as calls
-from lilacsill.mesh.store.accepted_changes import Verdict
+from lilacsill.mesh.store.accepted_changes import ChangeKind
 from lilacsill.mesh.store.chain import Chain
 from lilacsill.mesh.store.draft import Base, Draft
 from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.frontend import Frontend
 from lilacsill.mesh.store.membership import Membership
-from lilacsill.mesh.store.paxos import NONE, Acceptor, Proposal
+from lilacsill.mesh.store.paxos import NO_BALLOT, Acceptor, Proposal
 from lilacsill.mesh.store.replica import Replica
 from lilacsill.mesh.store.state import ConfigState
 
@@ -74,11 +74,11 @@
         reply(Confirmed(True))
 
     patch.setattr(Frontend, "confirm", confirm)
-    patch.setattr(Membership, "sure", lambda self: self._replica.is_member)
+    patch.setattr(Membership, "holds_lease", lambda self: self._replica.is_member)
 
 
 def followers_need_nobody(patch: Patch) -> None:
-    patch.setattr(Membership, "sure", lambda self: True)
+    patch.setattr(Membership, "holds_lease", lambda self: True)
 
 
 def strangers_vote(patch: Patch) -> None:
@@ -120,14 +120,14 @@
 
 
 def calls_are_taken_unchecked(patch: Patch) -> None:
-    def against(base: Base, call: list[calls.Change]) -> object:
+    def apply_call(base: Base, call: list[calls.Change]) -> object:
         draft = Draft(base)
         for c in call:
             body = None if c.body is None else msgspec.json.encode(c.body)
             draft.put([Item(c.kind, c.name, c.version, draft.seq + 1, body)])
         return Success(draft)
 
-    patch.setattr(calls, "against", against)
+    patch.setattr(calls, "apply_call", apply_call)
 
 
 def anyone_takes_a_call(patch: Patch) -> None:
@@ -182,15 +182,15 @@
 
 
 def an_old_call_wins(patch: Patch) -> None:
-    patch.setattr(calls, "verdict_of", lambda held, version, content: Verdict.NEWER)
+    patch.setattr(calls, "classify_change", lambda held, version, content: ChangeKind.NEWER)
 
 
 def votes_before_sync(patch: Patch) -> None:
     def keep(self: Acceptor, done: Callable[[], None]) -> None:
-        self._keeper.keep("accord", msgspec.msgpack.encode(self.acceptor_state), lambda: None)
+        self._storage.persist("accord", msgspec.msgpack.encode(self.state), lambda: None)
         done()
 
-    patch.setattr(Acceptor, "_keep", keep)
+    patch.setattr(Acceptor, "_persist", keep)
 
 
 def one_voice_is_a_majority(patch: Patch) -> None:
@@ -209,7 +209,7 @@
 
 def any_ballot_is_accepted(patch: Patch) -> None:
     def accept(self: Acceptor, view: View, m: Any, reply: Replier) -> None:
-        self._of(m.view.number).promised = NONE
+        self._state_of(m.view.number).promised = NO_BALLOT
         real(self, view, m, reply)
 
     real = Acceptor.accept
@@ -247,7 +247,7 @@
 
 
 def a_next_view_blocks_nobody(patch: Patch) -> None:
-    patch.setattr(Acceptor, "blocked", lambda self, view: False)
+    patch.setattr(Acceptor, "has_accepted_next", lambda self, view: False)
 
 
 def the_head_counts_on_what_is_not_on_its_disk(patch: Patch) -> None:
--- a/tests/mesh/test_chain.py
+++ b/tests/mesh/test_chain.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from lilacsill.mesh.runtime.messages import Accept, Confirm, Confirmed, Item, Message, Replicate, View
+from lilacsill.mesh.runtime.messages import Accept, Ballot, Confirm, Confirmed, Item, Message, Replicate, View
 from lilacsill.mesh.simulation.explore import play, plays
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.paxos_contest import Contest
@@ -180,7 +180,7 @@
     replica = store.replica
     replica.acceptor.accept(
         replica.view,
-        Accept(replica.me, (9, "z"), View(replica.view.number + 1, replica.view.members[:2])),
+        Accept(replica.me, Ballot(9, "z"), View(replica.view.number + 1, replica.view.members[:2])),
         lambda m: None,
     )
     answers: list[Message] = []
