--- a/lilacsill/agent/inbound/validation.py
+++ b/lilacsill/agent/inbound/validation.py
@@ -9,7 +9,7 @@
 from zlib import crc32
 
 from lilacsill.balancing.interface import Idempotency, RequestClass, Tenant
-from lilacsill.http1.message import Headers, Message, InvalidMessageError
+from lilacsill.http1.message import Headers, InvalidMessageError, Message
 
 from ..watermarks import Sink
 from .upload import Upload
