--- a/benchmarks/capacity/costs.py
+++ b/benchmarks/capacity/costs.py
@@ -197,12 +197,12 @@
 
 def checked_change(size: int) -> Step:
     """One change against the whole state, at the head."""
-    from lilacsill.mesh.store import validation
+    from lilacsill.mesh.store import calls, validation
 
     state = state_of(size)
     change = fleet.route_item("r-1", "service-000", size + 1)
     assert change.body is not None
-    call = [validation.Change("route", "r-1", size + 1, msgspec.json.decode(change.body))]
+    call = [calls.Change("route", "r-1", size + 1, msgspec.json.decode(change.body))]
 
     def check() -> None:
         assert validation.is_success(validation.apply_call(Draft(state), call))
--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -12,12 +12,12 @@
 from typing import Any
 
 from lilacsill.address import Address, parse_address
-from lilacsill.mesh.proxy.offer_server import OfferServer
-from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.proxy.backend_gateway import BackendGateway
-from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
+from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.proxy.failure_detector import FailureDetector
+from lilacsill.mesh.proxy.forwarding import Forwarder
+from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.proxy.table import Table
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
--- a/benchmarks/capacity/traffic.py
+++ b/benchmarks/capacity/traffic.py
@@ -7,9 +7,9 @@
 import lilacsill.mesh.proxy.offer_server
 import lilacsill.mesh.runtime.link
 import lilacsill.mesh.runtime.rpc
-from lilacsill.net.stream import Stream
 from lilacsill.mesh.runtime.link import Link
 from lilacsill.mesh.runtime.messages import Message
+from lilacsill.net.stream import Stream
 
 BYTES: Counter[str] = Counter()  # sent, received
 SENT: Counter[str] = Counter()  # messages, by type
--- a/benchmarks/chain.py
+++ b/benchmarks/chain.py
@@ -13,8 +13,8 @@
 from statistics import median
 
 from benchmarks import store_size
-from lilacsill.mesh.simulation.store_fleet import Fleet, Operator, begun, put, route
 from lilacsill.mesh.simulation.network import MS, S
+from lilacsill.mesh.simulation.store_fleet import Fleet, Operator, begun, put, route
 
 SYNC_US, HOP_US = 5 * MS, 750  # a sync takes 5 to 10 ms, a hop 0.5 to 1 ms
 ACK_WITHIN_MS = 4000
--- a/benchmarks/growth.py
+++ b/benchmarks/growth.py
@@ -15,13 +15,13 @@
 from statistics import mean, median
 from time import process_time
 
-from lilacsill.mesh.registry.config_cache import ConfigCache
-from lilacsill.mesh.simulation.load_reports import Fair, Environment
-from lilacsill.mesh.simulation.failure_detection import Street
-from lilacsill.mesh.runtime.frames import frame
 from lilacsill.mesh.proxy.failure_detector import MONITORS
 from lilacsill.mesh.proxy.watch_list import WatchList
+from lilacsill.mesh.registry.config_cache import ConfigCache
+from lilacsill.mesh.runtime.frames import frame
 from lilacsill.mesh.runtime.messages import Endpoint, Freshness, Item, Poll, PollReply, encode
+from lilacsill.mesh.simulation.failure_detection import Street
+from lilacsill.mesh.simulation.load_reports import Environment, Fair
 
 SIZES = (8, 16, 32, 64, 128, 256, 400)
 USE = 0.75
--- a/benchmarks/hosting.py
+++ b/benchmarks/hosting.py
@@ -19,8 +19,8 @@
 from lilacsill.emulator.agents import settings
 from lilacsill.emulator.models.plan import make_plan
 from lilacsill.emulator.models.scenario import Class, Fleet, Load, Scenario
-from lilacsill.emulator.plan_file import SUFFIX, write
 from lilacsill.emulator.parts import start_fleet
+from lilacsill.emulator.plan_file import SUFFIX, write
 
 LEAD_S = 0.3
 PHASE = 10**8  # request numbers of one phase: a number that came before would be answered from memory
--- a/benchmarks/mesh_cost.py
+++ b/benchmarks/mesh_cost.py
@@ -18,11 +18,11 @@
 
 from httptools import HttpResponseParser
 
-from lilacsill.mesh.simulation.loopback import APP, OUTGOING, READY, Backend, Exchange, Fair, rules
-from lilacsill.mesh.runtime.link import connect
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Reader, encode_request
+from lilacsill.mesh.runtime.link import connect
+from lilacsill.mesh.simulation.loopback import APP, OUTGOING, READY, Backend, Exchange, Fair, rules
 
 CLIENTS = 8
 TICK_S = 1 / os.sysconf("SC_CLK_TCK")
--- a/benchmarks/order_cost.py
+++ b/benchmarks/order_cost.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from lilacsill.mesh.simulation.store_fleet import put, route
-from lilacsill.mesh.store import validation
+from lilacsill.mesh.store import calls, validation
 from lilacsill.mesh.store.accepted_changes import MAX_VERSIONS
 from lilacsill.mesh.store.draft import Draft
 from lilacsill.mesh.store.state import ConfigState
@@ -36,7 +36,7 @@
 
 
 def take(state: ConfigState, body: dict[str, Any]) -> None:
-    call = validation.parse_call(msgspec.json.encode(body)).unwrap()
+    call = calls.parse_call(msgspec.json.encode(body)).unwrap()
     draft = Draft(state)
     draft.merge(validation.apply_call(draft, call).unwrap())
     state.apply(draft.items.values(), draft.seq)
--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -24,8 +24,8 @@
 from statistics import median
 from typing import Any
 
-from lilacsill.emulator.processes.rig import Child, Rig, rig
 from lilacsill.agent.peers.suspicion import least_us
+from lilacsill.emulator.processes.rig import Child, Rig, rig
 
 from .peers_ill import ratio
 from .peers_virtual import budgets, counts_after_a_cut, false_deaths
--- a/benchmarks/peers_virtual.py
+++ b/benchmarks/peers_virtual.py
@@ -6,10 +6,10 @@
 from random import Random
 from typing import Any
 
-from lilacsill.emulator.models.links import Rule
-from lilacsill.emulator.virtual.peers import World
 from lilacsill.agent.peers.fleet import BUDGETS
 from lilacsill.agent.peers.records import PARTS
+from lilacsill.emulator.models.links import Rule
+from lilacsill.emulator.virtual.peers import World
 
 SECOND = 1_000_000
 COLD = BUDGETS.index("cold")
--- a/benchmarks/request_cost.py
+++ b/benchmarks/request_cost.py
@@ -15,8 +15,8 @@
 import json
 import sys
 import tempfile
-from contextlib import asynccontextmanager
 from collections.abc import AsyncIterator
+from contextlib import asynccontextmanager
 from pathlib import Path
 from typing import Any
 
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -14,7 +14,6 @@
 
 from httptools import HttpRequestParser
 
-
 PIECE = bytes(64 * 1024)
 
 
--- a/benchmarks/store_size.py
+++ b/benchmarks/store_size.py
@@ -19,10 +19,10 @@
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.store_fleet import begun, put, route
-from lilacsill.mesh.store import validation
+from lilacsill.mesh.store import calls, validation
 from lilacsill.mesh.store.disk import Disk
-from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.draft import Draft
+from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.state import ConfigState
 
 SIZES = (8, 500, 2000)
@@ -38,7 +38,7 @@
 def items_of(state: ConfigState, call: bytes) -> list[Item]:
     """What the call changes in that state."""
     draft = Draft(state)
-    draft.merge(validation.apply_call(draft, validation.parse_call(call).unwrap()).unwrap())
+    draft.merge(validation.apply_call(draft, calls.parse_call(call).unwrap()).unwrap())
     return list(draft.items.values())
 
 
--- /dev/null
+++ b/lilacsill/mesh/store/calls.py
@@ -0,0 +1,145 @@
+"""An operator's call, read from JSON: the changes that it names, one for each item. No I/O.
+
+cerberus is imported with the first call: only the head of the chain needs it, and it takes some megabytes.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Iterable, Iterator
+from typing import TYPE_CHECKING, Any
+
+import msgspec
+from returns.result import Failure, Result, Success
+
+from .call_schema import CALL_SCHEMA
+from .rejections import (
+    ContradictoryChanges,
+    InvalidTarget,
+    MatchTaken,
+    NotAnObject,
+    NotJson,
+    Rejection,
+    SchemaViolation,
+)
+from .route_index import LIMITS, ROUTE, SERVICE, RouteMatch
+
+if TYPE_CHECKING:
+    from cerberus import Validator
+
+_KIND_OF_REMOVAL = {"Routing": ROUTE, "Listeners": ROUTE, "ServiceList": SERVICE, "Groups": SERVICE}
+
+
+class Change(msgspec.Struct, frozen=True):
+    """A new version of one item."""
+
+    kind: str
+    name: str
+    version: int
+    body: Any  # the decoded JSON; None: the item is removed
+
+
+Call = list[Change]
+
+_validator: Validator | None = None
+
+
+def parse_call(body: bytes) -> Result[Call, Rejection]:
+    """Read a call and check its form, without regard to the configuration in force."""
+    try:
+        document = msgspec.json.decode(body)
+    except msgspec.DecodeError as error:
+        return Failure(NotJson(str(error)))
+    return _checked(document).bind(_changes)
+
+
+def match_of(route: dict[str, Any]) -> RouteMatch:
+    """Return what requests the route with this body matches."""
+    return RouteMatch(route["Host"].lower(), route["Rule"]["When"]["PathPrefix"])
+
+
+def _checked(document: Any) -> Result[dict[str, Any], Rejection]:
+    if not isinstance(document, dict):
+        return Failure(NotAnObject())
+    validator = _load_validator()
+    if validator.validate(document, normalize=False):
+        return Success(document)
+    return Failure(_first_violation(validator.errors))
+
+
+def _load_validator() -> Validator:
+    global _validator
+    if _validator is None:
+        from cerberus import Validator
+
+        _validator = Validator(CALL_SCHEMA)
+    return _validator
+
+
+def _first_violation(errors: Any) -> SchemaViolation:
+    """The first one of cerberus' nested maps and lists of errors."""
+    path = []
+    while isinstance(errors, (dict, list)) and errors:
+        if isinstance(errors, list):
+            errors = errors[0]
+        else:
+            key = next(iter(errors))
+            path.append(str(key))
+            errors = errors[key]
+    return SchemaViolation(".".join(path), str(errors))
+
+
+def _changes(document: dict[str, Any]) -> Result[Call, Rejection]:
+    replaced, removed = document.get("ReplaceItems", {}), document.get("RemoveItems", {})
+    routes = [
+        {"Host": listener["Host"], "Rule": rule}
+        for listener in replaced.get("Listeners", [])
+        for rule in listener["Policy"]
+    ]
+    for route in routes:
+        problem = _target_problem(route["Rule"]["Then"])
+        if problem:
+            return Failure(InvalidTarget(route["Rule"]["Name"], problem))
+    limits = [replaced["Limits"]] if "Limits" in replaced else []
+    return _without_duplicates(
+        [
+            *(Change(LIMITS, "", _version(limit), limit) for limit in limits),
+            *(Change(ROUTE, route["Rule"]["Name"], _version(route["Rule"]), route) for route in routes),
+            *(Change(SERVICE, service["Name"], _version(service), service) for service in replaced.get("Groups", [])),
+            *_removals(removed),
+        ]
+    )
+
+
+def _removals(removed: dict[str, list[dict[str, Any]]]) -> Iterator[Change]:
+    for section, items in removed.items():
+        for item in items:
+            yield Change(_KIND_OF_REMOVAL[section], item["Name"], _version(item), None)
+
+
+def _version(item: dict[str, Any]) -> int:
+    """The number in a `ConfigVersion` such as "r12"."""
+    return int(item["ConfigVersion"][1:])
+
+
+def _target_problem(target: dict[str, Any]) -> str:
+    """What is wrong with where a route leads; empty: nothing."""
+    if ("TargetService" in target) == ("TrafficSplit" in target):
+        return "Then: must name either TargetService or TrafficSplit"
+    if "TrafficSplit" in target and sum(part["Share"] for part in target["TrafficSplit"]) <= 0:
+        return "Then.TrafficSplit: the shares sum to 0"
+    return ""
+
+
+def _without_duplicates(changes: Iterable[Change]) -> Result[Call, Rejection]:
+    """One change for each item. The same change may be named more than once."""
+    by_item: dict[tuple[str, str], Change] = {}
+    routes: dict[RouteMatch, str] = {}
+    for change in changes:
+        if change.kind == ROUTE and change.body is not None:
+            taken_by = routes.setdefault(match_of(change.body), change.name)
+            if taken_by != change.name:
+                return Failure(MatchTaken(taken_by, change.name))
+        first = by_item.setdefault((change.kind, change.name), change)
+        if (first.version, first.body) != (change.version, change.body):
+            return Failure(ContradictoryChanges(change.kind, change.name))
+    return Success(list(by_item.values()))
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -12,7 +12,7 @@
 from lilacsill.mesh.runtime.commands import Commands, Refused
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply
 
-from . import validation
+from . import calls, validation
 from .state import ConfigState
 
 TRIES, AGAIN_S = 5, 0.5
@@ -36,14 +36,14 @@
             news = configuration(against)
             state.apply(news.items, news.seq)
         try:
-            read = validation.parse_call(Path(path).read_bytes())
+            read = calls.parse_call(Path(path).read_bytes())
         except OSError as e:
             raise Refused(f"{path}: {e.strerror}") from None
         if isinstance(read, Failure):
-            raise Refused(f"{path}: {read.failure()}")
+            raise Refused(f"{path}: {read.failure().message}")
         changed = validation.apply_call(state, read.unwrap())
         if isinstance(changed, Failure):
-            raise Refused(f"{path}: {changed.failure().why}")
+            raise Refused(f"{path}: {changed.failure().message}")
         for item in changed.unwrap().items.values():
             print(f"{'drops' if item.body is None else 'sets'} {item.kind} {item.name} r{item.version}")
 
--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -18,10 +18,11 @@
 from .draft import Draft
 from .quorum import confirm_view
 from .recent_refusals import RecentRefusals
+from .rejections import Rejection, StateTooLarge
 from .replica import Replica
 
 if TYPE_CHECKING:
-    from .validation import Call, Rejection
+    from .calls import Call
 
 HOPS = 2
 RELAY_US = 850_000  # a caller moves on after a second of silence
@@ -62,11 +63,11 @@
         replica = self._replica
         if not replica.is_head or not replica.complete:
             return self._pass_on(replica.view.chain[:1], m, reply)
-        from . import validation  # with cerberus and returns: 7 MB that only a head needs
+        from . import calls, validation  # with cerberus and returns: 7 MB that only a head needs
 
-        read = validation.parse_call(m.body)
+        read = calls.parse_call(m.body)
         if not validation.is_success(read):
-            refusal = self._rejected(read.failure(), validation.INVALID)
+            refusal = self._rejected(read.failure())
             return self._if_in_force(lambda ok: reply(refusal if ok else UNCLEAR))
         if len(self._queue) >= MOST_WAITING:
             return reply(Reply(503, b'{"Message":"too many calls at once"}'))
@@ -82,9 +83,10 @@
         self._queue.append(_WaitingCall(m.body, read.unwrap(), once))
         self._write()
 
-    def _rejected(self, why: str, status: int) -> Reply:
-        self.rejections = [*self.rejections[1 - KEPT_REFUSALS :], f"{status}: {why}"]
-        return Reply(status, msgspec.json.encode({"Message": why}))
+    def _rejected(self, rejection: Rejection) -> Reply:
+        text = f"{rejection.status}: {rejection.message}"
+        self.rejections = [*self.rejections[1 - KEPT_REFUSALS :], text]
+        return Reply(rejection.status, msgspec.json.encode({"Message": rejection.message}))
 
     def _if_in_force(self, done: Callable[[bool], None]) -> None:
         """A clear answer that rests on this member's state alone waits for a majority of the view."""
@@ -117,8 +119,7 @@
             return self._refused(waiting.body, judged.failure())
         changed = judged.unwrap()
         if changed.size > max(self.max_state_bytes, draft.size):  # what makes it smaller is taken
-            why = f"the state would take {changed.size} bytes, {self.max_state_bytes} are allowed"
-            return self._refused(waiting.body, validation.Rejection(why, validation.TOO_LARGE))
+            return self._refused(waiting.body, StateTooLarge(changed.size, self.max_state_bytes))
         if changed.items and self._recent_refusals.includes(waiting.body, self._environment.now()):
             return REFUSED_BEFORE
         draft.merge(changed)
@@ -127,7 +128,7 @@
     def _refused(self, body: bytes, rejection: Rejection) -> Reply:
         if rejection.status != UNCLEAR.status:
             self._recent_refusals.add(body, self._environment.now())
-        return self._rejected(rejection.why, rejection.status)
+        return self._rejected(rejection)
 
     def _pass_on(self, to: tuple[Member, ...], m: Patch | Read, reply: Replier) -> None:
         if m.hops >= HOPS or not to or to[0] == self._replica.me:
--- a/lilacsill/mesh/store/route_index.py
+++ b/lilacsill/mesh/store/route_index.py
@@ -1,43 +1,54 @@
-"""Which route stands at which host and prefix, and how many routes name a service. No I/O."""
+"""Which route matches which host and path prefix, and how many routes refer to a service. No I/O."""
 
 from __future__ import annotations
 
+from typing import NamedTuple
+
 import msgspec
 
 from lilacsill.mesh.runtime.messages import Item
 
+# Values of `Item.kind`.
 ROUTE, SERVICE, LIMITS = "route", "service", "limits"
 
-RouteMatch = tuple[str, str]  # host in lower case, prefix
+
+class RouteMatch(NamedTuple):
+    """The requests that a route applies to. No two routes have the same one."""
+
+    host: str  # in lower case
+    path_prefix: str
 
 
-class _Share(msgspec.Struct):
-    TargetService: str
+# The parts of a route's body that matter here, with the names of their JSON keys.
 
 
-class _Target(msgspec.Struct):
-    TargetService: str | None = None
-    TrafficSplit: list[_Share] = []
+class _Share(msgspec.Struct, rename="pascal"):
+    target_service: str
 
 
-class _Match(msgspec.Struct):
-    PathPrefix: str
+class _Target(msgspec.Struct, rename="pascal"):
+    target_service: str | None = None
+    traffic_split: list[_Share] = []
 
 
-class _Rule(msgspec.Struct):
-    When: _Match
-    Then: _Target
+class _Condition(msgspec.Struct, rename="pascal"):
+    path_prefix: str
 
 
-class _Route(msgspec.Struct):
-    Host: str
-    Rule: _Rule
+class _Rule(msgspec.Struct, rename="pascal"):
+    when: _Condition
+    then: _Target
+
+
+class _Route(msgspec.Struct, rename="pascal"):
+    host: str
+    rule: _Rule
 
 
 class RouteReferences(msgspec.Struct, frozen=True):
-    """What a route that stands refers to."""
+    """What one route takes and refers to."""
 
-    place: RouteMatch
+    match: RouteMatch
     services: frozenset[str]
 
 
@@ -45,47 +56,53 @@
 
 
 def references_of(item: Item | None) -> RouteReferences | None:
-    """None: it is no route, or dropped."""
+    """Return what the item refers to, or None if it is no route or was removed."""
     if item is None or item.kind != ROUTE or item.body is None:
         return None
     route = _decoder.decode(item.body)
-    target = route.Rule.Then
-    services = (
-        [target.TargetService] if target.TargetService is not None else [s.TargetService for s in target.TrafficSplit]
-    )
-    return RouteReferences((route.Host.lower(), route.Rule.When.PathPrefix), frozenset(services))
+    target = route.rule.then
+    if target.target_service is not None:
+        services = frozenset([target.target_service])
+    else:
+        services = frozenset(share.target_service for share in target.traffic_split)
+    return RouteReferences(RouteMatch(route.host.lower(), route.rule.when.path_prefix), services)
 
 
 class RouteIndex:
-    """Of the routes that stand in one state; of two that claim one place within a batch, the later change counts."""
+    """The routes of one configuration.
+
+    Of two routes with the same match within a batch, the one that was changed last counts.
+    """
 
     def __init__(self) -> None:
-        self._places: dict[RouteMatch, str] = {}
-        self._uses: dict[str, int] = {}
+        self._routes: dict[RouteMatch, str] = {}
+        self._reference_counts: dict[str, int] = {}  # by service
 
-    def route_at(self, place: RouteMatch) -> str | None:
-        return self._places.get(place)
+    def route_at(self, match: RouteMatch) -> str | None:
+        """Return the name of the route with this match."""
+        return self._routes.get(match)
 
     def reference_count(self, service: str) -> int:
-        return self._uses.get(service, 0)
+        """Return how many routes refer to the service."""
+        return self._reference_counts.get(service, 0)
 
     def replace(self, held: Item | None, item: Item) -> None:
-        """One item is followed by another of the same name."""
-        self._release(held)
+        """Replace an item by its successor of the same name; `held` None: there was none."""
+        self._remove(held)
         references = references_of(item)
         if references is None:
             return
-        self._places[references.place] = item.name
+        self._routes[references.match] = item.name
         for service in references.services:
-            self._uses[service] = self.reference_count(service) + 1
+            self._reference_counts[service] = self.reference_count(service) + 1
 
-    def _release(self, held: Item | None) -> None:
+    def _remove(self, held: Item | None) -> None:
         references = references_of(held)
         if held is None or references is None:
             return
-        if self._places.get(references.place) == held.name:
-            del self._places[references.place]
+        if self._routes.get(references.match) == held.name:
+            del self._routes[references.match]
         for service in references.services:
-            self._uses[service] -= 1
-            if not self._uses[service]:
-                del self._uses[service]
+            self._reference_counts[service] -= 1
+            if not self._reference_counts[service]:
+                del self._reference_counts[service]
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -167,8 +167,8 @@
     def item(self, kind: str, name: str) -> Item | None:
         return self.items.get((kind, name))
 
-    def route_at(self, place: RouteMatch) -> str | None:
-        return self._routes().route_at(place)
+    def route_at(self, match: RouteMatch) -> str | None:
+        return self._routes().route_at(match)
 
     def reference_count(self, service: str) -> int:
         """How many routes that stand name it."""
--- a/lilacsill/mesh/store/validation.py
+++ b/lilacsill/mesh/store/validation.py
@@ -1,14 +1,12 @@
-"""An operator's call, read and checked: outcomes are values. What is wrong is told by its place and bound. No I/O.
+"""Check a call against the configuration in force, and apply it to a draft. No I/O.
 
-A change that was accepted before is recognised first and is not checked against today's state: its service may have
-been dropped since, or its place taken. cerberus is loaded with the first call: only the head of the chain needs it, and
-memory is priced.
+A change that was accepted before is recognised first and is not checked against today's configuration: its service may
+have been removed since, or its host and prefix be taken by another route.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
-from typing import TYPE_CHECKING, Any
+from typing import Any
 
 import msgspec
 from returns.result import Failure, Result, Success
@@ -16,286 +14,105 @@
 from lilacsill.mesh.runtime.messages import Item
 
 from .accepted_changes import ChangeKind, classify_change, with_new_version, with_recorded_version
+from .calls import Call, Change
 from .draft import Base, Draft
-from .route_index import LIMITS, ROUTE, SERVICE
-
-if TYPE_CHECKING:
-    from cerberus import Validator
-
-KINDS = ["read_only", "writes"]
-MOST = 2**53
-
-
-@dataclass(slots=True, frozen=True)
-class Change:
-    """One item that a call names. `body` None: to be dropped."""
-
-    kind: str
-    name: str
-    version: int
-    body: Any
-
-
-Call = list[Change]
-
-INVALID, CONFLICT, TOO_LARGE, UNKNOWN_OUTCOME = 400, 409, 413, 503
-
-
-@dataclass(slots=True, frozen=True)
-class Rejection:
-    """Why a call is not acknowledged. With `UNKNOWN_OUTCOME` that is no refusal: it may have been accepted before."""
-
-    why: str
-    status: int = INVALID
-
-
-_TAG = {"type": "string", "required": True, "regex": r"r[0-9]{1,15}"}
-_TEXT = {"type": "string", "required": True, "minlength": 1, "maxlength": 256}
-_COUNT = {"type": "integer", "min": 0, "max": MOST}
-_NUMBER = {"type": "number", "min": 0, "max": MOST}
-_SPLIT = {
-    "type": "list",
-    "minlength": 1,
-    "schema": {
-        "type": "dict",
-        "allow_unknown": True,
-        "schema": {"TargetService": _TEXT, "Share": {**_NUMBER, "required": True}},
-    },
-}
-RULE = {
-    "Name": _TEXT,
-    "ConfigVersion": _TAG,
-    "RouteKind": {"type": "string", "required": True, "allowed": KINDS},
-    "TargetMs": _NUMBER,
-    "Rank": _COUNT,
-    "When": {
-        "type": "dict",
-        "required": True,
-        "allow_unknown": True,
-        "schema": {"PathPrefix": {"type": "string", "required": True, "regex": r"/(.*/)?"}},
-    },
-    "Then": {
-        "type": "dict",
-        "required": True,
-        "allow_unknown": True,
-        "schema": {
-            "TargetService": {**_TEXT, "required": False},
-            "TrafficSplit": _SPLIT,
-            "TimeoutMs": {**_NUMBER, "required": True, "min": 1},
-            "MaxTries": {**_COUNT, "min": 1},
-        },
-    },
-}
-_NAMES = {
-    "type": "list",
-    "schema": {"type": "dict", "allow_unknown": True, "schema": {"Name": _TEXT, "ConfigVersion": _TAG}},
-}
-SCHEMA = {
-    "ReplaceItems": {
-        "type": "dict",
-        "schema": {
-            "Limits": {
-                "type": "dict",
-                "allow_unknown": True,
-                "schema": {
-                    "ConfigVersion": _TAG,
-                    "MaxHeaderBytes": _COUNT,
-                    "MaxBodyBytes": _COUNT,
-                    "HeaderWaitMs": _COUNT,
-                    "IdleTimeoutMs": _COUNT,
-                },
-            },
-            "Listeners": {
-                "type": "list",
-                "schema": {
-                    "type": "dict",
-                    "schema": {
-                        "Host": _TEXT,
-                        "Policy": {
-                            "type": "list",
-                            "required": True,
-                            "schema": {"type": "dict", "allow_unknown": True, "schema": RULE},
-                        },
-                    },
-                },
-            },
-            "Groups": {
-                "type": "list",
-                "schema": {
-                    "type": "dict",
-                    "allow_unknown": True,
-                    "schema": {
-                        "Name": _TEXT,
-                        "ConfigVersion": _TAG,
-                        "HealthPath": {"type": "string", "regex": "/.*"},
-                        "MaxConnections": {**_COUNT, "min": 1},
-                    },
-                },
-            },
-        },
-    },
-    "RemoveItems": {
-        "type": "dict",
-        "schema": {"Routing": _NAMES, "Listeners": _NAMES, "ServiceList": _NAMES, "Groups": _NAMES},
-    },
-}
-DROPS = {"Routing": ROUTE, "Listeners": ROUTE, "ServiceList": SERVICE, "Groups": SERVICE}
-
-_validator: Validator | None = None
-
-
-def _checked(raw: Any) -> Result[dict[str, Any], str]:
-    global _validator
-    if _validator is None:
-        from cerberus import Validator
-
-        _validator = Validator(SCHEMA)
-    if not isinstance(raw, dict):
-        return Failure("a call must be an object")
-    if _validator.validate(raw, normalize=False):
-        return Success(raw)
-    return Failure(_first(_validator.errors))
-
-
-def _first(errors: Any) -> str:
-    """The first of what cerberus found, with its place."""
-    place = []
-    while isinstance(errors, (dict, list)) and errors:
-        if isinstance(errors, list):
-            errors = errors[0]
-        else:
-            key = next(iter(errors))
-            place.append(str(key))
-            errors = errors[key]
-    return f"{'.'.join(place)}: {errors}"
+from .rejections import MatchTaken, Rejection, ServiceInUse, UnknownService, VersionConflict, VersionForgotten
+from .route_index import ROUTE, SERVICE
 
 
 def is_success(outcome: Result[Any, Any]) -> bool:
-    """Whether it is no Failure."""
+    """Return whether the outcome is no `Failure`, for callers that do not import `returns`."""
     return isinstance(outcome, Success)
 
 
-def number_of(tag: str) -> int:
-    return int(tag[1:])
-
-
-def parse_call(body: bytes) -> Result[Call, str]:
-    """The form of a call. Failure: why it cannot be read in full."""
-    try:
-        raw = msgspec.json.decode(body)
-    except msgspec.DecodeError as e:
-        return Failure(f"not JSON: {e}")
-    return _checked(raw).bind(_changes)
-
-
-def _changes(raw: dict[str, Any]) -> Result[Call, str]:
-    call: Call = []
-    sets, drops = raw.get("ReplaceItems", {}), raw.get("RemoveItems", {})
-    if "Limits" in sets:
-        call.append(Change(LIMITS, "", number_of(sets["Limits"]["ConfigVersion"]), sets["Limits"]))
-    for listener in sets.get("Listeners", []):
-        for rule in listener["Policy"]:
-            wrong = _route_is_wrong(rule)
-            if wrong:
-                return Failure(f"route {rule['Name']}: {wrong}")
-            body = {"Host": listener["Host"], "Rule": rule}
-            call.append(Change(ROUTE, rule["Name"], number_of(rule["ConfigVersion"]), body))
-    for service in sets.get("Groups", []):
-        call.append(Change(SERVICE, service["Name"], number_of(service["ConfigVersion"]), service))
-    for key, names in drops.items():
-        call.extend(Change(DROPS[key], n["Name"], number_of(n["ConfigVersion"]), None) for n in names)
-    named: dict[tuple[str, str], Change] = {}
-    places: dict[tuple[str, str], str] = {}
-    for change in call:
-        if change.kind == ROUTE and change.body is not None:
-            place = place_of(change.body)
-            if places.setdefault(place, change.name) != change.name:
-                return Failure(f"routes {places[place]} and {change.name} have the same host and prefix")
-        other = named.setdefault((change.kind, change.name), change)
-        if other is not change and (other.version, other.body) != (change.version, change.body):
-            return Failure(f"{change.kind} {change.name}: named twice")
-    return Success(list(named.values()))
-
-
-def _route_is_wrong(rule: dict[str, Any]) -> str:
-    then = rule["Then"]
-    if ("TargetService" in then) == ("TrafficSplit" in then):
-        return "Then: must name either TargetService or TrafficSplit"
-    if "TrafficSplit" in then and sum(part["Share"] for part in then["TrafficSplit"]) <= 0:
-        return "Then.TrafficSplit: the shares sum to 0"
-    return ""
-
-
-def place_of(body: dict[str, Any]) -> tuple[str, str]:
-    """Where a route stands: its host and prefix."""
-    return body["Host"].lower(), body["Rule"]["When"]["PathPrefix"]
-
-
-def _targets(body: Any) -> list[str]:
-    """The services that a route names."""
-    then = body["Rule"]["Then"]
-    return [then["TargetService"]] if "TargetService" in then else [p["TargetService"] for p in then["TrafficSplit"]]
+def apply_call(base: Base, call: Call) -> Result[Draft, Rejection]:
+    """Apply all changes of a call, or none.
 
+    The cost depends on the length of the call, not on the size of the base.
 
-def apply_call(base: Base, call: Call) -> Result[Draft, Rejection]:
-    """The base with what the call changes; all of it or, as a Failure, nothing. Costs as much as the call is long."""
-    draft = Draft(base)
+    Returns:
+        The base with what the call changes; it has no items if all changes were accepted before.
+    """
     newer: Call = []
-    overtaken: Call = []
+    superseded: Call = []
     for change in call:
-        verdict = classify_change(base.item(change.kind, change.name), change.version, change.body)
-        if verdict is ChangeKind.CONFLICT:
-            return Failure(Rejection(f"{_named(change)} was accepted with another content", CONFLICT))
-        if verdict is ChangeKind.FORGOTTEN:
-            return Failure(Rejection(f"{_named(change)} is too old to tell if it was accepted", UNKNOWN_OUTCOME))
-        if verdict is ChangeKind.NEWER:
-            newer.append(change)
-        elif verdict is ChangeKind.SUPERSEDED:
-            overtaken.append(change)
-    wrong = _put(draft, newer) or _overtaken_is_wrong(base, draft, overtaken)
-    if wrong:
-        return Failure(Rejection(wrong))
-    # Nobody else may be told that this number stands for another content, so it goes into the record.
-    for change in overtaken:
         held = base.item(change.kind, change.name)
-        assert held is not None
-        draft.put([with_recorded_version(held, change.version, change.body, draft.seq + 1)])
+        held_version = change.version if held is None else held.version
+        kind = classify_change(held, change.version, change.body)
+        if kind is ChangeKind.CONFLICT:
+            return Failure(VersionConflict(change.kind, change.name, change.version, held_version))
+        if kind is ChangeKind.FORGOTTEN:
+            return Failure(VersionForgotten(change.kind, change.name, change.version, held_version))
+        if kind is ChangeKind.NEWER:
+            newer.append(change)
+        elif kind is ChangeKind.SUPERSEDED:
+            superseded.append(change)
+    draft = Draft(base)
+    rejection = _put_newer(draft, newer) or _check_superseded(base, draft, superseded)
+    if rejection is not None:
+        return Failure(rejection)
+    _record_superseded(base, draft, superseded)
     return Success(draft)
 
 
-def _named(change: Change) -> str:
-    return f"{change.kind} {change.name}".strip() + f" r{change.version}"
-
-
-def _stands(item: Item | None) -> bool:
-    return item is not None and item.body is not None
-
-
-def _put(draft: Draft, newer: Call) -> str:
-    """Empty, or why the state would be invalid."""
+def _put_newer(draft: Draft, newer: Call) -> Rejection | None:
+    """Put the changes into the draft, and check what they refer to there."""
     items = []
     for seq, change in enumerate(newer, draft.seq + 1):
         body = None if change.body is None else msgspec.json.encode(change.body)
         held = draft.item(change.kind, change.name)
         items.append(with_new_version(held, change.kind, change.name, change.version, seq, body))
-    for other, name in draft.put(items):
-        return f"routes {other} and {name} have the same host and prefix"
+    for conflict in draft.put(items):
+        return MatchTaken(conflict.taken_by, conflict.route)
     for change in newer:
-        if change.kind == ROUTE and change.body is not None:
-            for service in _targets(change.body):
-                if not _stands(draft.item(SERVICE, service)):
-                    return f"route {change.name}: service {service} is not known"
-        if change.kind == SERVICE and change.body is None and draft.reference_count(change.name):
-            return f"service {change.name} is named by {draft.reference_count(change.name)} routes"
-    return ""
+        rejection = _check_references(draft, change)
+        if rejection is not None:
+            return rejection
+    return None
+
+
+def _check_references(draft: Draft, change: Change) -> Rejection | None:
+    """A route needs its services, and a service that routes refer to must stay."""
+    if change.kind == ROUTE and change.body is not None:
+        for service in _services_of(change.body):
+            if not _exists(draft.item(SERVICE, service)):
+                return UnknownService(change.name, service)
+    if change.kind == SERVICE and change.body is None:
+        route_count = draft.reference_count(change.name)
+        if route_count:
+            return ServiceInUse(change.name, route_count)
+    return None
+
+
+def _check_superseded(base: Base, draft: Draft, superseded: Call) -> Rejection | None:
+    """Check changes that are too old to take effect: an invalid one is never acknowledged.
+
+    The services that they refer to must have existed at some time, or come with the call.
+    """
+    for change in superseded:
+        if change.kind != ROUTE or change.body is None:
+            continue
+        for service in _services_of(change.body):
+            if base.item(SERVICE, service) is None and not _exists(draft.item(SERVICE, service)):
+                return UnknownService(change.name, service)
+    return None
+
+
+def _record_superseded(base: Base, draft: Draft, superseded: Call) -> None:
+    """Record their contents: no later call may use the same version for another content."""
+    for change in superseded:
+        held = base.item(change.kind, change.name)
+        assert held is not None
+        draft.put([with_recorded_version(held, change.version, change.body, draft.seq + 1)])
+
+
+def _exists(item: Item | None) -> bool:
+    return item is not None and item.body is not None
 
 
-def _overtaken_is_wrong(base: Base, draft: Draft, overtaken: Call) -> str:
-    """What is too old to change anything is checked, too: what is invalid is never acknowledged. The services that it
-    names must have been known at some time, or come with the call."""
-    for change in overtaken:
-        if change.kind == ROUTE and change.body is not None:
-            for service in _targets(change.body):
-                if base.item(SERVICE, service) is None and not _stands(draft.item(SERVICE, service)):
-                    return f"route {change.name}: service {service} is not known"
-    return ""
+def _services_of(route: dict[str, Any]) -> list[str]:
+    """The services that a route with this body refers to."""
+    target = route["Rule"]["Then"]
+    if "TargetService" in target:
+        return [target["TargetService"]]
+    return [part["TargetService"] for part in target["TrafficSplit"]]
--- a/tests/control/defects_point_2.py
+++ b/tests/control/defects_point_2.py
@@ -112,8 +112,8 @@
 
 
 def a_place_is_never_free_again(patch: Patch) -> None:
-    patch.setattr(route_index.RouteIndex, "_release", lambda self, held: None)
-    patch.setattr(draft.Draft, "_release", lambda self, name, references: None)
+    patch.setattr(route_index.RouteIndex, "_remove", lambda self, held: None)
+    patch.setattr(draft.Draft, "_remove_references", lambda self, name, references: None)
 
 
 def what_uses_a_service_is_not_counted(patch: Patch) -> None:
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -8,10 +8,10 @@
 import pytest
 
 from lilacsill.address import Address
-from lilacsill.mesh.proxy.budget import Budget
+from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
 from lilacsill.mesh.proxy.backend_request import BackendRequest
+from lilacsill.mesh.proxy.budget import Budget
 from lilacsill.mesh.proxy.forwarding import Forwarding
-from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
 from lilacsill.mesh.proxy.reasons import FailureReason, RejectionReason
 from lilacsill.mesh.proxy.transports import ExchangeLinks, LinkExchange
 from lilacsill.mesh.registry.directory import Directory
--- a/tests/control/test_point_2_orders.py
+++ b/tests/control/test_point_2_orders.py
@@ -26,7 +26,7 @@
     with_services,
 )
 from lilacsill.mesh.simulation.store_fleet import RuleBroken, put, route
-from lilacsill.mesh.store import validation
+from lilacsill.mesh.store import calls, validation
 from lilacsill.mesh.store.accepted_changes import MAX_VERSIONS, without_history
 from lilacsill.mesh.store.digests import RANGE_COUNT
 from lilacsill.mesh.store.draft import Draft
@@ -85,7 +85,7 @@
     """As a head does with calls that wait together."""
     draft, statuses = Draft(state), []
     for body in bodies:
-        read = validation.parse_call(msgspec.json.encode(body))
+        read = calls.parse_call(msgspec.json.encode(body))
         if isinstance(read, Failure):
             statuses.append(400)
             continue
--- a/tests/control/test_point_5_callers.py
+++ b/tests/control/test_point_5_callers.py
@@ -10,8 +10,8 @@
 
 from lilacsill.address import Address
 from lilacsill.http1.message import Message as Request
-from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
+from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.registry.directory import Directory
 from lilacsill.mesh.registry.process import Process as Registry
 from lilacsill.mesh.runtime import control
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -21,9 +21,9 @@
     View,
 )
 from lilacsill.mesh.store import chain as chains
-from lilacsill.mesh.store import node
-from lilacsill.mesh.store import validation as calls
+from lilacsill.mesh.store import node, validation
 from lilacsill.mesh.store.accepted_changes import ChangeKind
+from lilacsill.mesh.store.calls import Call
 from lilacsill.mesh.store.chain import Chain
 from lilacsill.mesh.store.draft import Base, Draft
 from lilacsill.mesh.store.environment import Save
@@ -120,14 +120,14 @@
 
 
 def calls_are_taken_unchecked(patch: Patch) -> None:
-    def apply_call(base: Base, call: list[calls.Change]) -> object:
+    def apply_call(base: Base, call: Call) -> object:
         draft = Draft(base)
         for c in call:
             body = None if c.body is None else msgspec.json.encode(c.body)
             draft.put([Item(c.kind, c.name, c.version, draft.seq + 1, body)])
         return Success(draft)
 
-    patch.setattr(calls, "apply_call", apply_call)
+    patch.setattr(validation, "apply_call", apply_call)
 
 
 def anyone_takes_a_call(patch: Patch) -> None:
@@ -182,7 +182,7 @@
 
 
 def an_old_call_wins(patch: Patch) -> None:
-    patch.setattr(calls, "classify_change", lambda held, version, content: ChangeKind.NEWER)
+    patch.setattr(validation, "classify_change", lambda held, version, content: ChangeKind.NEWER)
 
 
 def votes_before_sync(patch: Patch) -> None:
--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -14,11 +14,11 @@
 from lilacsill.address import Address
 from lilacsill.http1.connection import Connection
 from lilacsill.http1.message import Message, Reader
-from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.backend_gateway import BackendGateway
+from lilacsill.mesh.proxy.backend_lifecycle import BackendHeartbeat, BackendLifecycle
 from lilacsill.mesh.proxy.forwarding import Forwarder
 from lilacsill.mesh.proxy.inbound import Clients
-from lilacsill.mesh.proxy.backend_lifecycle import BackendHeartbeat, BackendLifecycle
+from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.routes import Routes
 from lilacsill.mesh.runtime.link import Listener
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Item
--- a/tests/mesh/test_decisions.py
+++ b/tests/mesh/test_decisions.py
@@ -7,9 +7,9 @@
 
 import pytest
 
-from lilacsill.mesh.proxy.budget import Budget
 from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
 from lilacsill.mesh.proxy.backend_lifecycle import BackendHeartbeat, BackendLifecycle
+from lilacsill.mesh.proxy.budget import Budget
 from lilacsill.mesh.proxy.circuit_breaker import MIN_BACKOFF_US, WRITE_TRIAL_DELAY_US, CircuitBreaker
 from lilacsill.mesh.proxy.lost_requests import LostRequestDetector
 from lilacsill.mesh.proxy.table import Table
--- a/tests/mesh/test_openapi.py
+++ b/tests/mesh/test_openapi.py
@@ -10,7 +10,7 @@
 from openapi_spec_validator import validate
 
 from lilacsill.mesh.proxy.backend_lifecycle import parse_heartbeat
-from lilacsill.mesh.store.validation import SCHEMA
+from lilacsill.mesh.store.call_schema import CALL_SCHEMA
 
 ROOT = Path(__file__).parent.parent.parent
 DOCUMENT = yaml.safe_load((ROOT / "docs/api/openapi.yaml").read_text())
@@ -45,7 +45,7 @@
 
 
 def test_a_call_is_checked_as_the_document_says() -> None:
-    compare({"$ref": "#/components/schemas/Call"}, {"type": "dict", "schema": SCHEMA}, "Call")
+    compare({"$ref": "#/components/schemas/Call"}, {"type": "dict", "schema": CALL_SCHEMA}, "Call")
 
 
 def beat() -> dict[str, Any]:
