--- a/lilacsill/mesh/store/membership.py
+++ b/lilacsill/mesh/store/membership.py
@@ -329,6 +329,6 @@
             self._wish_at = self._environment.now() + PROPOSER_DELAY_US
 
     def _over(self, proposal: Proposal) -> None:
-        if self._proposal is proposal and not proposal.over:
-            proposal.over = True
+        if self._proposal is proposal and not proposal.is_finished:
+            proposal.cancel()
             self._proposal = None
--- a/lilacsill/mesh/store/paxos.py
+++ b/lilacsill/mesh/store/paxos.py
@@ -1,13 +1,14 @@
-"""The view agreed: for each next view one decree of Paxos (Lamport, 1998) among the members of the view before.
+"""Agreement on the next view: for each view number one decree of Paxos (Lamport, "The Part-Time Parliament", 1998).
 
-There is no leader and no log: anyone may propose, and what is agreed is a fact that anyone may pass on. A member that
-has lost its disk has another incarnation, and is not the one that is asked. No I/O.
+The voters on view n + 1 are the members of view n. There is no leader and no log: any member may propose, and a view
+that was chosen is a fact that anyone may pass on. A member that has lost its disk has another incarnation, so it is not
+the member that is asked. No I/O.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass
+from enum import Enum, auto
 from typing import Protocol
 
 import msgspec
@@ -15,130 +16,181 @@
 from lilacsill.mesh.runtime.messages import Accept, Accepted, Ballot, Member, Message, Prepare, Promise, View
 
 NO_BALLOT = Ballot(0, "")
-"""Lower than every ballot of a proposal."""
+"""Lower than the ballot of any proposal."""
+
+STORAGE_KEY = "accord"
+"""The name under which an acceptor's state is on disk."""
 
 
 class AcceptorState(msgspec.Struct, array_like=True):
-    """What an acceptor must not forget."""
+    """What an acceptor must not forget: it is on disk before an answer that rests on it is sent."""
 
-    number: int = 0  # of the view that it is about
+    view_number: int = 0  # of the view that is voted on
     promised: Ballot = NO_BALLOT
     accepted_ballot: Ballot | None = None
     accepted_view: View | None = None
 
 
 class StableStorage(Protocol):
+    """Where an acceptor keeps its state."""
+
     def persist(self, name: str, value: bytes, done: Callable[[], None]) -> None:
-        """On disk before `done`."""
+        """Write the value, and call `done` once it is on disk."""
 
 
 class Acceptor:
-    """One member's voice."""
+    """One voter."""
 
-    def __init__(self, me: Member, acceptor_state: AcceptorState, storage: StableStorage) -> None:
-        self.me, self.state, self._storage = me, acceptor_state, storage
+    def __init__(self, me: Member, state: AcceptorState, storage: StableStorage) -> None:
+        self.me, self.state, self._storage = me, state, storage
 
     def has_accepted_next(self, view: View) -> bool:
-        """It has accepted a next view: whether that stands it does not know, and no read may rest on it."""
-        return self.state.number == view.number + 1 and self.state.accepted_view is not None
+        """Return whether this voter has accepted a view after this one.
 
-    def promised(self, view: View) -> Ballot:
-        """The highest ballot promised for the next view."""
-        return self.state.promised if self.state.number == view.number + 1 else NO_BALLOT
-
-    def _state_of(self, number: int) -> AcceptorState:
-        if self.state.number != number:
-            self.state = AcceptorState(number)
-        return self.state
+        It does not know whether that view was chosen, so it must not rely on this one being in force.
+        """
+        return self.state.view_number == view.number + 1 and self.state.accepted_view is not None
 
-    def prepare(self, view: View, m: Prepare, reply: Callable[[Message], None]) -> None:
-        if m.to != self.me or self.me not in view.members or m.view_number != view.number + 1:
+    def promised(self, view: View) -> Ballot:
+        """Return the highest ballot promised for the view after this one."""
+        return self.state.promised if self.state.view_number == view.number + 1 else NO_BALLOT
+
+    def prepare(self, view: View, request: Prepare, reply: Callable[[Message], None]) -> None:
+        """Answer phase 1 with a `Promise`.
+
+        Args:
+            view: the view in force here.
+            request: what the proposer asks for.
+            reply: called once; after the state is on disk, if the answer is a promise.
+        """
+        if not self._may_vote(view, request.to, request.view_number):
             return reply(Promise(False, NO_BALLOT, None, None, view))
-        acceptor_state = self._state_of(m.view_number)
-        if m.ballot <= acceptor_state.promised:
-            return reply(Promise(False, acceptor_state.promised, None, None, view))
-        acceptor_state.promised = m.ballot
-        answer = Promise(True, m.ballot, acceptor_state.accepted_ballot, acceptor_state.accepted_view, view)
+        state = self._state_of(request.view_number)
+        if request.ballot <= state.promised:
+            return reply(Promise(False, state.promised, None, None, view))
+        state.promised = request.ballot
+        answer = Promise(True, request.ballot, state.accepted_ballot, state.accepted_view, view)
         self._persist(lambda: reply(answer))
 
-    def accept(self, view: View, m: Accept, reply: Callable[[Message], None]) -> None:
-        if m.to != self.me or self.me not in view.members or m.view.number != view.number + 1:
+    def accept(self, view: View, request: Accept, reply: Callable[[Message], None]) -> None:
+        """Answer phase 2 with an `Accepted`.
+
+        Args:
+            view: the view in force here.
+            request: what the proposer asks for.
+            reply: called once; after the state is on disk, if the view was accepted.
+        """
+        if not self._may_vote(view, request.to, request.view.number):
             return reply(Accepted(False, NO_BALLOT, view))
-        acceptor_state = self._state_of(m.view.number)
-        if m.ballot < acceptor_state.promised:
-            return reply(Accepted(False, acceptor_state.promised, view))
-        acceptor_state.promised, acceptor_state.accepted_ballot, acceptor_state.accepted_view = (
-            m.ballot,
-            m.ballot,
-            m.view,
-        )
-        answer = Accepted(True, m.ballot, view)
+        state = self._state_of(request.view.number)
+        if request.ballot < state.promised:
+            return reply(Accepted(False, state.promised, view))
+        state.promised = request.ballot
+        state.accepted_ballot = request.ballot
+        state.accepted_view = request.view
+        answer = Accepted(True, request.ballot, view)
         self._persist(lambda: reply(answer))
 
+    def _may_vote(self, view: View, voter: Member, next_number: int) -> bool:
+        return voter == self.me and self.me in view.members and next_number == view.number + 1
+
+    def _state_of(self, view_number: int) -> AcceptorState:
+        if self.state.view_number != view_number:
+            self.state = AcceptorState(view_number)
+        return self.state
+
     def _persist(self, done: Callable[[], None]) -> None:
-        self._storage.persist("accord", msgspec.msgpack.encode(self.state), done)
+        self._storage.persist(STORAGE_KEY, msgspec.msgpack.encode(self.state), done)
 
 
-@dataclass(slots=True)
-class ProposalCallbacks:
-    """What a proposal needs of its process."""
+class ProposalCallbacks(msgspec.Struct):
+    """What a proposal needs of its proposer."""
 
-    ask: Callable[[Member, Message, Callable[[Message | None], None]], None]
-    agreed: Callable[[View], None]
-    failed: Callable[[View | None, Ballot], None]  # a later view that somebody has; the ballot to go beyond
+    ask: Callable[[Member, Message, Callable[[Message | None], None]], None]  # None: no answer in time
+    on_chosen: Callable[[View], None]
+    on_failed: Callable[[View | None, Ballot], None]  # a later view in force elsewhere; the ballot to exceed
+
+
+class Phase(Enum):
+    """The state of a proposal."""
+
+    PREPARE = auto()
+    ACCEPT = auto()
+    FINISHED = auto()
 
 
 class Proposal:
-    """One try at one ballot. Ends once: agreed or failed."""
+    """One attempt to have a view chosen, with one ballot. It ends once: chosen, failed or cancelled."""
 
-    def __init__(self, view: View, wanted: View, ballot: Ballot, ways: ProposalCallbacks) -> None:
-        assert wanted.number == view.number + 1 and wanted.members
-        self._view, self._value, self._ballot, self._ways = view, wanted, ballot, ways
-        self._best: Ballot = NO_BALLOT
-        self._yes = self._no = 0
-        self._second = self.over = False
-        self._beyond = ballot
+    def __init__(self, view: View, proposed: View, ballot: Ballot, callbacks: ProposalCallbacks) -> None:
+        assert proposed.number == view.number + 1 and proposed.members
+        self._view, self._value, self._ballot, self._callbacks = view, proposed, ballot, callbacks
+        self._phase = Phase.PREPARE
+        self._highest_accepted = NO_BALLOT
+        self._votes = self._rejections = 0  # in this phase
+        self._ballot_to_exceed = ballot
+
+    @property
+    def is_finished(self) -> bool:
+        """Whether nothing more will come of it."""
+        return self._phase is Phase.FINISHED
 
     def begin(self) -> None:
+        """Send phase 1 to all voters."""
         for member in self._view.members:
-            self._ways.ask(member, Prepare(member, self._value.number, self._ballot), self._promised)
+            self._callbacks.ask(member, Prepare(member, self._value.number, self._ballot), self._on_promise)
+
+    def cancel(self) -> None:
+        """Ignore all answers from here on. The view may be chosen all the same."""
+        self._phase = Phase.FINISHED
 
     def _majority(self) -> int:
         return self._view.majority
 
-    def _promised(self, m: Message | None) -> None:
-        if self.over or self._second:
+    def _on_promise(self, answer: Message | None) -> None:
+        if self._phase is not Phase.PREPARE:
             return
-        if not isinstance(m, Promise) or not m.ok:
-            return self._refused(
-                m.view if isinstance(m, Promise) else None, m.ballot if isinstance(m, Promise) else NO_BALLOT
-            )
-        if m.accepted_view is not None and m.accepted_ballot is not None and m.accepted_ballot > self._best:
-            self._best, self._value = m.accepted_ballot, m.accepted_view  # it may stand already
-        self._yes += 1
-        if self._yes == self._majority():
-            self._second, self._yes, self._no = True, 0, 0
-            for member in self._view.members:
-                self._ways.ask(member, Accept(member, self._ballot, self._value), self._accepted)
-
-    def _accepted(self, m: Message | None) -> None:
-        if self.over:
+        if not isinstance(answer, Promise):
+            return self._on_rejection(None, NO_BALLOT)
+        if not answer.ok:
+            return self._on_rejection(answer.view, answer.ballot)
+        self._adopt_accepted(answer)
+        self._votes += 1
+        if self._votes == self._majority():
+            self._begin_accept_phase()
+
+    def _adopt_accepted(self, promise: Promise) -> None:
+        """A view that was accepted before may have been chosen, so it must be the one that is proposed."""
+        if promise.accepted_view is None or promise.accepted_ballot is None:
+            return
+        if promise.accepted_ballot > self._highest_accepted:
+            self._highest_accepted, self._value = promise.accepted_ballot, promise.accepted_view
+
+    def _begin_accept_phase(self) -> None:
+        self._phase = Phase.ACCEPT
+        self._votes = self._rejections = 0
+        for member in self._view.members:
+            self._callbacks.ask(member, Accept(member, self._ballot, self._value), self._on_accepted)
+
+    def _on_accepted(self, answer: Message | None) -> None:
+        if self.is_finished:
             return
-        if not isinstance(m, Accepted) or not m.ok:
-            return self._refused(
-                m.view if isinstance(m, Accepted) else None, m.ballot if isinstance(m, Accepted) else NO_BALLOT
-            )
-        self._yes += 1
-        if self._yes == self._majority():
-            self.over = True
-            self._ways.agreed(self._value)
-
-    def _refused(self, view: View | None, ballot: Ballot) -> None:
-        self._beyond = max(self._beyond, ballot)
+        if not isinstance(answer, Accepted):
+            return self._on_rejection(None, NO_BALLOT)
+        if not answer.ok:
+            return self._on_rejection(answer.view, answer.ballot)
+        self._votes += 1
+        if self._votes == self._majority():
+            self._phase = Phase.FINISHED
+            self._callbacks.on_chosen(self._value)
+
+    def _on_rejection(self, view: View | None, promised: Ballot) -> None:
+        """A voter rejected the proposal, or did not answer: then `view` is None."""
+        self._ballot_to_exceed = max(self._ballot_to_exceed, promised)
         if view is not None and view.number > self._view.number:
-            self.over = True
-            return self._ways.failed(view, self._beyond)
-        self._no += 1
-        if self._no > len(self._view.members) - self._majority():
-            self.over = True
-            self._ways.failed(None, self._beyond)
+            self._phase = Phase.FINISHED
+            return self._callbacks.on_failed(view, self._ballot_to_exceed)
+        self._rejections += 1
+        if self._rejections > len(self._view.members) - self._majority():
+            self._phase = Phase.FINISHED
+            self._callbacks.on_failed(None, self._ballot_to_exceed)
--- a/lilacsill/mesh/store/quorum.py
+++ b/lilacsill/mesh/store/quorum.py
@@ -1,7 +1,7 @@
-"""A question to all members of the view: does it stand at this moment? No I/O.
+"""Confirm with a majority of the members that the present view is still in force. No I/O.
 
-Answers that rest on the state of one member, be they reads, refusals or "nothing to change", go out only if a majority
-that was asked after the call came says so. A member on the smaller side of a cut gets no majority.
+An answer that rests on the state of one member alone (a read, a refusal, "nothing to change") is sent only after such a
+confirmation that began after the call arrived. A member on the minority side of a partition gets none.
 """
 
 from __future__ import annotations
@@ -12,23 +12,29 @@
 
 from .replica import Replica
 
-CONFIRM_US = 400_000
+CONFIRM_TIMEOUT_US = 400_000
 
 
 def confirm_view(replica: Replica, done: Callable[[bool], None]) -> None:
-    """`done` is called once: whether a majority of the view, asked now, stands behind it."""
+    """Ask all members of the view, this one too, whether it is in force.
+
+    Args:
+        replica: the member that asks.
+        done: called once, with True if a majority confirmed and the view has not changed meanwhile.
+    """
     view = replica.view
-    needed = view.majority
-    yes, outstanding, over = 0, len(view.members), False
+    confirmations, outstanding, finished = 0, len(view.members), False
 
-    def answered(m: Message | None) -> None:
-        nonlocal yes, outstanding, over
+    def on_answer(answer: Message | None) -> None:
+        nonlocal confirmations, outstanding, finished
         outstanding -= 1
-        yes += isinstance(m, Confirmed) and m.ok
-        if over or (yes < needed and outstanding):
+        if isinstance(answer, Confirmed) and answer.ok:
+            confirmations += 1
+        is_confirmed = confirmations >= view.majority
+        if finished or (outstanding and not is_confirmed):
             return
-        over = True
-        done(yes >= needed and replica.view.number == view.number)
+        finished = True
+        done(is_confirmed and replica.view.number == view.number)
 
     for member in view.members:
-        replica.environment.ask(member.address, Confirm(view.number), CONFIRM_US, answered)
+        replica.environment.ask(member.address, Confirm(view.number), CONFIRM_TIMEOUT_US, on_answer)
--- a/tests/control/defects_point_1.py
+++ b/tests/control/defects_point_1.py
@@ -52,7 +52,7 @@
 def a_restarted_voter_forgets_its_grants(patch: Patch) -> None:
     def init(self: LeaseGrantor, started_at: int) -> None:
         real(self, started_at)
-        self._unknown_until = 0
+        self._unknown_until_us = 0
 
     real = LeaseGrantor.__init__
     patch.setattr(LeaseGrantor, "__init__", init)
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -186,11 +186,11 @@
 
 
 def votes_before_sync(patch: Patch) -> None:
-    def keep(self: Acceptor, done: Callable[[], None]) -> None:
+    def persist(self: Acceptor, done: Callable[[], None]) -> None:
         self._storage.persist("accord", msgspec.msgpack.encode(self.state), lambda: None)
         done()
 
-    patch.setattr(Acceptor, "_persist", keep)
+    patch.setattr(Acceptor, "_persist", persist)
 
 
 def one_voice_is_a_majority(patch: Patch) -> None:
@@ -198,13 +198,13 @@
 
 
 def what_was_accepted_before_is_ignored(patch: Patch) -> None:
-    def promised(self: Proposal, m: Any) -> None:
+    def on_promise(self: Proposal, m: Any) -> None:
         if isinstance(m, Promise):
             m = Promise(m.ok, m.ballot, None, None, m.view)
         real(self, m)
 
-    real = Proposal._promised
-    patch.setattr(Proposal, "_promised", promised)
+    real = Proposal._on_promise
+    patch.setattr(Proposal, "_on_promise", on_promise)
 
 
 def any_ballot_is_accepted(patch: Patch) -> None:
