--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -14,6 +14,7 @@
 
 from httptools import HttpRequestParser
 
+
 PIECE = bytes(64 * 1024)
 
 
--- a/tests/control/long_days.py
+++ b/tests/control/long_days.py
@@ -13,8 +13,8 @@
 from lilacsill.mesh.runtime.messages import Patch as PatchCall
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.store_fleet import RuleBroken, put, route
-from lilacsill.mesh.store import state as states
 from lilacsill.mesh.store import successor
+from lilacsill.mesh.store import state as states
 
 from .long_days_scene import Scene, Sent
 
