--- a/lilacsill/mesh/runtime/records.py
+++ b/lilacsill/mesh/runtime/records.py
@@ -82,6 +82,13 @@
     incarnation: str
 
 
+class Ballot(NamedTuple):
+    """A proposal number of Paxos: ballots are ordered by number, and of equal numbers by proposer."""
+
+    number: int
+    proposer: str  # address of the member that proposes
+
+
 class View(msgspec.Struct, array_like=True, gc=False, frozen=True):
     """The voters and the chain, head first. A majority of the members of view n - 1 agrees on view n.
 
--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -15,7 +15,7 @@
 from lilacsill.mesh.runtime.freshness import freshness_of_reply
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Message
 
-from .accepted_changes import for_followers
+from .accepted_changes import without_history
 from .chain import Chain
 from .membership import Membership
 from .replica import Replica
@@ -67,7 +67,7 @@
             self._answer(poll)
 
     def _may_answer(self) -> bool:
-        return self._replica.is_tail and self._chain.synced and self._membership.sure()
+        return self._replica.is_tail and self._chain.synced and self._membership.holds_lease()
 
     def _answer(self, poll: Poll) -> None:
         if not self._may_answer():
@@ -75,7 +75,7 @@
             return
         state, now = self._replica.state, self._environment.now()
         changes = state.items_since(poll.request.seq) if state.seq > poll.request.seq else []
-        update = ConfigUpdate(state.seq, for_followers(changes), freshness_of_reply(now, poll.received_at_us, now))
+        update = ConfigUpdate(state.seq, without_history(changes), freshness_of_reply(now, poll.received_at_us, now))
         poll.reply(FollowReply(update, self._membership.peers()))
 
     def _no_update(self) -> FollowReply:
