--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -15,9 +15,10 @@
 from lilacsill.mesh.proxy.control_api import OfferServer
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.proxy.far import BackendGateway
-from lilacsill.mesh.proxy.forwarding import Forwarder
+from lilacsill.mesh.proxy.forwarder import Forwarder
 from lilacsill.mesh.proxy.life import Life
 from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.upstreams import Upstreams
 from lilacsill.mesh.proxy.neighbours import Neighbours
 from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.proxy.endpoint_table import EndpointTable
@@ -130,11 +131,11 @@
         assert settings.app is not None
         self._life = Life(1_000_000)
         self._gateway = BackendGateway(reactor, self._life, settings.app)
-        self.carrier = Forwarder(
-            reactor, ActiveConfig(), self._gateway, settings.node, settings.service, RETRY_BUDGET, Random(number)
-        )
+        rng = Random(number)
+        upstreams = Upstreams(reactor, self._gateway, settings.node, RETRY_BUDGET, rng)
+        self.carrier = Forwarder(reactor, ActiveConfig(), upstreams, settings.service, rng)
         if shared is not None:
-            self.carrier.tables = shared.tables
+            upstreams.tables = shared.tables
         self.news = HollowDiscovery(settings, reactor, self.carrier, self._life)
         self.news.proxy, self.news.shared = self, shared
         self.news.on_news = lambda: on_news(self)
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -19,7 +19,7 @@
 from lilacsill.mesh.runtime.rpc import Peers
 from lilacsill.mesh.runtime.settings import Settings
 
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 from .life import Life
 from .neighbours import told
 
@@ -52,7 +52,7 @@
         self._others: dict[str, str] | None = None  # None: to be made anew
         self.accused: set[str] = set()  # neighbours that cannot be seen
         self.on_news: Callable[[], None] = lambda: None
-        carrier.sure = self.sure
+        carrier.is_config_current = self.sure
 
     def sure(self) -> bool:
         """Whether the configuration here is the one that stands."""
@@ -168,7 +168,7 @@
             if gone is not None:
                 self._others = None
             self._drop_links(gone)
-            for table in self._carrier.tables.values():
+            for table in self._carrier.upstreams.tables.values():
                 table.remove(node)
         routes = self._carrier.config
         if m.items or m.config_seq > routes.seq:
@@ -180,7 +180,7 @@
             self._reactor.after(BEHIND_US, self._still_behind, registry)
         if m.registry_addresses:
             self._registries = set(m.registry_addresses)
-        self._carrier.proxies = max(1, len(self.endpoints))
+        self._carrier.upstreams.proxies = max(1, len(self.endpoints))
         self.on_news()
         self._refute(m.endpoints)
 
@@ -193,7 +193,7 @@
     def _drop_links(self, endpoint: Endpoint | None) -> None:
         """The process at its far end is over; a request that went out on one would have an unknown outcome."""
         if endpoint is not None:
-            self._carrier.links.drop(Address(endpoint.host, endpoint.port))
+            self._carrier.upstreams.links.close_idle(Address(endpoint.host, endpoint.port))
 
     def _still_behind(self, registry: str) -> None:
         """That registry knows of more, and the one that should bring it has not."""
@@ -211,8 +211,8 @@
         if held is not None and held.incarnation != endpoint.incarnation:
             self._drop_links(held)
         if held is not None and held.service != endpoint.service:
-            self._carrier.table(held.service).remove(endpoint.node)
-        self._carrier.table(endpoint.service).update(endpoint, now)
+            self._carrier.upstreams.table(held.service).remove(endpoint.node)
+        self._carrier.upstreams.table(endpoint.service).update(endpoint, now)
 
 
 def place_of(endpoint: Endpoint) -> tuple[str, int, bool]:
--- /dev/null
+++ b/lilacsill/mesh/proxy/exchange.py
@@ -0,0 +1,88 @@
+"""Exchanges: one offer of a request to the proxy beside a backend, and its one outcome.
+
+The exchange with the backend of this machine stays within the process; `exchange_links` has those with other proxies.
+"""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from lilacsill.mesh.runtime.messages import BodyChunk, Message, NoResponse, Offer, Rejected, Response
+from lilacsill.mesh.runtime.reactor import Reactor
+
+from .far import BackendGateway, BackendRequest
+
+Outcome = Rejected | Response | NoResponse | BodyChunk
+
+
+class OutcomeListener(Protocol):
+    """The sender of an offer. It hears one outcome, and never from inside a call of its own."""
+
+    def on_outcome(self, message: Outcome) -> None:
+        """Handle an outcome. Parts follow an incomplete answer, or `NoResponse` where it is cut."""
+
+    def on_unreachable(self) -> None:
+        """Handle that no link could be opened: the request was not offered."""
+
+    def on_link_lost(self) -> None:
+        """Handle that the link broke after the offer, or brought what is no answer to it: it may have run."""
+
+
+class Exchange(Protocol):
+    """One exchange, as the sender of the offer uses it."""
+
+    def send_body(self, chunk: BodyChunk) -> None:
+        """Send more of the request's body."""
+
+    @property
+    def unsent(self) -> int:
+        """Bytes of the body that the other end has not taken."""
+
+    def cancel(self) -> None:
+        """Give the exchange up: its outcome is not needed."""
+
+    def pause(self) -> None:
+        """Hold back the answer, since its client does not take it."""
+
+    def resume(self) -> None:
+        """Let the answer come."""
+
+
+class LocalExchange:
+    """An exchange with the backend of this machine."""
+
+    def __init__(self, reactor: Reactor, gateway: BackendGateway, offer: Offer, listener: OutcomeListener) -> None:
+        self._listener: OutcomeListener | None = listener
+        self._reactor = reactor
+        self._request: BackendRequest | None = gateway.offer(offer, self)
+
+    def send(self, message: Message) -> int:
+        """Take an outcome from the gateway. Nothing is ever left unsent."""
+        # The listener must not be called from inside its own call.
+        self._reactor.call_soon(self._deliver, message)
+        return 0
+
+    def _deliver(self, message: Outcome) -> None:
+        if self._listener is not None:
+            self._listener.on_outcome(message)
+
+    def send_body(self, chunk: BodyChunk) -> None:
+        if self._request is not None:
+            self._request.piece(chunk)
+
+    @property
+    def unsent(self) -> int:
+        return self._request.unsent if self._request is not None else 0
+
+    def cancel(self) -> None:
+        self._listener = None
+        if self._request is not None:
+            self._request.cancel()
+
+    def pause(self) -> None:
+        if self._request is not None:
+            self._request.hold(True)
+
+    def resume(self) -> None:
+        if self._request is not None:
+            self._request.hold(False)
--- /dev/null
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -0,0 +1,319 @@
+"""One client's request on its way: attempts at backends, retries, and the one final response.
+
+A request that was rejected has arrived nowhere and is offered to the next endpoint at no cost. One that may have run is
+retried only where its route is idempotent and the retry budget has room; otherwise its client gets a failure that
+promises nothing. No other module sends a client's request again; `docs/control-safety.md` lists what each retry rests
+on.
+"""
+
+from __future__ import annotations
+
+from random import Random
+from typing import Protocol
+
+from lilacsill.http1.message import Message as HttpMessage
+from lilacsill.mesh.runtime.messages import BodyChunk, Headers, NoResponse, Offer, Rejected, Response
+from lilacsill.mesh.runtime.reactor import Reactor
+
+from .attempts import AttemptHistory
+from .backend import passed_on
+from .endpoint_table import EndpointLoad
+from .exchange import Exchange, Outcome
+from .far import PILE
+from .request_body import RequestBody
+from .response_writer import ResponseWriter, retry_after
+from .route_statistics import RouteStatistics
+from .routes import Route
+from .upstreams import Upstreams
+
+# Headers of the client that the proxy sets itself or answers for.
+REPLACED_HEADERS = frozenset((b"calling-service", b"meant-server", b"time-left-ms", b"expect"))
+DEFAULT_PATIENCE_US = 60_000_000  # of a client that states none
+MAX_TIME_LEFT_DIGITS = 9  # more is no sensible time
+TIMEOUT_MARGIN_US = 20_000  # an outcome of another proxy that comes at the deadline is still waited for
+MIN_ATTEMPT_US = 2_000  # with less time left no attempt is worth while
+FAILING_SERVICE_RATE = 0.15  # failure rate of the best backend: then what the service calls is at fault
+EJECTING_REASONS = ("life", "leaving", "unreachable")  # for which a backend rejects everything, also what comes next
+
+
+def client_patience_us(request: HttpMessage) -> int:
+    """Return how long the client waits for its response, by the request's `Time-Left-Ms`."""
+    time_left = request.fields.get(b"time-left-ms", b"")
+    if time_left.isdigit() and len(time_left) <= MAX_TIME_LEFT_DIGITS:
+        return int(time_left) * 1000
+    return DEFAULT_PATIENCE_US
+
+
+def stated_length(request: HttpMessage) -> int | None:
+    """Return the length of the body by the request's header; None where it comes in chunks."""
+    if request.length is None:
+        return None if b"transfer-encoding" in request.fields else 0
+    return request.length
+
+
+class RequestOwner(Protocol):
+    """What all requests of this proxy share, and the one that is notified of their ends."""
+
+    reactor: Reactor
+    rng: Random
+    upstreams: Upstreams
+    statistics: RouteStatistics
+    caller: bytes  # the service of the backend on this machine, which all its requests are marked with
+
+    def request_ended(self, request: ForwardedRequest) -> None:
+        """Forget the request."""
+
+
+class Attempt:
+    """One attempt that is under way."""
+
+    __slots__ = ("entry", "number")
+
+    def __init__(self, entry: EndpointLoad, number: int) -> None:
+        self.entry, self.number = entry, number
+
+
+class ForwardedRequest:
+    """The state of one request. It hears the outcomes of its exchanges (`exchange.OutcomeListener`)."""
+
+    def __init__(
+        self, owner: RequestOwner, request: HttpMessage, route: Route, response: ResponseWriter, is_complete: bool
+    ) -> None:
+        self._owner, self._request, self._route, self._response = owner, request, route, response
+        self._service = route.choose_service(owner.rng)
+        self._table = owner.upstreams.table(self._service)
+        now = owner.reactor.now()
+        patience_us = client_patience_us(request)
+        self._deadline = now + min(patience_us, route.timeout_us)
+        # A client that comes back has lost a part of the time of the target, too.
+        self._target_at = now + route.target_us - owner.statistics.time_spent_us(route.name, patience_us)
+        self._headers = [line for line in passed_on(request) if line[0].lower() not in REPLACED_HEADERS]
+        self._headers.append((b"Calling-Service", owner.caller))
+        self._body = RequestBody(request.take_body(), is_complete)
+        self._history = AttemptHistory()
+        self._attempt: Attempt | None = None
+        self._exchange: Exchange | None = None  # of the attempt, or of the response that is being streamed
+        self._is_streaming = False  # the head of the response has gone to the client
+        self.is_over = False
+        self._timer = owner.reactor.after(max(0, self._deadline - now) + TIMEOUT_MARGIN_US, self._on_timeout)
+
+    def start(self) -> None:
+        """Make the first attempt."""
+        self._owner.upstreams.budget(self._service).record_request(self._owner.reactor.now())
+        self._start_attempt()
+
+    # For the client's connection
+
+    def add_body(self, data: bytes, is_last: bool) -> None:
+        """Forward more of the request's body."""
+        self._body.append(data, is_last)
+        if self._exchange is not None:
+            self._exchange.send_body(BodyChunk(data, is_last))
+
+    @property
+    def unsent(self) -> int:
+        """Bytes of the body that have not gone on."""
+        return self._exchange.unsent if self._exchange is not None else 0
+
+    def resume_response(self) -> None:
+        """Let the response go on: the client has taken what it was sent."""
+        if self._exchange is not None:
+            self._exchange.resume()
+
+    def cancel(self) -> None:
+        """Give the request up: its client has closed the connection."""
+        if self.is_over:
+            return
+        self._set_over()
+        self._abandon_attempt()
+        if self._exchange is not None:
+            self._exchange.cancel()
+
+    def break_off(self) -> None:
+        """Answer at once, since the process ends. The request may have run."""
+        self._on_timeout()
+
+    # Attempts
+
+    def _start_attempt(self) -> None:
+        owner, now = self._owner, self._owner.reactor.now()
+        if self._deadline - now < MIN_ATTEMPT_US:
+            return self._refuse()
+        entry = self._history.choose_next(self._table, now) if self._body.is_kept else None
+        if entry is None:
+            return self._refuse()
+        self._attempt = Attempt(entry, owner.upstreams.next_attempt())
+        self._table.attempt_started(entry, self._attempt.number)
+        self._exchange = owner.upstreams.offer(entry.endpoint, self._offer_to(entry, now), self)
+
+    def _offer_to(self, entry: EndpointLoad, now: int) -> Offer:
+        request, route = self._request, self._route
+        length = stated_length(request)
+        return Offer(
+            server=entry.endpoint.server,
+            service=self._service,
+            route=route.name,
+            method=request.method,
+            target=request.target,
+            headers=self._headers,
+            body=self._body.data,
+            body_complete=self._body.is_complete,
+            content_length=-1 if length is None else length,
+            time_left_ms=(self._deadline - now) // 1000,
+            target_left_ms=(self._target_at - now) // 1000,
+            priority=route.priority,
+            idempotent=route.is_idempotent,
+            may_have_run=self._history.arrivals > 0,
+            expected_ms=self._owner.statistics.usual_ms(route.name) or 0,
+        )
+
+    def _end_attempt(self, outcome: Rejected | Response | NoResponse | None) -> EndpointLoad:
+        """Return the endpoint of the attempt that is over; its outcome, if there is one, brings its load."""
+        attempt, self._attempt, self._exchange = self._attempt, None, None
+        assert attempt is not None
+        load = outcome.load if outcome is not None else None
+        self._table.attempt_ended(attempt.entry, attempt.number, load, self._owner.reactor.now())
+        return attempt.entry
+
+    def _abandon_attempt(self) -> None:
+        """Stop counting the attempt; its exchange is still to be cancelled."""
+        attempt, self._attempt = self._attempt, None
+        if attempt is not None:
+            self._table.attempt_ended(attempt.entry, attempt.number, None, self._owner.reactor.now())
+
+    # Outcomes of exchanges
+
+    def on_outcome(self, message: Outcome) -> None:
+        """Handle an outcome of the exchange that is under way."""
+        if self.is_over:
+            return
+        if isinstance(message, Rejected):
+            self._on_rejected(message)
+        elif isinstance(message, Response):
+            self._on_response(message)
+        elif isinstance(message, NoResponse):
+            if self._is_streaming:
+                return self._abort_response()
+            self._on_failed_attempt(self._end_attempt(message))
+        else:
+            self._on_body_chunk(message)
+
+    def on_unreachable(self) -> None:
+        """Handle that no link could be opened: the request was offered to nobody."""
+        if self.is_over:
+            return
+        entry = self._end_attempt(None)
+        self._table.eject(entry, self._owner.reactor.now())
+        self._history.record_rejected(entry)
+        self._start_attempt()
+
+    def on_link_lost(self) -> None:
+        """Handle that the request was offered and its outcome will never be known."""
+        if self.is_over:
+            return
+        if self._is_streaming:
+            return self._abort_response()
+        entry = self._end_attempt(None)
+        self._table.eject(entry, self._owner.reactor.now())
+        self._on_failed_attempt(entry)
+
+    def _on_rejected(self, message: Rejected) -> None:
+        entry = self._end_attempt(message)
+        self._history.record_rejected(entry)
+        if message.reason in EJECTING_REASONS:
+            self._table.eject(entry, self._owner.reactor.now())
+        self._start_attempt()
+
+    def _on_response(self, message: Response) -> None:
+        """Handle a complete response or the head of a long one. What is not passed on is abandoned completely."""
+        exchange = self._exchange
+        entry = self._end_attempt(message)
+        is_retried = False
+        if message.not_run:
+            # The backend promises that: the request goes elsewhere, though it counts as an arrival.
+            self._history.record_not_run(entry)
+            is_retried = self._may_retry()
+        elif message.status >= 500 and self._route.is_idempotent:
+            self._history.record_failed(entry)
+            # Where the whole service fails, what it calls does: a retry would only send that more.
+            is_retried = self._table.lowest_failure_rate() < FAILING_SERVICE_RATE and self._may_retry()
+        if (is_retried or message.not_run) and not message.body_complete and exchange is not None:
+            exchange.cancel()
+        if is_retried:
+            return self._start_attempt()
+        if message.not_run:
+            return self._refuse()
+        self._pass_on(message, exchange)
+
+    def _pass_on(self, message: Response, exchange: Exchange | None) -> None:
+        if message.body_complete:
+            if message.status < 300:
+                self._owner.statistics.record_duration(self._route.name, message.duration_ms)
+            return self._respond(message.status, message.headers, message.body)
+        self._exchange, self._is_streaming = exchange, True
+        length = None if message.content_length < 0 else message.content_length
+        unsent = self._response.start_response(message.status, message.headers, length, message.body)
+        self._pause_above_limit(unsent)
+
+    def _on_body_chunk(self, message: BodyChunk) -> None:
+        self._pause_above_limit(self._response.send_body(message.data, message.last))
+        if message.last:
+            self._set_over()
+
+    def _pause_above_limit(self, unsent: int) -> None:
+        """Hold the backend's response back while its client is slow."""
+        if unsent > PILE and self._exchange is not None:
+            self._exchange.pause()
+
+    def _on_failed_attempt(self, entry: EndpointLoad) -> None:
+        """The attempt may have run: an idempotent request may be retried, another one may not."""
+        self._history.record_failed(entry)
+        if self._route.is_idempotent and self._may_retry():
+            return self._start_attempt()
+        if self._owner.reactor.now() >= self._deadline:
+            return self._respond(504, [], b"no answer in time\n")
+        self._respond(502, [], b"the backend gave no answer\n")
+
+    def _may_retry(self) -> bool:
+        """Tell whether one more arrival is allowed, and take it out of the retry budget."""
+        now = self._owner.reactor.now()
+        return (
+            self._history.arrivals < self._route.max_attempts
+            and self._deadline - now > MIN_ATTEMPT_US
+            and self._body.is_kept
+            and self._owner.upstreams.try_retry(self._service, now)
+        )
+
+    # The end
+
+    def _refuse(self) -> None:
+        """Answer that no backend takes the request now. Each that it arrived at has promised that it did not run."""
+        self._respond(503, [retry_after(self._route.target_us, self._owner.rng)], b"refused\n")
+
+    def _on_timeout(self) -> None:
+        if self.is_over:
+            return
+        if self._is_streaming:
+            return self._abort_response()
+        exchange, self._exchange = self._exchange, None
+        self._abandon_attempt()
+        if exchange is not None:
+            exchange.cancel()
+        self._respond(504, [], b"no answer in time\n")
+
+    def _respond(self, status: int, headers: Headers, body: bytes) -> None:
+        self._set_over()
+        self._response.send_response(status, headers, body)
+
+    def _abort_response(self) -> None:
+        """End a response that has begun, so that its client sees that it is not complete."""
+        exchange, self._exchange = self._exchange, None
+        self._set_over()
+        if exchange is not None:
+            exchange.cancel()
+        self._response.abort()
+
+    def _set_over(self) -> None:
+        self.is_over = True
+        self._timer.cancel()
+        self._owner.request_ended(self)
--- /dev/null
+++ b/lilacsill/mesh/proxy/forwarder.py
@@ -0,0 +1,77 @@
+"""Where the requests of this machine's clients begin: their route, and all of them that are in flight."""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from random import Random
+
+from lilacsill.http1.message import Message as HttpMessage
+from lilacsill.mesh.runtime.reactor import Reactor
+
+from .active_config import ActiveConfig
+from .forwarded_request import ForwardedRequest, client_patience_us
+from .graceful_shutdown import GracefulShutdown
+from .response_writer import ResponseWriter, retry_after
+from .route_statistics import RouteStatistics
+from .routes import Route
+from .upstreams import Upstreams
+
+UNKNOWN_CONFIG_RETRY_AFTER = (b"Retry-After", b"0.2")  # seconds; the configuration comes soon after a start
+
+
+class Forwarder:
+    """Routes requests and forwards them; `forwarded_request.RequestOwner` of all of them."""
+
+    def __init__(self, reactor: Reactor, config: ActiveConfig, upstreams: Upstreams, service: str, rng: Random) -> None:
+        """Args:
+        service: The service of the backend on this machine; its clients' requests are marked with it.
+        """
+        self.reactor, self.config, self.upstreams, self.rng = reactor, config, upstreams, rng
+        self.caller = service.encode()
+        self.statistics = RouteStatistics()
+        self.in_flight: set[ForwardedRequest] = set()
+        self.is_config_current: Callable[[], bool] = lambda: False  # set by discovery, which has the proof
+        self.shutdown: GracefulShutdown | None = None  # from SIGTERM on
+
+    def forward(
+        self, request: HttpMessage, response: ResponseWriter, is_complete: bool = True
+    ) -> ForwardedRequest | None:
+        """Forward a request to a backend.
+
+        Args:
+            request: The request; with `is_complete` false, more of its body comes (`ForwardedRequest.add_body`).
+            response: Where its response goes; it may be called before this returns.
+            is_complete: Whether the body has come completely.
+
+        Returns:
+            None where the request was answered without having been offered.
+        """
+        host = request.fields.get(b"host", b"").lower().partition(b":")[0]
+        route = self.config.match(host, request.target.partition(b"?")[0])
+        if route is None:
+            self._refuse_without_route(response)
+            return None
+        if self.shutdown is not None and not self._can_finish(self.shutdown, request, route):
+            response.send_response(503, [retry_after(route.target_us, self.rng)], b"this proxy shuts down\n")
+            return None
+        forwarded = ForwardedRequest(self, request, route, response, is_complete)
+        self.in_flight.add(forwarded)
+        forwarded.start()
+        return forwarded
+
+    def request_ended(self, request: ForwardedRequest) -> None:
+        """Forget a request that has its response."""
+        self.in_flight.discard(request)
+
+    def _refuse_without_route(self, response: ResponseWriter) -> None:
+        # Only a proxy that knows the configuration in force may say that a route is not there.
+        if self.is_config_current():
+            response.send_response(404, [], b"no route\n")
+        else:
+            response.send_response(503, [UNKNOWN_CONFIG_RETRY_AFTER], b"the configuration is not known\n")
+
+    def _can_finish(self, shutdown: GracefulShutdown, request: HttpMessage, route: Route) -> bool:
+        time_left_us = min(client_patience_us(request), route.timeout_us)
+        usual_ms = self.statistics.usual_ms(route.name)
+        usual_us = None if usual_ms is None else usual_ms * 1000
+        return shutdown.can_finish(self.reactor.now(), time_left_us, route.target_us, usual_us)
--- /dev/null
+++ b/lilacsill/mesh/proxy/pending_response.py
@@ -0,0 +1,86 @@
+"""A pending response slot of a client's connection (HTTP/1.1 pipelining, RFC 9112, 9.3.2)."""
+
+from __future__ import annotations
+
+from typing import Protocol
+
+from lilacsill.http1.message import REASON_PHRASES as COMMON_REASON_PHRASES
+from lilacsill.http1.message import Message, encode_chunk
+from lilacsill.mesh.runtime.messages import Headers
+
+from .forwarded_request import ForwardedRequest
+
+REASON_PHRASES = {
+    **COMMON_REASON_PHRASES,
+    202: "Accepted",
+    204: "No Content",
+    206: "Partial Content",
+    304: "Not Modified",
+    412: "Precondition Failed",
+    421: "Misdirected Request",
+    431: "Request Header Fields Too Large",
+    504: "Gateway Timeout",
+}
+
+
+class ResponseQueue(Protocol):
+    """The connection that sends responses in the order of their requests."""
+
+    def is_last(self, response: PendingResponse) -> bool:
+        """Whether the connection closes after this response."""
+
+    def flush(self, response: PendingResponse) -> int:
+        """Send what is in order. Returns how many bytes of this response the client has not taken."""
+
+
+class PendingResponse:
+    """The response to one request: what of it waits for the responses before it.
+
+    It is the `response_writer.ResponseWriter` of its request.
+    """
+
+    __slots__ = ("_queue", "_is_chunked", "request", "forwarded", "buffered", "is_complete", "is_aborted")
+
+    def __init__(self, queue: ResponseQueue, request: Message) -> None:
+        self._queue, self.request = queue, request
+        self.forwarded: ForwardedRequest | None = None  # None: the proxy answers by itself
+        self.buffered = bytearray()
+        self.is_complete = False  # nothing more will be added to it
+        self.is_aborted = False  # it is not whole: the connection is closed after what is there
+        self._is_chunked = False
+
+    def send_response(self, status: int, headers: Headers, body: bytes) -> None:
+        has_no_body = status in (204, 304) or self.request.method == b"HEAD"
+        length = [] if status == 204 else [(b"Content-Length", b"%d" % len(body))]
+        self._add(self._head(status, [*headers, *length]) + (b"" if has_no_body else body), is_last=True)
+
+    def start_response(self, status: int, headers: Headers, content_length: int | None, body: bytes) -> int:
+        self._is_chunked = content_length is None
+        framing = (b"Transfer-Encoding", b"chunked") if content_length is None else _content_length(content_length)
+        return self._add(self._head(status, [*headers, framing]) + self._encode(body), is_last=False)
+
+    def send_body(self, data: bytes, is_last: bool) -> int:
+        end = encode_chunk(b"") if is_last and self._is_chunked else b""
+        return self._add(self._encode(data) + end, is_last)
+
+    def abort(self) -> None:
+        self.is_aborted = True
+        self._add(b"", is_last=True)
+
+    def _encode(self, data: bytes) -> bytes:
+        return encode_chunk(data) if self._is_chunked and data else data
+
+    def _head(self, status: int, headers: Headers) -> bytes:
+        if self._queue.is_last(self):
+            headers.append((b"Connection", b"close"))
+        lines = b"".join(b"%b: %b\r\n" % line for line in headers)
+        return b"HTTP/1.1 %d %b\r\n%b\r\n" % (status, REASON_PHRASES.get(status, "").encode(), lines)
+
+    def _add(self, data: bytes, is_last: bool) -> int:
+        self.buffered += data
+        self.is_complete = self.is_complete or is_last
+        return self._queue.flush(self)
+
+
+def _content_length(length: int) -> tuple[bytes, bytes]:
+    return b"Content-Length", b"%d" % length
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -19,15 +19,16 @@
 
 from .active_config import ActiveConfig
 from .backend import BackendConnection
+from .client_listener import ClientListener
 from .control_api import OfferServer
 from .discovery import DiscoveryClient
 from .far import BackendGateway
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 from .graceful_shutdown import GracefulShutdown
-from .inbound import Clients
 from .life import Life, beat_of
 from .neighbours import Neighbours
 from .retry_budget import RetryBudgetSettings
+from .upstreams import Upstreams
 
 LEAVE_LOOK_US = 50_000
 NOTICE_US = 2_600_000  # clients go elsewhere after two missed looks at readiness
@@ -49,18 +50,13 @@
         window_us = settings.bound_us("RetryWindowS", 10_000)
         # On the first start of all there was no process before this one.
         slack_from = 0 if settings.fresh else reactor.now() + window_us
-        self._carrier = Forwarder(
-            reactor,
-            ActiveConfig(),
-            self._gateway,
-            settings.node,
-            settings.service,
-            RetryBudgetSettings(ratio, window_us, slack, slack_from),
-            Random(),
-        )
+        rng = Random()
+        budget = RetryBudgetSettings(ratio, window_us, slack, slack_from)
+        upstreams = Upstreams(reactor, self._gateway, settings.node, budget, rng)
+        self._carrier = Forwarder(reactor, ActiveConfig(), upstreams, settings.service, rng)
         self._news = DiscoveryClient(settings, reactor, self._carrier, self._life)
         self._far = OfferServer(reactor, Address(settings.ip, settings.ports[0]), self._gateway)
-        self._clients = Clients(reactor, settings.listen["Outgoing"], self._carrier)
+        self._clients = ClientListener(reactor, settings.listen["Outgoing"], self._carrier)
         self._control = ControlServer(reactor, settings.listen["ControlPort"], self._called)
         self._ready = ControlServer(reactor, settings.listen["ReadyCheck"], self._asked_ready)
         self._leaving_since = 0
@@ -159,7 +155,7 @@
                 "why_unsure": self._news.evidence.why_not_current(now),
                 "age_ms": self._news.evidence.age_ms(now),
                 "leaving": bool(self._leaving_since),
-                "in_hand": len(self._carrier.in_hand),
+                "in_hand": len(self._carrier.in_flight),
                 "backend": {
                     "server": life.server,
                     "service": life.service,
@@ -190,7 +186,7 @@
                         }
                         for s in table.entries.values()
                     ]
-                    for service, table in self._carrier.tables.items()
+                    for service, table in self._carrier.upstreams.tables.items()
                 },
                 "log": log.tail(),
             }
@@ -215,18 +211,18 @@
         take_all_us = min(NOTICE_US, grace_us // 2)
         self._carrier.shutdown = GracefulShutdown(now + take_all_us, now + grace_us - END_US)
         self._news.leaving = True
-        self._clients.leave()
+        self._clients.start_draining()
         self._news.changed()
         self._leave()
 
     def _leave(self) -> None:
         gone_us = self._reactor.now() - self._leaving_since
-        busy = bool(self._carrier.in_hand or self._gateway.requests)
+        busy = bool(self._carrier.in_flight or self._gateway.requests)
         late = gone_us > self._settings.bound_us("GracePeriodS", 6000) - END_US
         if late:
             # Whose backend is still at work gets no more than that; answers that wait behind it are given.
-            for carry in list(self._carrier.in_hand):
-                carry.break_off()
+            for request in list(self._carrier.in_flight):
+                request.break_off()
         if late or (gone_us > NOTICE_US and not busy):
             self._clients.listener.close()
             self._far.close()
@@ -237,7 +233,7 @@
 
     def _end(self) -> None:
         late = self._reactor.now() - self._leaving_since > self._settings.bound_us("GracePeriodS", 6000) - END_US // 2
-        if late or not (self._carrier.in_hand or self._gateway.requests):
+        if late or not (self._carrier.in_flight or self._gateway.requests):
             return self._reactor.stop()
         self._reactor.after(LEAVE_LOOK_US, self._end)
 
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -101,9 +101,10 @@
     def proxy(self, ip: str) -> None:
         reactor: Any = Reactor(self._machine(f"{ip}:0"))
         table = SimpleNamespace(remove=lambda node: None, update=lambda endpoint, now: None)
-        links = SimpleNamespace(drop=lambda address: None)
+        links = SimpleNamespace(close_idle=lambda address: None)
         forwarder: Any = SimpleNamespace(
-            config=ActiveConfig(), tables={}, table=lambda service: table, proxies=1, links=links
+            config=ActiveConfig(),
+            upstreams=SimpleNamespace(tables={}, table=lambda service: table, proxies=1, links=links),
         )
         settings = settings_of(ip, self.fleet.seeds)
         self.proxies[ip] = discovery.DiscoveryClient(settings, reactor, forwarder, Life(0))
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -10,10 +10,11 @@
 
 from lilacsill.address import Address
 from lilacsill.mesh.proxy.retry_budget import RetryBudget, RetryBudgetSettings
+from lilacsill.mesh.proxy.endpoint_table import EndpointLoad
 from lilacsill.mesh.proxy.far import BackendRequest
-from lilacsill.mesh.proxy.forwarding import Forwarding
+from lilacsill.mesh.proxy.forwarded_request import ForwardedRequest
 from lilacsill.mesh.proxy.gate import Gate, Ticket
-from lilacsill.mesh.proxy.transports import ExchangeLinks, LinkExchange
+from lilacsill.mesh.proxy.exchange_links import ExchangeLinks, LinkExchange
 from lilacsill.mesh.registry.directory import Directory
 from lilacsill.mesh.runtime import messages
 from lilacsill.mesh.runtime.control import ControlConnection
@@ -32,12 +33,12 @@
     def message(self: LinkExchange, link: Link, number: int, message: Message) -> None:
         real(self, link, self._number, message)
 
-    real = LinkExchange._message
-    patch.setattr(LinkExchange, "_message", message)
+    real = LinkExchange._on_message
+    patch.setattr(LinkExchange, "_on_message", message)
 
 
 def bodies_need_no_head(patch: Patch) -> None:
-    patch.setattr(LinkExchange, "_is_due", lambda self, message: True)
+    patch.setattr(LinkExchange, "_is_expected", lambda self, message: True)
 
 
 def what_came_with_the_end_of_a_link_is_handled(patch: Patch) -> None:
@@ -52,29 +53,29 @@
 
 
 def paused_links_are_given_back_paused(patch: Patch) -> None:
-    def give_back(self: ExchangeLinks, address: Address, link: Link) -> None:
+    def release(self: ExchangeLinks, address: Address, link: Link) -> None:
         paused = link.stream.paused
         real(self, address, link)
         if paused:
             link.stream.pause()
 
-    real = ExchangeLinks.give_back
-    patch.setattr(ExchangeLinks, "give_back", give_back)
+    real = ExchangeLinks.release
+    patch.setattr(ExchangeLinks, "release", release)
 
 
 def links_to_a_process_that_is_over_are_kept(patch: Patch) -> None:
-    patch.setattr(ExchangeLinks, "drop", lambda self, address: None)
+    patch.setattr(ExchangeLinks, "close_idle", lambda self, address: None)
 
 
 def the_first_part_of_a_failure_passes_for_all_of_it(patch: Patch) -> None:
-    def answered(self: Forwarding, m: Response) -> None:
+    def answered(self: ForwardedRequest, m: Response) -> None:
         if m.status < 500 or m.body_complete:
             return real(self, m)
-        self._attempt_over(m)
-        self._finish(m.status, m.headers, m.body)
+        self._end_attempt(m)
+        self._respond(m.status, m.headers, m.body)
 
-    real = Forwarding._answered
-    patch.setattr(Forwarding, "_answered", answered)
+    real = ForwardedRequest._on_response
+    patch.setattr(ForwardedRequest, "_on_response", answered)
 
 
 def the_rest_of_a_failure_runs_into_the_next_answer(patch: Patch) -> None:
@@ -84,30 +85,30 @@
 def a_failure_of_our_own_keeps_the_headers_of_a_backend(patch: Patch) -> None:
     seen: list[tuple[bytes, bytes]] = []
 
-    def answered(self: Forwarding, m: Response) -> None:
+    def answered(self: ForwardedRequest, m: Response) -> None:
         seen[:] = m.headers
         real(self, m)
 
-    def finish(self: Forwarding, status: int, headers: Any, body: bytes) -> None:
+    def finish(self: ForwardedRequest, status: int, headers: Any, body: bytes) -> None:
         real_finish(self, status, headers or seen, body)
 
-    real, real_finish = Forwarding._answered, Forwarding._finish
-    patch.setattr(Forwarding, "_answered", answered)
-    patch.setattr(Forwarding, "_finish", finish)
+    real, real_finish = ForwardedRequest._on_response, ForwardedRequest._respond
+    patch.setattr(ForwardedRequest, "_on_response", answered)
+    patch.setattr(ForwardedRequest, "_respond", finish)
 
 
 def an_answer_that_has_begun_has_no_end(patch: Patch) -> None:
-    def answered(self: Forwarding, m: Response) -> None:
+    def answered(self: ForwardedRequest, m: Response) -> None:
         real(self, m)
-        if self._streaming:
+        if self._is_streaming:
             self._timer.cancel()
 
-    real = Forwarding._answered
-    patch.setattr(Forwarding, "_answered", answered)
+    real = ForwardedRequest._on_response
+    patch.setattr(ForwardedRequest, "_on_response", answered)
 
 
 def what_was_held_up_is_not_resumed(patch: Patch) -> None:
-    patch.setattr(Forwarding, "client_relieved", lambda self: None)
+    patch.setattr(ForwardedRequest, "resume_response", lambda self: None)
 
 
 def every_503_is_taken_for_a_promise(patch: Patch) -> None:
@@ -119,11 +120,11 @@
 
 
 def writes_are_tried_again(patch: Patch) -> None:
-    def repeat(self: Forwarding) -> None:
-        self._arrivals += 1
-        self._next()
+    def failed(self: ForwardedRequest, entry: EndpointLoad) -> None:
+        self._history.record_failed(entry)
+        self._start_attempt()
 
-    patch.setattr(Forwarding, "_repeat", repeat)
+    patch.setattr(ForwardedRequest, "_on_failed_attempt", failed)
 
 
 def offers_outlive_their_sender(patch: Patch) -> None:
@@ -142,7 +143,7 @@
 
 
 def a_route_allows_any_number_of_tries(patch: Patch) -> None:
-    patch.setattr(Forwarding, "_may_repeat", lambda self: True)
+    patch.setattr(ForwardedRequest, "_may_retry", lambda self: True)
 
 
 def the_slack_is_there_at_once(patch: Patch) -> None:
--- a/tests/control/point_5_world.py
+++ b/tests/control/point_5_world.py
@@ -86,7 +86,7 @@
 
 def add_scripted(s: Stage, proxy: ScriptedProxy) -> None:
     told = Endpoint("far", 1, 1, LOOPBACK, proxy.listener.port, "z", "stock", "i-far", "ready", 4, 0)
-    s.forwarder.table("stock").update(told, s.reactor.now())
+    s.forwarder.upstreams.table("stock").update(told, s.reactor.now())
     s.prefer("far")
 
 
--- a/tests/control/test_point_5_answers.py
+++ b/tests/control/test_point_5_answers.py
@@ -14,7 +14,7 @@
 
 from lilacsill.address import Address
 from lilacsill.mesh.proxy.retry_budget import RetryBudget, RetryBudgetSettings
-from lilacsill.mesh.proxy.transports import ExchangeLinks
+from lilacsill.mesh.proxy.exchange_links import ExchangeLinks
 from lilacsill.mesh.runtime.frames import frame
 from lilacsill.mesh.runtime.link import Link, Listener
 from lilacsill.mesh.runtime.messages import (
@@ -144,10 +144,10 @@
 
         def offer_again(message: Message) -> None:
             far.script = lambda n, o: [(n, whole(b"second"))]
-            ways.to(far.address, offer(), second)
+            ways.offer(far.address, offer(), second)
 
         first.then = offer_again
-        ways.to(far.address, offer(), first)
+        ways.offer(far.address, offer(), first)
         s.until(lambda: bool(second.messages) or second.lost > 0, "an end of the second")
         s.settle()
         assert [m.body for m in first.messages if isinstance(m, Response)] == [b"mine"]
@@ -158,10 +158,10 @@
     with stage() as s:
         far = ScriptedProxy(s.reactor, lambda n, o: [(n, head_of(b"be", 4)), (n, BodyChunk(b"go", True))])
         ways, slow, next_one = ExchangeLinks(s.reactor), Heard(), Heard()
-        way = ways.to(far.address, offer(), slow)
-        slow.then = lambda message: way.hold(True)  # its client does not read
+        way = ways.offer(far.address, offer(), slow)
+        slow.then = lambda message: way.pause()  # its client does not read
         s.until(lambda: len(slow.messages) == 2, "the whole answer")
-        ways.to(far.address, offer(), next_one)
+        ways.offer(far.address, offer(), next_one)
         s.until(lambda: len(next_one.messages) == 2, "the next answer")
         assert len(far.links) == 1
 
@@ -250,7 +250,7 @@
         client = ask(s, "GET", "/reads/a", left_ms=150)
         assert ended_after(s, client) < 150_000 + HELD_US
         assert client.cut or [a.status for a in client.answers] == [504]
-        assert not s.forwarder.in_hand
+        assert not s.forwarder.in_flight
 
 
 def test_a_long_answer_that_waited_for_its_turn_goes_on() -> None:
--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -16,10 +16,11 @@
 from lilacsill.http1.message import Message, Reader
 from lilacsill.mesh.proxy.control_api import OfferServer
 from lilacsill.mesh.proxy.far import BackendGateway
-from lilacsill.mesh.proxy.forwarding import Forwarder
-from lilacsill.mesh.proxy.inbound import Clients
+from lilacsill.mesh.proxy.forwarder import Forwarder
+from lilacsill.mesh.proxy.client_listener import ClientListener
 from lilacsill.mesh.proxy.life import Beat, Life
 from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.upstreams import Upstreams
 from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.runtime.link import Listener
 from lilacsill.mesh.runtime.messages import Endpoint, Item
@@ -178,17 +179,12 @@
         self.doors: dict[str, OfferServer] = {}
         routes = ActiveConfig()
         routes.apply([self.route("reads", "read_only", 1), self.route("writes", "writes", 2)], 2)
-        self.forwarder = Forwarder(
-            reactor,
-            routes,
-            BackendGateway(reactor, Life(2_000_000), Address(LOOPBACK, 1)),
-            "near",
-            "desk",
-            RetryBudgetSettings(0.2, 10_000_000, 1000.0),
-            Random(1),
-        )
-        self.forwarder.sure = lambda: True
-        self.clients = Clients(reactor, Address(LOOPBACK, 0), self.forwarder)
+        gateway = BackendGateway(reactor, Life(2_000_000), Address(LOOPBACK, 1))
+        rng = Random(1)
+        upstreams = Upstreams(reactor, gateway, "near", RetryBudgetSettings(0.2, 10_000_000, 1000.0), rng)
+        self.forwarder = Forwarder(reactor, routes, upstreams, "desk", rng)
+        self.forwarder.is_config_current = lambda: True
+        self.clients = ClientListener(reactor, Address(LOOPBACK, 0), self.forwarder)
 
     @staticmethod
     def route(name: str, kind: str, seq: int, tries: int = 3) -> Item:
@@ -217,11 +213,11 @@
         endpoint = Endpoint(
             name, 1, 1, LOOPBACK, self.doors[name].listener.port, "z", "stock", server or f"i-{name}", "ready", slots, 0
         )
-        self.forwarder.table("stock").update(endpoint, self.reactor.now())
+        self.forwarder.upstreams.table("stock").update(endpoint, self.reactor.now())
 
     def prefer(self, name: str) -> None:
         """The others are out of reach for the first choice."""
-        for node, entry in self.forwarder.table("stock").entries.items():
+        for node, entry in self.forwarder.upstreams.table("stock").entries.items():
             entry.ejected_until = 0 if node == name else self.reactor.now() + 60_000_000
 
     def client(self, data: bytes) -> Client:
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -102,12 +102,12 @@
 
 @given("the configuration is not known to be fresh")
 def _stale(play: Play) -> None:
-    play.stage.forwarder.sure = lambda: False
+    play.stage.forwarder.is_config_current = lambda: False
 
 
 @given("the proxy leaves")
 def _leaves(play: Play) -> None:
-    play.stage.clients.leave()
+    play.stage.clients.start_draining()
 
 
 def _send(play: Play, data: bytes) -> None:
@@ -155,14 +155,14 @@
 def _leaves_now(play: Play) -> None:
     backend = next(iter(play.stage.backends.values()))
     play.stage.until(lambda: len(backend.ran) == play.sent, "all requests have come")
-    play.stage.clients.leave()
+    play.stage.clients.start_draining()
 
 
 @when("its grace is over")
 def _grace(play: Play) -> None:
-    play.stage.until(lambda: len(play.stage.forwarder.in_hand) == 1, "all but one have their answer")
-    for carry in list(play.stage.forwarder.in_hand):
-        carry.break_off()
+    play.stage.until(lambda: len(play.stage.forwarder.in_flight) == 1, "all but one have their answer")
+    for forwarded in list(play.stage.forwarder.in_flight):
+        forwarded.break_off()
 
 
 @when("the client leaves")
@@ -227,7 +227,7 @@
 def _held(play: Play, count: int) -> None:
     for _ in range(20):
         play.stage.settle()
-    held = sum(c.unsent + sum(len(t.out) for t in c._turns) for c in play.stage.clients.connections)
+    held = sum(c.unsent + sum(len(r.buffered) for r in c._responses) for c in play.stage.clients.connections)
     held += sum(s.link.stream.unsent for d in play.stage.doors.values() for s in d.sinks)
     held += sum(
         c._reader.current.received
@@ -247,7 +247,7 @@
 def _nothing(play: Play) -> None:
     gateways = play.stage.gateways.values()
     play.stage.until(
-        lambda: not play.stage.forwarder.in_hand and not any(c.requests for c in gateways), "all is let go"
+        lambda: not play.stage.forwarder.in_flight and not any(c.requests for c in gateways), "all is let go"
     )
     assert all(c.gate.running == 0 for c in gateways)
 
--- a/tests/mesh/test_graceful_shutdown.py
+++ b/tests/mesh/test_graceful_shutdown.py
@@ -54,12 +54,12 @@
         self.process = Process(own, stage.reactor)
         routes = [Stage.route("reads", "read_only", 1), Stage.route("writes", "writes", 2)]
         self.process._carrier.config.apply(routes, 2)
-        self.process._carrier.sure = lambda: True
+        self.process._carrier.is_config_current = lambda: True
 
     def knows(self, name: str) -> None:
         port = self.stage.doors[name].listener.port
         endpoint = Endpoint(name, 1, 1, LOOPBACK, port, "z", "stock", f"i-{name}", "ready", 4, 0)
-        self.process._carrier.table("stock").update(endpoint, self.stage.reactor.now())
+        self.process._carrier.upstreams.table("stock").update(endpoint, self.stage.reactor.now())
 
     def sigterm(self) -> None:
         self.process._terminated()
