--- a/lilacsill/mesh/proxy/exchange.py
+++ b/lilacsill/mesh/proxy/exchange.py
@@ -10,7 +10,8 @@
 from lilacsill.mesh.runtime.messages import BodyChunk, Message, NoResponse, Offer, Rejected, Response
 from lilacsill.mesh.runtime.reactor import Reactor
 
-from .far import BackendGateway, BackendRequest
+from .backend_gateway import BackendGateway
+from .backend_request import BackendRequest
 
 Outcome = Rejected | Response | NoResponse | BodyChunk
 
@@ -68,7 +69,7 @@
 
     def send_body(self, chunk: BodyChunk) -> None:
         if self._request is not None:
-            self._request.piece(chunk)
+            self._request.send_body(chunk)
 
     @property
     def unsent(self) -> int:
@@ -81,8 +82,8 @@
 
     def pause(self) -> None:
         if self._request is not None:
-            self._request.hold(True)
+            self._request.pause()
 
     def resume(self) -> None:
         if self._request is not None:
-            self._request.hold(False)
+            self._request.resume()
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -16,10 +16,11 @@
 from lilacsill.mesh.runtime.reactor import Reactor
 
 from .attempts import AttemptHistory
-from .backend import passed_on
+from .backend_connection import end_to_end_headers
+from .backend_request import MAX_BUFFERED_BYTES
 from .endpoint_table import EndpointLoad
 from .exchange import Exchange, Outcome
-from .far import PILE
+from .reasons import RejectionReason
 from .request_body import RequestBody
 from .response_writer import ResponseWriter, retry_after
 from .route_statistics import RouteStatistics
@@ -33,7 +34,8 @@
 TIMEOUT_MARGIN_US = 20_000  # an outcome of another proxy that comes at the deadline is still waited for
 MIN_ATTEMPT_US = 2_000  # with less time left no attempt is worth while
 FAILING_SERVICE_RATE = 0.15  # failure rate of the best backend: then what the service calls is at fault
-EJECTING_REASONS = ("life", "leaving", "unreachable")  # for which a backend rejects everything, also what comes next
+# A backend that rejects for one of these will reject the next request, too.
+EJECTING_REASONS = (RejectionReason.WRONG_INCARNATION, RejectionReason.UNREACHABLE)
 
 
 def client_patience_us(request: HttpMessage) -> int:
@@ -87,7 +89,7 @@
         self._deadline = now + min(patience_us, route.timeout_us)
         # A client that comes back has lost a part of the time of the target, too.
         self._target_at = now + route.target_us - owner.statistics.time_spent_us(route.name, patience_us)
-        self._headers = [line for line in passed_on(request) if line[0].lower() not in REPLACED_HEADERS]
+        self._headers = [line for line in end_to_end_headers(request) if line[0].lower() not in REPLACED_HEADERS]
         self._headers.append((b"Calling-Service", owner.caller))
         self._body = RequestBody(request.take_body(), is_complete)
         self._history = AttemptHistory()
@@ -262,7 +264,7 @@
 
     def _pause_above_limit(self, unsent: int) -> None:
         """Hold the backend's response back while its client is slow."""
-        if unsent > PILE and self._exchange is not None:
+        if unsent > MAX_BUFFERED_BYTES and self._exchange is not None:
             self._exchange.pause()
 
     def _on_failed_attempt(self, entry: EndpointLoad) -> None:
--- a/lilacsill/mesh/proxy/upstreams.py
+++ b/lilacsill/mesh/proxy/upstreams.py
@@ -8,10 +8,10 @@
 from lilacsill.mesh.runtime.messages import Endpoint, Offer
 from lilacsill.mesh.runtime.reactor import Reactor
 
+from .backend_gateway import BackendGateway
 from .endpoint_table import EndpointTable
 from .exchange import Exchange, LocalExchange, OutcomeListener
 from .exchange_links import ExchangeLinks
-from .far import BackendGateway
 from .retry_budget import RetryBudget, RetryBudgetSettings
 
 
