--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -17,10 +17,10 @@
 from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.backend_gateway import BackendGateway
 from lilacsill.mesh.proxy.forwarder import Forwarder
-from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
-from lilacsill.mesh.proxy.upstreams import Upstreams
 from lilacsill.mesh.proxy.client_listener import ClientListener
 from lilacsill.mesh.proxy.backend_lifecycle import BackendHeartbeat, BackendLifecycle
+from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.upstreams import Upstreams
 from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.runtime.link import Listener
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Item
