--- a/lilacsill/mesh/proxy/client_listener.py
+++ b/lilacsill/mesh/proxy/client_listener.py
@@ -5,8 +5,8 @@
 import socket
 
 from lilacsill.address import Address
+from lilacsill.mesh.runtime.link import Listener
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Listener
 
 from .client_connection import ClientConnection
 from .forwarder import Forwarder
--- a/lilacsill/mesh/proxy/exchange_links.py
+++ b/lilacsill/mesh/proxy/exchange_links.py
@@ -109,7 +109,7 @@
 
     def send_body(self, chunk: BodyChunk) -> None:
         self._is_request_sent = self._is_request_sent or chunk.last
-        if self._link is not None and self._link.open:
+        if self._link is not None and self._link.is_open:
             self._link.send(chunk, self._number)
         elif self._link is None and self._listener is not None:
             self._chunks.append(chunk)
@@ -126,11 +126,11 @@
             link.close()
 
     def pause(self) -> None:
-        if self._link is not None and self._link.open:
+        if self._link is not None and self._link.is_open:
             self._link.stream.pause()
 
     def resume(self) -> None:
-        if self._link is not None and self._link.open:
+        if self._link is not None and self._link.is_open:
             self._link.stream.resume()
 
 
@@ -158,7 +158,7 @@
         idle = self._idle.get(address)
         while idle:
             link = idle.pop()
-            if link.open and link.stream.nothing_to_read():
+            if link.is_open and link.stream.nothing_to_read():
                 return link
             link.close()
         return None
@@ -176,7 +176,7 @@
     def release(self, address: Address, link: Link) -> None:
         """Take back the link of an exchange that is over, for the next one."""
         idle = self._idle.setdefault(address, [])
-        if len(idle) >= MAX_IDLE_LINKS or not link.open:
+        if len(idle) >= MAX_IDLE_LINKS or not link.is_open:
             return link.close()
         link.stream.resume()  # a slow client may have paused it before the end of the answer came
         link.on_message, link.on_closed = self._on_idle_message, partial(self._on_idle_closed, idle)
