--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -15,11 +15,12 @@
 from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.proxy.backend_gateway import BackendGateway
-from lilacsill.mesh.proxy.forwarding import Forwarder
+from lilacsill.mesh.proxy.forwarder import Forwarder
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
 from lilacsill.mesh.proxy.failure_detector import FailureDetector
 from lilacsill.mesh.proxy.known_endpoints import KnownEndpoints
 from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.upstreams import Upstreams
 from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
@@ -136,11 +137,11 @@
         assert settings.backend_address is not None
         self._lifecycle = BackendLifecycle(1_000_000)
         self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
-        self.forwarder = Forwarder(
-            reactor, ActiveConfig(), self._gateway, settings.node_name, settings.service, RETRY_BUDGET, Random(number)
-        )
+        rng = Random(number)
+        upstreams = Upstreams(reactor, self._gateway, settings.node_name, RETRY_BUDGET, rng)
+        self.forwarder = Forwarder(reactor, ActiveConfig(), upstreams, settings.service, rng)
         if shared is not None:
-            self.forwarder.tables = shared.tables
+            upstreams.tables = shared.tables
         self._links = Links(reactor, self)
         self.endpoints = SharedEndpoints(settings.node_name, self.forwarder)
         self.endpoints.shared = shared
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -20,7 +20,7 @@
 
 from .backend_lifecycle import BackendLifecycle, EndpointState
 from .failure_detector import with_incarnations
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 from .known_endpoints import KnownEndpoints
 from .registry_selector import RegistrySelector
 
@@ -75,7 +75,7 @@
         self._incarnation = Incarnation(time.time_ns() // 1000)
         self.evidence = FreshnessTracker(CURRENT_US)  # that the configuration here is the one in force
         self.leaving = False
-        forwarder.sure = self.is_config_current
+        forwarder.is_config_current = self.is_config_current
 
     def is_config_current(self) -> bool:
         """Return whether the configuration here is the one in force."""
@@ -185,7 +185,7 @@
         self._apply_config(registry, asked_at, reply)
         if reply.registry_addresses:
             self.registries.addresses = set(reply.registry_addresses)
-        self._forwarder.proxies = max(1, len(self._endpoints))
+        self._forwarder.upstreams.proxies = max(1, len(self._endpoints))
         self._on_update()
         self._refute(reply.endpoints)
 
--- a/lilacsill/mesh/proxy/known_endpoints.py
+++ b/lilacsill/mesh/proxy/known_endpoints.py
@@ -8,7 +8,7 @@
 from lilacsill.mesh.runtime.messages import Endpoint
 
 from .backend_lifecycle import EndpointState
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 
 
 class KnownEndpoints:
@@ -52,8 +52,8 @@
         if known is not None and known.incarnation != endpoint.incarnation:
             self._close_links(known)
         if known is not None and known.service != endpoint.service:
-            self._forwarder.table(known.service).remove(endpoint.node)
-        self._forwarder.table(endpoint.service).update(endpoint, now)
+            self._forwarder.upstreams.table(known.service).remove(endpoint.node)
+        self._forwarder.upstreams.table(endpoint.service).update(endpoint, now)
 
     def remove(self, node: str) -> None:
         """Remove the endpoint of a node, in the tables of all services."""
@@ -61,12 +61,12 @@
         if known is not None:
             self._peers = None
             self._close_links(known)
-        for table in self._forwarder.tables.values():
+        for table in self._forwarder.upstreams.tables.values():
             table.remove(node)
 
     def _close_links(self, endpoint: Endpoint) -> None:
         """Close idle links to a process that is over: a request sent on one would have an unknown outcome."""
-        self._forwarder.links.drop(Address(endpoint.host, endpoint.port))
+        self._forwarder.upstreams.links.close_idle(Address(endpoint.host, endpoint.port))
 
 
 def peer_address(endpoint: Endpoint) -> tuple[str, int, bool]:
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -20,16 +20,17 @@
 from .active_config import ActiveConfig
 from .backend_gateway import BackendGateway
 from .backend_lifecycle import BackendLifecycle, EndpointState
+from .client_listener import ClientListener
 from .discovery import DiscoveryClient
 from .failure_detector import FailureDetector
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 from .health_probe import HealthProbe
 from .heartbeat_api import HeartbeatApi
-from .inbound import Clients
 from .known_endpoints import KnownEndpoints
 from .offer_server import OfferServer
 from .retry_budget import RetryBudgetSettings
 from .shutdown_sequence import ShutdownSequence
+from .upstreams import Upstreams
 
 
 class Process:
@@ -57,7 +58,7 @@
             self._on_update,
         )
         self._offer_server = OfferServer(reactor, Address(settings.ip, settings.internal_ports[0]), self._gateway, self)
-        self._clients = Clients(reactor, settings.listen["Outgoing"], self._forwarder)
+        self._clients = ClientListener(reactor, settings.listen["Outgoing"], self._forwarder)
         heartbeats = HeartbeatApi(reactor, self._gateway, self._discovery.announce)
         self._heartbeat_server = ControlServer(reactor, settings.listen["ControlPort"], heartbeats.handle)
         self._readiness_server = ControlServer(reactor, settings.listen["ReadyCheck"], self._on_readiness_check)
@@ -86,21 +87,16 @@
     def _create_forwarder(self) -> Forwarder:
         settings, reactor = self._settings, self._reactor
         window_us = settings.timing.retry_window_us
-        return Forwarder(
-            reactor,
-            ActiveConfig(),
-            self._gateway,
-            settings.node_name,
-            settings.service,
-            RetryBudgetSettings(
-                settings.timing.retry_ratio,
-                window_us,
-                settings.timing.retry_slack,
-                # A process before this one may have spent the slack; on the first start of all there was none.
-                slack_from=0 if settings.fresh_start else reactor.now() + window_us,
-            ),
-            Random(),
+        budget = RetryBudgetSettings(
+            settings.timing.retry_ratio,
+            window_us,
+            settings.timing.retry_slack,
+            # A process before this one may have spent the slack; on the first start of all there was none.
+            slack_from=0 if settings.fresh_start else reactor.now() + window_us,
         )
+        rng = Random()
+        upstreams = Upstreams(reactor, self._gateway, settings.node_name, budget, rng)
+        return Forwarder(reactor, ActiveConfig(), upstreams, settings.service, rng)
 
     # Events
 
