--- a/lilacsill/mesh/proxy/active_config.py
+++ b/lilacsill/mesh/proxy/active_config.py
@@ -53,7 +53,10 @@
 
 
 class ActiveConfig:
-    """The items that this process has heard of. An item never goes back to a lower version within its life."""
+    """The items that are in force.
+
+    An item never goes back to a lower version within one run of the process.
+    """
 
     def __init__(self) -> None:
         self._versions: dict[tuple[str, str], int] = {}  # by kind and name; also of items that were removed
--- a/lilacsill/mesh/proxy/attempts.py
+++ b/lilacsill/mesh/proxy/attempts.py
@@ -15,7 +15,7 @@
     def __init__(self) -> None:
         self.arrivals = 0  # at backends; the route bounds them, and the retry budget all beyond the first
         self._rejections = 0
-        self._did_not_run: list[EndpointLoad] = []  # by a promise of the endpoint, or for lack of a link
+        self._did_not_run: list[EndpointLoad] = []  # by a promise of the endpoint, or since there was no link
         self._may_have_run: list[EndpointLoad] = []
 
     def record_rejected(self, entry: EndpointLoad) -> None:
--- a/lilacsill/mesh/proxy/client_connection.py
+++ b/lilacsill/mesh/proxy/client_connection.py
@@ -184,7 +184,7 @@
         self.send(bytes(response.buffered))
         response.buffered.clear()
         if not self.unsent and response.forwarded is not None:
-            response.forwarded.resume_response()  # it may have been paused while others were before it
+            response.forwarded.resume_response()  # it may have been paused while it waited for the responses before it
 
     def flushed(self) -> None:
         """Handle that the client has taken all that was sent."""
@@ -193,7 +193,11 @@
             self._responses[0].forwarded.resume_response()
 
     def _finish(self) -> None:
-        """Close after the last response. What still comes is dropped: a close with unread bytes would reset it away."""
+        """Close after the last response.
+
+        What still comes is read and dropped: a close with unread bytes would reset the connection, and the client might
+        lose the response.
+        """
         self.discarding = True
         if self.stream is not None:
             self.stream.half_close()
@@ -202,7 +206,7 @@
     # The end
 
     def start_draining(self) -> None:
-        """Close after the responses that are pending; a request that waits behind them is sent again by its client."""
+        """Close after the responses that are pending; clients send requests that waited behind them elsewhere."""
         self._is_closing = self._is_closing or bool(self._responses)
         self._pipelined.clear()
 
--- a/lilacsill/mesh/proxy/client_listener.py
+++ b/lilacsill/mesh/proxy/client_listener.py
@@ -47,8 +47,8 @@
     def start_draining(self) -> None:
         """Answer the requests that are in flight and close their connections with the last response.
 
-        What comes behind them is not read, and is sent again by its client. A request that is taken later is the only
-        one of its connection.
+        What comes behind them is not read; its client sends it elsewhere. A request that comes later is the only one of
+        its connection.
         """
         self.is_draining = True
         for connection in self.connections:
--- a/lilacsill/mesh/proxy/endpoint_table.py
+++ b/lilacsill/mesh/proxy/endpoint_table.py
@@ -148,6 +148,6 @@
                 slowdown = min(max(entry.slowdown / mean_slowdown, MIN_RELATIVE_SLOWDOWN), MAX_RELATIVE_SLOWDOWN)
             elif entry.warming_up_until > now:
                 slowdown = WARM_UP_SLOWDOWN
-            # The random part breaks ties between endpoints with whole numbers of requests.
+            # The random part breaks ties between equally loaded endpoints.
             taken = (requests + len(entry.unreported_attempts) + self._rng.random()) / max(1, entry.endpoint.slots)
             entry.score = (OWN_REQUEST_LOAD + taken) * slowdown + failing
--- a/lilacsill/mesh/proxy/exchange.py
+++ b/lilacsill/mesh/proxy/exchange.py
@@ -17,16 +17,16 @@
 
 
 class OutcomeListener(Protocol):
-    """The sender of an offer. It hears one outcome, and never from inside a call of its own."""
+    """The sender of an offer. It is called with one outcome, and never from inside a call of its own."""
 
     def on_outcome(self, message: Outcome) -> None:
-        """Handle an outcome. Parts follow an incomplete answer, or `NoResponse` where it is cut."""
+        """Handle an outcome. Body chunks follow an incomplete response, or `NoResponse` where it is truncated."""
 
     def on_unreachable(self) -> None:
         """Handle that no link could be opened: the request was not offered."""
 
     def on_link_lost(self) -> None:
-        """Handle that the link broke after the offer, or brought what is no answer to it: it may have run."""
+        """Handle that the link broke after the offer, or brought a wrong message: the request may have run."""
 
 
 class Exchange(Protocol):
@@ -40,13 +40,13 @@
         """Bytes of the body that the other end has not taken."""
 
     def cancel(self) -> None:
-        """Give the exchange up: its outcome is not needed."""
+        """Give the exchange up: its outcome is not needed any more."""
 
     def pause(self) -> None:
-        """Hold back the answer, since its client does not take it."""
+        """Hold back the response, since its client is slow."""
 
     def resume(self) -> None:
-        """Let the answer come."""
+        """Let the response come."""
 
 
 class LocalExchange:
@@ -68,22 +68,27 @@
             self._listener.on_outcome(message)
 
     def send_body(self, chunk: BodyChunk) -> None:
+        """Send more of the request's body."""
         if self._request is not None:
             self._request.send_body(chunk)
 
     @property
     def unsent(self) -> int:
+        """Bytes of the body that the backend has not taken."""
         return self._request.unsent if self._request is not None else 0
 
     def cancel(self) -> None:
+        """Give the exchange up."""
         self._listener = None
         if self._request is not None:
             self._request.cancel()
 
     def pause(self) -> None:
+        """Hold back the response."""
         if self._request is not None:
             self._request.pause()
 
     def resume(self) -> None:
+        """Let the response come."""
         if self._request is not None:
             self._request.resume()
--- a/lilacsill/mesh/proxy/exchange_links.py
+++ b/lilacsill/mesh/proxy/exchange_links.py
@@ -1,6 +1,6 @@
 """Exchanges with other proxies, over links that serve one exchange at a time.
 
-Each exchange has a number of its own. A message under another number, or out of order, closes the link: an answer is
+Each exchange has a number of its own. A message under another number, or out of order, closes the link: a response is
 never taken for that of another exchange.
 """
 
@@ -31,7 +31,7 @@
         self._link: Link | None = None
         self._chunks: list[BodyChunk] = []  # of the request's body, while there is no link
         self._is_request_sent = offer.body_complete
-        self._is_answer_begun = False  # its head has come, and its last chunk has not
+        self._is_response_begun = False  # its head has come, and its last chunk has not
 
     # The link
 
@@ -44,8 +44,9 @@
             link = Link(sock, self._on_message, self._on_closed)
         except OSError as error:
             sock.close()
-            return self.on_connect_failed(error)
-        self.start(link)
+            self.on_connect_failed(error)
+        else:
+            self.start(link)
 
     def on_connect_failed(self, error: OSError) -> None:
         """Report that there is no link."""
@@ -77,19 +78,21 @@
     def _on_message(self, link: Link, number: int, message: Message) -> None:
         listener = self._listener
         if listener is None or number != self._number or not isinstance(message, Outcome):
-            return link.close()
+            link.close()
+            return
         if not self._is_expected(message):
-            return link.close()
-        self._is_answer_begun = not self._is_last(message)
-        if not self._is_answer_begun:
+            link.close()
+            return
+        self._is_response_begun = not self._is_last(message)
+        if not self._is_response_begun:
             self._end(link)
         listener.on_outcome(message)
 
     def _is_expected(self, message: Outcome) -> bool:
-        """Parts follow the head of an answer; beside them only its failure may follow."""
+        """Body chunks follow the head of a response; nothing else may follow it but its failure."""
         if isinstance(message, NoResponse):
             return True
-        return isinstance(message, BodyChunk) == self._is_answer_begun
+        return isinstance(message, BodyChunk) == self._is_response_begun
 
     @staticmethod
     def _is_last(message: Outcome) -> bool:
@@ -108,6 +111,7 @@
     # For the sender of the offer
 
     def send_body(self, chunk: BodyChunk) -> None:
+        """Send more of the request's body; it waits until there is a link."""
         self._is_request_sent = self._is_request_sent or chunk.last
         if self._link is not None and self._link.is_open:
             self._link.send(chunk, self._number)
@@ -116,20 +120,24 @@
 
     @property
     def unsent(self) -> int:
+        """Bytes of the body that the link has not taken."""
         waiting = sum(len(chunk.data) for chunk in self._chunks)
         return waiting + (self._link.stream.unsent if self._link is not None else 0)
 
     def cancel(self) -> None:
+        """Give the exchange up, and its link with it."""
         self._listener = None
         link, self._link = self._link, None
         if link is not None:
             link.close()
 
     def pause(self) -> None:
+        """Hold back the response."""
         if self._link is not None and self._link.is_open:
             self._link.stream.pause()
 
     def resume(self) -> None:
+        """Let the response come."""
         if self._link is not None and self._link.is_open:
             self._link.stream.resume()
 
@@ -177,8 +185,9 @@
         """Take back the link of an exchange that is over, for the next one."""
         idle = self._idle.setdefault(address, [])
         if len(idle) >= MAX_IDLE_LINKS or not link.is_open:
-            return link.close()
-        link.stream.resume()  # a slow client may have paused it before the end of the answer came
+            link.close()
+            return
+        link.stream.resume()  # a slow client may have paused it before the end of the response came
         link.on_message, link.on_closed = self._on_idle_message, partial(self._on_idle_closed, idle)
         idle.append(link)
 
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -76,7 +76,7 @@
 
 
 class ForwardedRequest:
-    """The state of one request. It hears the outcomes of its exchanges (`exchange.OutcomeListener`)."""
+    """The state of one request; the `exchange.OutcomeListener` of its exchanges."""
 
     def __init__(
         self, owner: RequestOwner, request: HttpMessage, route: Route, response: ResponseWriter, is_complete: bool
@@ -114,7 +114,7 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that have not gone on."""
+        """Bytes of the body that the other end of the exchange has not taken."""
         return self._exchange.unsent if self._exchange is not None else 0
 
     def resume_response(self) -> None:
@@ -139,11 +139,12 @@
 
     def _start_attempt(self) -> None:
         owner, now = self._owner, self._owner.reactor.now()
-        if self._deadline - now < MIN_ATTEMPT_US:
-            return self._refuse()
-        entry = self._history.choose_next(self._table, now) if self._body.is_kept else None
+        entry = None
+        if self._deadline - now >= MIN_ATTEMPT_US and self._body.is_kept:
+            entry = self._history.choose_next(self._table, now)
         if entry is None:
-            return self._refuse()
+            self._refuse()
+            return
         self._attempt = Attempt(entry, owner.upstreams.next_attempt())
         self._table.attempt_started(entry, self._attempt.number)
         self._exchange = owner.upstreams.offer(entry.endpoint, self._offer_to(entry, now), self)
@@ -193,12 +194,12 @@
             self._on_rejected(message)
         elif isinstance(message, Response):
             self._on_response(message)
-        elif isinstance(message, NoResponse):
-            if self._is_streaming:
-                return self._abort_response()
-            self._on_failed_attempt(self._end_attempt(message))
-        else:
+        elif isinstance(message, BodyChunk):
             self._on_body_chunk(message)
+        elif self._is_streaming:
+            self._abort_response()
+        else:
+            self._on_failed_attempt(self._end_attempt(message))
 
     def on_unreachable(self) -> None:
         """Handle that no link could be opened: the request was offered to nobody."""
@@ -214,7 +215,8 @@
         if self.is_over:
             return
         if self._is_streaming:
-            return self._abort_response()
+            self._abort_response()
+            return
         entry = self._end_attempt(None)
         self._table.eject(entry, self._owner.reactor.now())
         self._on_failed_attempt(entry)
@@ -237,21 +239,23 @@
             is_retried = self._may_retry()
         elif message.status >= 500 and self._route.is_idempotent:
             self._history.record_failed(entry)
-            # Where the whole service fails, what it calls does: a retry would only send that more.
+            # Where all backends fail, a service that they call does: a retry would only add to its load.
             is_retried = self._table.lowest_failure_rate() < FAILING_SERVICE_RATE and self._may_retry()
         if (is_retried or message.not_run) and not message.body_complete and exchange is not None:
             exchange.cancel()
         if is_retried:
-            return self._start_attempt()
-        if message.not_run:
-            return self._refuse()
-        self._pass_on(message, exchange)
+            self._start_attempt()
+        elif message.not_run:
+            self._refuse()
+        else:
+            self._pass_on(message, exchange)
 
     def _pass_on(self, message: Response, exchange: Exchange | None) -> None:
         if message.body_complete:
             if message.status < 300:
                 self._owner.statistics.record_duration(self._route.name, message.duration_ms)
-            return self._respond(message.status, message.headers, message.body)
+            self._respond(message.status, message.headers, message.body)
+            return
         self._exchange, self._is_streaming = exchange, True
         length = None if message.content_length < 0 else message.content_length
         unsent = self._response.start_response(message.status, message.headers, length, message.body)
@@ -271,13 +275,14 @@
         """The attempt may have run: an idempotent request may be retried, another one may not."""
         self._history.record_failed(entry)
         if self._route.is_idempotent and self._may_retry():
-            return self._start_attempt()
-        if self._owner.reactor.now() >= self._deadline:
-            return self._respond(504, [], b"no answer in time\n")
-        self._respond(502, [], b"the backend gave no answer\n")
+            self._start_attempt()
+        elif self._owner.reactor.now() >= self._deadline:
+            self._respond(504, [], b"no answer in time\n")
+        else:
+            self._respond(502, [], b"the backend gave no answer\n")
 
     def _may_retry(self) -> bool:
-        """Tell whether one more arrival is allowed, and take it out of the retry budget."""
+        """Return whether one more arrival is allowed; then it is taken out of the retry budget."""
         now = self._owner.reactor.now()
         return (
             self._history.arrivals < self._route.max_attempts
@@ -296,7 +301,8 @@
         if self.is_over:
             return
         if self._is_streaming:
-            return self._abort_response()
+            self._abort_response()
+            return
         exchange, self._exchange = self._exchange, None
         self._abandon_attempt()
         if exchange is not None:
--- a/lilacsill/mesh/proxy/forwarder.py
+++ b/lilacsill/mesh/proxy/forwarder.py
@@ -23,9 +23,7 @@
     """Routes requests and forwards them; `forwarded_request.RequestOwner` of all of them."""
 
     def __init__(self, reactor: Reactor, config: ActiveConfig, upstreams: Upstreams, service: str, rng: Random) -> None:
-        """Args:
-        service: The service of the backend on this machine; its clients' requests are marked with it.
-        """
+        """Begin without requests; `service` is that of the backend on this machine, and marks its requests."""
         self.reactor, self.config, self.upstreams, self.rng = reactor, config, upstreams, rng
         self.caller = service.encode()
         self.statistics = RouteStatistics()
--- a/lilacsill/mesh/proxy/graceful_shutdown.py
+++ b/lilacsill/mesh/proxy/graceful_shutdown.py
@@ -19,10 +19,10 @@
     break_off_at: int  # requests that are still in flight get an answer of the proxy's own
 
     def can_finish(self, now: int, time_left_us: int, target_us: int, usual_us: int | None) -> bool:
-        """Tell whether a request that arrives now ends before it would be broken off.
+        """Return whether a request that arrives now ends before it would be broken off.
 
-        Every request has ended when its time is up. Where clients have much more time than their requests take, the
-        usual time decides: a request waits for a backend no longer than its target, and then its work is bounded.
+        A request ends at its deadline at the latest. Where clients allow much more time than their requests take, the
+        usual time decides: a request waits for a backend no longer than its target, and its work is bounded.
 
         Args:
             now: The time of its arrival.
--- a/lilacsill/mesh/proxy/pending_response.py
+++ b/lilacsill/mesh/proxy/pending_response.py
@@ -46,24 +46,28 @@
         self.forwarded: ForwardedRequest | None = None  # None: the proxy answers by itself
         self.buffered = bytearray()
         self.is_complete = False  # nothing more will be added to it
-        self.is_aborted = False  # it is not whole: the connection is closed after what is there
+        self.is_aborted = False  # it is truncated: the connection is closed after what is there
         self._is_chunked = False
 
     def send_response(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response, without its body where the status or method allows none."""
         has_no_body = status in (204, 304) or self.request.method == b"HEAD"
         length = [] if status == 204 else [(b"Content-Length", b"%d" % len(body))]
         self._add(self._head(status, [*headers, *length]) + (b"" if has_no_body else body), is_last=True)
 
     def start_response(self, status: int, headers: Headers, content_length: int | None, body: bytes) -> int:
+        """Send the head and the first part of the body."""
         self._is_chunked = content_length is None
         framing = (b"Transfer-Encoding", b"chunked") if content_length is None else _content_length(content_length)
         return self._add(self._head(status, [*headers, framing]) + self._encode(body), is_last=False)
 
     def send_body(self, data: bytes, is_last: bool) -> int:
+        """Send the next part of the body."""
         end = encode_chunk(b"") if is_last and self._is_chunked else b""
         return self._add(self._encode(data) + end, is_last)
 
     def abort(self) -> None:
+        """Close the connection after what was sent."""
         self.is_aborted = True
         self._add(b"", is_last=True)
 
--- a/lilacsill/mesh/proxy/retry_budget.py
+++ b/lilacsill/mesh/proxy/retry_budget.py
@@ -1,8 +1,8 @@
 """The retry budget: a bound on arrivals at a service beyond the first of each request, over all proxies.
 
 Each proxy spends a part of the ratio of its own requests, and its share of a part of the slack. These add up to less
-than the whole budget, so proxies need not tell each other what they spend. A retry that runs makes its inner calls
-again: the rest of the ratio is room for them.
+than the whole budget, so proxies need not tell each other what they spend. A retry that runs repeats its inner
+calls: the rest of the ratio is room for them.
 
 A process that was restarted knows neither what the one before it has spent nor how many proxies there are, so it
 leaves the slack alone for one window. No I/O; the clock comes from outside.
@@ -43,11 +43,14 @@
         self._requests[self._step % STEPS_PER_WINDOW] += 1
 
     def try_spend(self, now: int, proxies: int) -> bool:
-        """Take one retry out of the budget. Returns False, and takes nothing, where it is spent.
+        """Take one retry out of the budget.
 
         Args:
             now: The time of the retry.
             proxies: The number of proxies that share the slack.
+
+        Returns:
+            False where the budget is spent; then nothing is taken.
         """
         self._advance(now)
         slack = self._slack / max(1, proxies) if now >= self._slack_from else 0.0
