--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -139,23 +139,26 @@
         self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
         rng = Random(number)
         upstreams = Upstreams(reactor, self._gateway, settings.node_name, RETRY_BUDGET, rng)
-        self.forwarder = Forwarder(reactor, ActiveConfig(), upstreams, settings.service, rng)
+        self.config = ActiveConfig()
         if shared is not None:
             upstreams.tables = shared.tables
         self._links = Links(reactor, self)
-        self.endpoints = SharedEndpoints(settings.node_name, self.forwarder)
+        self.endpoints = SharedEndpoints(settings.node_name, upstreams)
         self.endpoints.shared = shared
         self.failure_detector = FailureDetector(self._links, settings.node_name, self.endpoints.peers, self._on_suspect)
         self.discovery = HollowDiscovery(
             settings,
             reactor,
-            self.forwarder,
+            self.config,
             self._lifecycle,
             self.endpoints,
             self.failure_detector.suspects,
             lambda: on_update(self),
         )
         self.discovery.proxy = self
+        self._forwarder = Forwarder(
+            reactor, self.config, upstreams, settings.service, rng, self.discovery.is_config_current
+        )
         self._listen()
         self._lifecycle.on_health_check(
             f"i-{number:08x}-{self.discovery.endpoint().incarnation}", settings.service, SLOTS
@@ -180,8 +183,7 @@
 
     def leave(self) -> None:
         """As on SIGTERM."""
-        self.discovery.leaving = True
-        self.discovery.announce()
+        self.discovery.announce_leaving()
 
     def lose(self) -> None:
         """Cut off from all others."""
--- a/benchmarks/capacity/host.py
+++ b/benchmarks/capacity/host.py
@@ -132,7 +132,7 @@
     # What is seen
 
     def _news(self, proxy: HollowProxy) -> None:
-        now, seq, known = self._reactor.now(), proxy.forwarder.config.seq, len(proxy.endpoints)
+        now, seq, known = self._reactor.now(), proxy.config.seq, len(proxy.endpoints)
         applied = self._applied[proxy.number]
         if not applied or applied[-1][0] != seq:
             applied.append((seq, now))
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -18,9 +18,9 @@
 from lilacsill.mesh.runtime.rpc import RpcClientPool
 from lilacsill.mesh.runtime.settings import Settings
 
+from .active_config import ActiveConfig
 from .backend_lifecycle import BackendLifecycle, EndpointState
 from .failure_detector import with_incarnations
-from .forwarder import Forwarder
 from .known_endpoints import KnownEndpoints
 from .registry_selector import RegistrySelector
 
@@ -42,7 +42,7 @@
         self,
         settings: Settings,
         reactor: Reactor,
-        forwarder: Forwarder,
+        config: ActiveConfig,
         lifecycle: BackendLifecycle,
         endpoints: KnownEndpoints,
         suspects: Set[str],
@@ -53,14 +53,14 @@
         Args:
             settings: The settings of the process.
             reactor: Clock and timers.
-            forwarder: Gets the configuration.
+            config: Gets the configuration.
             lifecycle: The state of the own backend, to be announced.
             endpoints: Gets the endpoints of all proxies.
             suspects: The nodes that the failure detector cannot reach, at any time.
             on_update: Called after each reply of a registry.
         """
         self._settings, self._reactor = settings, reactor
-        self._forwarder, self._lifecycle = forwarder, lifecycle
+        self._config, self._lifecycle = config, lifecycle
         self._endpoints, self._suspects, self._on_update = endpoints, suspects, on_update
         self._peers = RpcClientPool(reactor)
         self.registries = RegistrySelector(
@@ -74,8 +74,7 @@
         # The time of day is a good guess at a higher number than that of the run before.
         self._incarnation = Incarnation(time.time_ns() // 1000)
         self.evidence = FreshnessTracker(CURRENT_US)  # that the configuration here is the one in force
-        self.leaving = False
-        forwarder.is_config_current = self.is_config_current
+        self._leaving = False
 
     def is_config_current(self) -> bool:
         """Return whether the configuration here is the one in force."""
@@ -90,6 +89,11 @@
         self._incarnation.next_version()
         self.poll_now()
 
+    def announce_leaving(self) -> None:
+        """Announce at once that this proxy shuts down."""
+        self._leaving = True
+        self.announce()
+
     def poll_now(self) -> None:
         """Poll the current registries without a wait, so that they learn at once what this proxy reports."""
         for registry in list(self._pending):
@@ -108,7 +112,7 @@
             settings.zone,
             lifecycle.service or settings.service,
             lifecycle.server,
-            EndpointState.LEAVING if self.leaving else lifecycle.state,
+            EndpointState.LEAVING if self._leaving else lifecycle.state,
             lifecycle.slots,
             max(0, warmup_left_us // 1000),
         )
@@ -133,7 +137,7 @@
             self.endpoint(),
             incarnation,
             directory_version,
-            self._forwarder.config.seq if self._sends_config(registry) else NO_ITEMS,
+            self._config.seq if self._sends_config(registry) else NO_ITEMS,
             self._newest_seq,
             wait_ms,
             with_incarnations(self._suspects, self._endpoints.incarnations(self._suspects)),
@@ -177,33 +181,27 @@
 
     def _apply(self, registry: str, asked_at: int, reply: PollReply) -> None:
         self.registry_versions[registry] = (reply.registry_incarnation, reply.directory_version)
-        now = self._reactor.now()
-        for endpoint in reply.endpoints:
-            self._endpoints.update(endpoint, now)
-        for node in reply.removed:
-            self._endpoints.remove(node)
+        self._endpoints.apply(reply.endpoints, reply.removed, self._reactor.now())
         self._apply_config(registry, asked_at, reply)
         if reply.registry_addresses:
             self.registries.addresses = set(reply.registry_addresses)
-        self._forwarder.upstreams.proxies = max(1, len(self._endpoints))
         self._on_update()
         self._refute(reply.endpoints)
 
     def _apply_config(self, registry: str, asked_at: int, reply: PollReply) -> None:
-        routes = self._forwarder.config
-        if reply.items or reply.config_seq > routes.seq:
-            routes.apply(reply.items, reply.config_seq)
+        if reply.items or reply.config_seq > self._config.seq:
+            self._config.apply(reply.items, reply.config_seq)
         self._newest_seq = max(self._newest_seq, reply.newest_seq)
         if reply.freshness is None:
             return
-        if routes.seq >= reply.newest_seq:
+        if self._config.seq >= reply.newest_seq:
             self.evidence.record(reply.freshness, asked_at)
         elif not reply.items:
             self._reactor.after(MISSING_CONFIG_US, self._poll_if_behind, registry)
 
     def _poll_if_behind(self, registry: str) -> None:
         """Ask a registry for the configuration that it knows of, if the one that should send it has not."""
-        if self._forwarder.config.seq < self._newest_seq:
+        if self._config.seq < self._newest_seq:
             self._behind.add(registry)
             self._poll(registry, POLL_WAIT_MS)
 
--- a/lilacsill/mesh/proxy/forwarder.py
+++ b/lilacsill/mesh/proxy/forwarder.py
@@ -22,13 +22,21 @@
 class Forwarder:
     """Routes requests and forwards them; `forwarded_request.RequestOwner` of all of them."""
 
-    def __init__(self, reactor: Reactor, config: ActiveConfig, upstreams: Upstreams, service: str, rng: Random) -> None:
+    def __init__(
+        self,
+        reactor: Reactor,
+        config: ActiveConfig,
+        upstreams: Upstreams,
+        service: str,
+        rng: Random,
+        is_config_current: Callable[[], bool],
+    ) -> None:
         """Begin without requests; `service` is that of the backend on this machine, and marks its requests."""
         self.reactor, self.config, self.upstreams, self.rng = reactor, config, upstreams, rng
         self.caller = service.encode()
         self.statistics = RouteStatistics()
         self.in_flight: set[ForwardedRequest] = set()
-        self.is_config_current: Callable[[], bool] = lambda: False  # set by discovery, which has the proof
+        self.is_config_current = is_config_current
         self.shutdown: GracefulShutdown | None = None  # from SIGTERM on
 
     def forward(
--- a/lilacsill/mesh/proxy/known_endpoints.py
+++ b/lilacsill/mesh/proxy/known_endpoints.py
@@ -2,21 +2,21 @@
 
 from __future__ import annotations
 
-from collections.abc import Set
+from collections.abc import Iterable, Set
 
 from lilacsill.address import Address
 from lilacsill.mesh.runtime.messages import Endpoint
 
 from .backend_lifecycle import EndpointState
-from .forwarder import Forwarder
+from .upstreams import Upstreams
 
 
 class KnownEndpoints:
     """All endpoints by node, as registries have reported them."""
 
-    def __init__(self, node: str, forwarder: Forwarder) -> None:
-        """Begin without endpoints, for the proxy `node`; the forwarder's tables and links follow each change."""
-        self._node, self._forwarder = node, forwarder
+    def __init__(self, node: str, upstreams: Upstreams) -> None:
+        """Begin without endpoints, for the proxy `node`; the tables and links of `upstreams` follow each change."""
+        self._node, self._upstreams = node, upstreams
         self._by_node: dict[str, Endpoint] = {}
         self._peers: dict[str, str] | None = None  # None: to be built again
 
@@ -41,6 +41,14 @@
             }
         return self._peers
 
+    def apply(self, updated: Iterable[Endpoint], removed: Iterable[str], now: int) -> None:
+        """Take the changes that a registry has reported."""
+        for endpoint in updated:
+            self.update(endpoint, now)
+        for node in removed:
+            self.remove(node)
+        self._upstreams.proxies = max(1, len(self._by_node))
+
     def update(self, endpoint: Endpoint, now: int) -> None:
         """Take a record, unless a later one of the same incarnation is known."""
         known = self._by_node.get(endpoint.node)
@@ -52,8 +60,8 @@
         if known is not None and known.incarnation != endpoint.incarnation:
             self._close_links(known)
         if known is not None and known.service != endpoint.service:
-            self._forwarder.upstreams.table(known.service).remove(endpoint.node)
-        self._forwarder.upstreams.table(endpoint.service).update(endpoint, now)
+            self._upstreams.table(known.service).remove(endpoint.node)
+        self._upstreams.table(endpoint.service).update(endpoint, now)
 
     def remove(self, node: str) -> None:
         """Remove the endpoint of a node, in the tables of all services."""
@@ -61,12 +69,12 @@
         if known is not None:
             self._peers = None
             self._close_links(known)
-        for table in self._forwarder.upstreams.tables.values():
+        for table in self._upstreams.tables.values():
             table.remove(node)
 
     def _close_links(self, endpoint: Endpoint) -> None:
         """Close idle links to a process that is over: a request sent on one would have an unknown outcome."""
-        self._forwarder.upstreams.links.close_idle(Address(endpoint.host, endpoint.port))
+        self._upstreams.links.close_idle(Address(endpoint.host, endpoint.port))
 
 
 def peer_address(endpoint: Endpoint) -> tuple[str, int, bool]:
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -43,20 +43,24 @@
         self._settings, self._reactor = settings, reactor
         self._lifecycle = BackendLifecycle(settings.timing.drain_us)
         self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
-        self._forwarder = self._create_forwarder()
-        self._endpoints = KnownEndpoints(settings.node_name, self._forwarder)
+        self._config, rng = ActiveConfig(), Random()
+        upstreams = Upstreams(reactor, self._gateway, settings.node_name, self._retry_budget_settings(), rng)
+        self._endpoints = KnownEndpoints(settings.node_name, upstreams)
         self._failure_detector = FailureDetector(
             ReactorEnvironment(reactor), settings.node_name, self._endpoints.peers, self._on_suspect
         )
         self._discovery = DiscoveryClient(
             settings,
             reactor,
-            self._forwarder,
+            self._config,
             self._lifecycle,
             self._endpoints,
             self._failure_detector.suspects,
             self._on_update,
         )
+        self._forwarder = Forwarder(
+            reactor, self._config, upstreams, settings.service, rng, self._discovery.is_config_current
+        )
         self._offer_server = OfferServer(reactor, Address(settings.ip, settings.internal_ports[0]), self._gateway, self)
         self._clients = ClientListener(reactor, settings.listen["Outgoing"], self._forwarder)
         heartbeats = HeartbeatApi(reactor, self._gateway, self._discovery.announce)
@@ -67,7 +71,7 @@
             self._gateway.pool,
             self._lifecycle,
             settings.service,
-            lambda: self._forwarder.config.health_path(settings.service),
+            lambda: self._config.health_path(settings.service),
             self._discovery.announce,
         )
         self._shutdown = ShutdownSequence(
@@ -84,19 +88,11 @@
         self._discovery.start()
         self._failure_detector.start()
 
-    def _create_forwarder(self) -> Forwarder:
-        settings, reactor = self._settings, self._reactor
-        window_us = settings.timing.retry_window_us
-        budget = RetryBudgetSettings(
-            settings.timing.retry_ratio,
-            window_us,
-            settings.timing.retry_slack,
-            # A process before this one may have spent the slack; on the first start of all there was none.
-            slack_from=0 if settings.fresh_start else reactor.now() + window_us,
-        )
-        rng = Random()
-        upstreams = Upstreams(reactor, self._gateway, settings.node_name, budget, rng)
-        return Forwarder(reactor, ActiveConfig(), upstreams, settings.service, rng)
+    def _retry_budget_settings(self) -> RetryBudgetSettings:
+        timing = self._settings.timing
+        # A process before this one may have spent the slack; on the first start of all there was none.
+        slack_from = 0 if self._settings.fresh_start else self._reactor.now() + timing.retry_window_us
+        return RetryBudgetSettings(timing.retry_ratio, timing.retry_window_us, timing.retry_slack, slack_from)
 
     # Events
 
@@ -107,7 +103,7 @@
     def _on_update(self) -> None:
         """Use what a registry has sent about the own service and the own backend."""
         service = self._lifecycle.service or self._settings.service
-        max_connections = self._forwarder.config.max_connections(service)
+        max_connections = self._config.max_connections(service)
         if max_connections is not None:
             self._gateway.pool.max_connections = max_connections
         if self._is_drain_new():
--- a/lilacsill/mesh/proxy/shutdown_sequence.py
+++ b/lilacsill/mesh/proxy/shutdown_sequence.py
@@ -55,9 +55,8 @@
         now = self._started_at = self._reactor.now()
         take_all_us = min(NOTICE_US, self._grace_us // 2)
         self._forwarder.shutdown = GracefulShutdown(now + take_all_us, now + self._grace_us - KILL_MARGIN_US)
-        self._discovery.leaving = True
         self._clients.start_draining()
-        self._discovery.announce()
+        self._discovery.announce_leaving()
         self._drain(now)
 
     @property
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -106,13 +106,10 @@
         reactor: Any = Reactor(self._machine(f"{ip}:0"))
         table = SimpleNamespace(remove=lambda node: None, update=lambda endpoint, now: None)
         links = SimpleNamespace(close_idle=lambda address: None)
-        forwarder: Any = SimpleNamespace(
-            config=ActiveConfig(),
-            upstreams=SimpleNamespace(tables={}, table=lambda service: table, proxies=1, links=links),
-        )
+        upstreams: Any = SimpleNamespace(tables={}, table=lambda service: table, proxies=1, links=links)
         settings = settings_of(ip, self.fleet.seeds)
         self.proxies[ip] = discovery.DiscoveryClient(
-            settings, reactor, forwarder, BackendLifecycle(0), KnownEndpoints(ip, forwarder), set(), lambda: None
+            settings, reactor, ActiveConfig(), BackendLifecycle(0), KnownEndpoints(ip, upstreams), set(), lambda: None
         )
         self.proxies[ip].start()
 
@@ -224,7 +221,7 @@
                 self._judge("registry", ip, held["route", "r"].version)
         for ip, proxy in self.proxies.items():
             if self._awake(f"{ip}:0") and proxy.is_config_current():
-                self._judge("proxy", ip, proxy._forwarder.config._versions["route", "r"])
+                self._judge("proxy", ip, proxy._config._versions["route", "r"])
 
     def _awake(self, address: str) -> bool:
         machine = self.net.machines[address]
--- a/tests/control/test_point_5_callers.py
+++ b/tests/control/test_point_5_callers.py
@@ -142,8 +142,8 @@
 
 def discovery_client(s: Stage) -> DiscoveryClient:
     """Of the proxy `me`, for the forwarder of the stage."""
-    endpoints = KnownEndpoints("me", s.forwarder)
-    return DiscoveryClient(settings(), s.reactor, s.forwarder, BackendLifecycle(S), endpoints, set(), lambda: None)
+    config, endpoints = s.forwarder.config, KnownEndpoints("me", s.forwarder.upstreams)
+    return DiscoveryClient(settings(), s.reactor, config, BackendLifecycle(S), endpoints, set(), lambda: None)
 
 
 def test_a_proxy_whose_clock_went_back_outlives_its_earlier_run_on_all_registries(
--- a/tests/mesh/stage.py
+++ b/tests/mesh/stage.py
@@ -193,8 +193,7 @@
         gateway = BackendGateway(reactor, BackendLifecycle(2_000_000), Address(LOOPBACK, 1))
         rng = Random(1)
         upstreams = Upstreams(reactor, gateway, "near", RetryBudgetSettings(0.2, 10_000_000, 1000.0), rng)
-        self.forwarder = Forwarder(reactor, routes, upstreams, "desk", rng)
-        self.forwarder.is_config_current = lambda: True
+        self.forwarder = Forwarder(reactor, routes, upstreams, "desk", rng, lambda: True)
         self.clients = ClientListener(reactor, Address(LOOPBACK, 0), self.forwarder)
 
     @staticmethod
