--- a/tests/mesh/test_decisions.py
+++ b/tests/mesh/test_decisions.py
@@ -1,22 +1,16 @@
-"""What proxies and registries decide, without I/O: the choice, the gate, budgets, lives, the directory."""
+"""What proxies and registries decide, without I/O: the choice, budgets, the directory."""
 
 from __future__ import annotations
 
 from collections import Counter
 from random import Random
 
-import pytest
 
 from lilacsill.mesh.proxy.retry_budget import RetryBudget, RetryBudgetSettings
-from lilacsill.mesh.proxy.admission import AdmissionController, AdmissionRequest
-from lilacsill.mesh.proxy.backend_lifecycle import BackendHeartbeat, BackendLifecycle
-from lilacsill.mesh.proxy.circuit_breaker import MIN_BACKOFF_US, WRITE_TRIAL_DELAY_US, CircuitBreaker
-from lilacsill.mesh.proxy.lost_requests import LostRequestDetector
 from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.registry.directory import FAILURE_TIMEOUT_US, Directory
 from lilacsill.mesh.runtime.hashing import rendezvous_select
 from lilacsill.mesh.runtime.messages import Endpoint, Load, SuspicionReport
-from lilacsill.mesh.simulation.failure_detection import Street
 
 MS, S = 1_000, 1_000_000
 
@@ -79,65 +73,6 @@
     assert made.entries["n2"].ejected_until == 0
 
 
-# The gate
-
-
-def test_the_gate_keeps_its_slots_and_turns_round_what_would_wait_too_long() -> None:
-    gate, begun, rejected = AdmissionController(), list[str](), list[str]()
-    gate.slots, gate.durations.mean_ms = 2, 100.0
-
-    def ticket(name: str, rank: int = 1, until: int = S) -> AdmissionRequest:
-        return AdmissionRequest(
-            rank, until, "r", lambda: begun.append(name), lambda why: rejected.append(f"{name} {why}")
-        )
-
-    first = ticket("a")
-    assert gate.admit(first, 0) is None and gate.admit(ticket("b"), 0) is None
-    assert gate.admit(ticket("late", until=10 * MS), 0) == "full"
-    low, high = ticket("low", rank=2), ticket("high", rank=0)
-    assert gate.admit(low, 0) is None and gate.admit(high, 0) is None
-    assert begun == ["a", "b"] and gate.load(0).in_flight == 4
-    gate.finish(first, 100 * MS, measured=True)
-    assert begun == ["a", "b", "high"]
-    assert gate.withdraw(low) and not gate.withdraw(high) and gate.load(0).in_flight == 2
-    waits = ticket("waits", until=300 * MS)
-    assert gate.admit(waits, 100 * MS) is None
-    gate.reject_expired(400 * MS)
-    assert rejected == ["waits full"] and gate.load(0).in_flight == 2
-    gate.finish(high, 500 * MS, measured=True)
-    gate.finish(high, 500 * MS, measured=True)  # a second end changes nothing
-    assert gate.running == 1
-
-
-def test_short_work_goes_first_and_rank_weighs() -> None:
-    gate, begun = AdmissionController(), list[str]()
-    gate.slots = gate.running = 1
-    gate.durations.mean_ms = 100.0
-
-    def offer(route: str, rank: int) -> None:
-        gate.admit(AdmissionRequest(rank, 10 * S, route, lambda: begun.append(route), lambda why: None), 0)
-
-    gate.durations.by_route_ms = {"long": 400.0, "short": 15.0, "mid": 160.0}
-    gate.slots = 3
-    gate.running = 3
-    for route in ("long", "mid", "short"):
-        offer(route, 2)
-    while gate._queue:
-        gate.running -= 1
-        gate.start_next(0)
-    assert begun == ["short", "mid", "long"]
-
-
-def test_what_is_missing_in_two_reports_may_be_given_up() -> None:
-    detector = LostRequestDetector()
-    assert not detector.record_report(b"2,0,4", 3)
-    assert not detector.record_report(b"3,0,4", 3)  # it was only on its way
-    assert not detector.record_report(b"2,0,4", 3) and detector.record_report(b"1,1,4", 3)
-    assert not detector.record_report(b"2,0,4", 3)  # counted anew
-    assert not detector.record_report(b"nonsense", 3) and not detector.record_report(b"", 3)
-    assert detector.is_overdue(140 * MS, 100 * MS) and not detector.is_overdue(120 * MS, 100 * MS)
-
-
 # The budget
 
 
@@ -161,24 +96,6 @@
         assert len(spent) > 0.05 * len(asked)
 
 
-# The life of a backend
-
-
-def test_a_drain_is_kept_and_late_beats_change_nothing() -> None:
-    life = BackendLifecycle(2 * S)
-    assert life.rejection_reason("i", 0) == "life"
-    assert life.on_heartbeat(BackendHeartbeat("i", "s", 4, False, 1, 0), 0) and life.rejection_reason("i", 0) is None
-    assert life.on_heartbeat(BackendHeartbeat("i", "s", 4, True, 3, 0), S)
-    assert not life.on_heartbeat(BackendHeartbeat("i", "s", 4, False, 2, 0), S)  # late: from before the drain
-    assert life.rejection_reason("i", S) == "draining"
-    assert life.rejection_reason("i", S + 900 * MS, admitted=True) is None
-    assert life.rejection_reason("i", S + 1100 * MS, admitted=True)
-    assert life.on_stopped("i", 3 * S) and life.rejection_reason("i", 3 * S) == "life"
-    assert not life.on_heartbeat(BackendHeartbeat("i", "s", 4, False, 9, 0), 4 * S)  # that life is over
-    assert life.on_heartbeat(BackendHeartbeat("j", "s", 4, False, 1, 0), 4 * S)
-    assert life.rejection_reason("i", 4 * S) == "life"
-
-
 # The directory
 
 
@@ -210,20 +127,8 @@
     assert directory.entries["a"].endpoint.state == "ready"
 
 
-def test_slowness_is_by_route_and_an_ill_backend_is_chosen_less_until_it_fades() -> None:
-    gate, made = AdmissionController(), table(6)
-    for now in range(60):
-        quick, slow = (
-            AdmissionRequest(1, 100 * S, route, lambda: None, lambda why: None, ms)
-            for route, ms in (("quick", 50), ("slow", 500))
-        )
-        for each, took in ((quick, 70), (slow, 700)):
-            gate.admit(each, now * S)
-            gate.finish(each, now * S + took * MS, True)
-    assert 1.3 < gate.durations.slowdown < 1.5
-    for _ in range(10):
-        gate.failure_rate.record(False, 60 * S)
-    assert gate.load(60 * S).failure_rate > 0.7 > 0.4 > gate.load(63 * S).failure_rate > 0.2
+def test_a_backend_whose_requests_fail_is_chosen_less() -> None:
+    made = table(6)
     for i, entry in enumerate(made.entries.values()):
         made.attempt_ended(entry, i, Load(0, 10, 1.0, 0.8 if i == 0 else 0.0), S)
     picks = Counter(s.endpoint.node for s in (made.choose(S, []) for _ in range(3000)) if s is not None)
@@ -243,98 +148,6 @@
     assert all(set(first[n]) - {registries[0]} <= set(fewer[n]) for n in nodes)
 
 
-def test_short_work_takes_the_place_of_the_longest_that_waits() -> None:
-    # Else a full service fails the calls that others' requests wait for (glossary and precheck, fresh-63bd).
-    gate, ended = AdmissionController(), list[str]()
-
-    def offer(route: str, ms: int) -> str | None:
-        return gate.admit(
-            AdmissionRequest(
-                1, 100 * S, route, lambda: ended.append(f"{route} runs"), lambda why: ended.append(f"{route} {why}"), ms
-            ),
-            S,
-        )
-
-    gate.slots, gate.durations.mean_ms = 2, 100.0
-    assert [offer(f"long{i}", 150) for i in range(5)] == [None, None, None, None, "full"]
-    assert gate.durations.is_short("call", 15) and not gate.durations.is_short("long0", 150)
-    assert offer("call", 15) is None and gate.waiting == 2
-    assert ended == ["long0 runs", "long1 runs", "long2 full"] or ended[-1] == "long3 full"
-    assert offer("other", 100) == "full"  # not so much shorter
-
-
-def test_what_can_only_be_late_goes_behind_what_can_be_in_time() -> None:
-    # After a loss of all power the queues were full of those who came back, and all that came after was late, too.
-    gate, ended = AdmissionController(), list[str]()
-
-    def offer(name: str, late: bool, until: int = 100 * S) -> str | None:
-        return gate.admit(
-            AdmissionRequest(
-                1,
-                until,
-                "r",
-                lambda: ended.append(f"{name} runs"),
-                lambda why: ended.append(f"{name} {why}"),
-                100,
-                late,
-            ),
-            S,
-        )
-
-    gate.slots, gate.durations.mean_ms = 2, 100.0
-    assert [offer(f"back{i}", True) for i in range(4)] == [None] * 4
-    assert offer("fresh", False, S + 60 * MS) is None  # only what goes before it counts
-    assert ended[-1] in ("back2 full", "back3 full") and gate.waiting == 2
-    assert offer("back4", True) == "full"
-
-
-# A backend that falls silent
-
-
-def test_silence_of_all_that_is_out_makes_a_backend_dark_and_a_read_tries_it() -> None:
-    breaker = CircuitBreaker()
-    breaker.record_response(S)
-    assert not breaker.is_silent([(900 * MS, 100 * MS)], 2 * S)  # one alone may be a long one
-    assert not breaker.is_silent([(900 * MS, 100 * MS)] * 2, S + 300 * MS)  # others have been answered
-    assert not breaker.is_silent([(900 * MS, 300 * MS)] * 2, 2 * S)
-    assert breaker.is_silent([(900 * MS, 100 * MS), (800 * MS, 100 * MS)], 2 * S)
-    breaker.record_failure(2 * S)
-    assert breaker.rejects(True, 2 * S) and breaker.rejects(True, 2 * S + MIN_BACKOFF_US - 1)
-    assert breaker.rejects(False, 2 * S + MIN_BACKOFF_US) and not breaker.rejects(True, 2 * S + MIN_BACKOFF_US)
-    assert breaker.rejects(True, 2 * S + MIN_BACKOFF_US + 1)  # one at a time
-    breaker.record_failure(3 * S)
-    assert breaker.rejects(True, 3 * S + 2 * MIN_BACKOFF_US - 1)
-    assert not breaker.rejects(True, 3 * S + 2 * MIN_BACKOFF_US)
-    breaker.record_response(4 * S)
-    assert breaker.is_closed and not breaker.rejects(False, 4 * S)
-    breaker.record_failure(5 * S)
-    assert not breaker.rejects(False, 5 * S + MIN_BACKOFF_US + WRITE_TRIAL_DELAY_US)  # where no read comes
-
-
-# Failure detection
-
-
-@pytest.mark.parametrize("count", [3, 12, 80])
-def test_a_death_is_known_in_little_more_than_a_second(count: int) -> None:
-    street = Street(count, seed=count)
-    took = street.dies("n1")
-    assert 400 * MS < took < 2 * S, took
-    assert list(street.known) == ["n1"]  # and nobody else's
-
-
-def test_who_stood_still_or_is_cut_off_accuses_nobody() -> None:
-    street = Street(12, seed=1)
-    frozen = street.proxies["n3"]
-    frozen.machine.frozen_until = street.net.time.now + 1_200 * MS
-    alone = street.proxies["n5"].address
-    cut = street.net.cut({alone}, {p.address for p in street.proxies.values()})
-    street.net.time.run(street.net.time.now + 1_500 * MS)
-    street.net.heal(cut)
-    street.net.time.run(street.net.time.now + 4 * S)
-    assert set(street.known) <= {"n3", "n5"}
-    assert all(e.endpoint is not None for b in street.directories for e in b.entries.values())  # and they are back
-
-
 def test_one_accuser_is_not_believed_and_rumours_end() -> None:
     directory, other = Directory(), Directory()
     for b in (directory, other):
@@ -351,16 +164,6 @@
     assert directory.update(endpoint("a", count=2), now + S) and not directory.remove_failed(now + S)
 
 
-def test_a_backend_known_by_its_health_answer_drains_when_others_know_that_it_leaves() -> None:
-    life = BackendLifecycle(2 * S)
-    assert life.on_health_check("i-a", "s", 9) and life.rejection_reason("i-a", S) is None
-    assert not life.on_reported_drain("i-b", S)  # another life
-    assert life.on_reported_drain("i-a", S) and life.rejection_reason("i-a", S) == "draining"
-    assert not life.on_reported_drain("i-a", S)  # no news
-    assert life.rejection_reason("i-a", S + MS, admitted=True) is None
-    assert life.rejection_reason("i-a", 3 * S, admitted=True) == "draining"
-
-
 def test_a_directory_that_was_started_anew_learns_of_drains_from_the_proxies_themselves() -> None:
     directory = Directory()
     directory.update(endpoint("a", state="draining", count=7), S)
