--- a/lilacsill/mesh/proxy/failure_detector.py
+++ b/lilacsill/mesh/proxy/failure_detector.py
@@ -16,7 +16,7 @@
 from typing import Any, Protocol
 
 from lilacsill.mesh.runtime.hashing import rendezvous_select
-from lilacsill.mesh.runtime.messages import IndirectPing, IndirectPingReply, Message, Ping
+from lilacsill.mesh.runtime.messages import IndirectPing, IndirectPingReply, Message, Ping, Suspect
 
 from .watch_list import WatchList
 
@@ -149,6 +149,6 @@
         self._environment.ask(request.address, Ping(), PING_TIMEOUT_US, on_pong)
 
 
-def with_incarnations(suspects: Iterable[str], incarnations: dict[str, int]) -> list[tuple[str, int]]:
+def with_incarnations(suspects: Iterable[str], incarnations: dict[str, int]) -> list[Suspect]:
     """Return suspects in order of their names, each with the incarnation that is meant; without the unknown ones."""
-    return [(node, incarnations[node]) for node in sorted(suspects) if node in incarnations]
+    return [Suspect(node, incarnations[node]) for node in sorted(suspects) if node in incarnations]
--- a/lilacsill/mesh/registry/config_follower.py
+++ b/lilacsill/mesh/registry/config_follower.py
@@ -1,4 +1,4 @@
-"""Following the configuration: a long poll of the store's member on this machine, again after each reply."""
+"""Following the configuration: a long poll of the store's member on this machine, repeated after each reply."""
 
 from __future__ import annotations
 
--- a/lilacsill/mesh/registry/directory.py
+++ b/lilacsill/mesh/registry/directory.py
@@ -91,7 +91,7 @@
             if current.incarnation == endpoint.incarnation and current.version >= endpoint.version:
                 return False
             if current.incarnation > endpoint.incarnation:
-                # The higher incarnation counts. It is announced again, also to whoever knows the lower one: the proxy,
+                # The higher incarnation counts. It is announced anew, also to whoever knows the lower one: the proxy,
                 # if it is alive, raises its own above that (`lilacsill.mesh.runtime.incarnation`).
                 self._change(entry, endpoint.node, current)
                 return False
@@ -179,11 +179,11 @@
     # Changes
 
     def is_newer_than(self, incarnation: int, version: int) -> bool:
-        """Whether a reader that has this version, of that incarnation, lacks changes."""
+        """Whether there are changes for a reader that has this version, of that incarnation."""
         return incarnation != self.incarnation or version < self.version
 
     def changes_for(self, incarnation: int, version: int) -> Changes:
-        """Return what a reader lacks that has this version, of that incarnation: all entries, if it is another one."""
+        """Return the changes for a reader that has this version, of that incarnation: all entries if it is another one."""
         return self.changes_since(version if incarnation == self.incarnation else 0)
 
     def changes_since(self, version: int) -> Changes:
--- a/lilacsill/mesh/registry/gossip_client.py
+++ b/lilacsill/mesh/registry/gossip_client.py
@@ -30,7 +30,7 @@
 
 
 class GossipClient:
-    """Polls all other registries, each again after its reply.
+    """Polls all other registries, each once more after its reply.
 
     Attributes:
         positions: By host; a host is here while it is polled.
--- a/lilacsill/mesh/registry/gossip_server.py
+++ b/lilacsill/mesh/registry/gossip_server.py
@@ -21,7 +21,7 @@
         self._polls: LongPolls[Gossip] = LongPolls(reactor, self._reply)
 
     def handle(self, gossip: Gossip, send_reply: SendReply) -> None:
-        """Reply at once if the other registry lacks changes, else when there are some or its wait is over."""
+        """Reply at once if there are changes, else when there are some or the wait of the other registry is over."""
         poll = LongPoll(gossip, send_reply, self._reactor.now())
         if self._is_outdated(gossip):
             self._reply(poll)
@@ -29,7 +29,7 @@
             self._polls.add(poll, gossip.wait_ms)
 
     def reply_with_changes(self) -> None:
-        """Reply to the registries that lack changes."""
+        """Reply to the registries for which there are changes."""
         for poll in self._polls.pop_where(self._is_outdated):
             self._reply(poll)
 
--- a/lilacsill/mesh/registry/poll_server.py
+++ b/lilacsill/mesh/registry/poll_server.py
@@ -47,12 +47,12 @@
         self._notification_pending = False
 
     def handle(self, request: Poll, send_reply: SendReply) -> None:
-        """Take what a proxy announces. Reply at once if it lacks something, else later."""
+        """Take what a proxy announces. Reply at once if it is outdated, else later."""
         now = self._reactor.now()
         if self._directory.update(request.endpoint, now):
             self.notify_soon()
         reporter = request.endpoint.node
-        reports = [SuspicionReport(node, incarnation, reporter) for node, incarnation in request.suspects]
+        reports = [SuspicionReport(suspect.node, suspect.incarnation, reporter) for suspect in request.suspects]
         self.take_reports(reports, now, direct=True)
         poll = LongPoll(request, send_reply, now)
         if request.wait_ms <= 0 or (self._is_outdated(request) and not self._is_notified_soon(request)):
@@ -108,7 +108,7 @@
         return self._config.is_current and (request.newest_seq < seq or 0 <= request.config_seq < seq)
 
     def _is_notified_soon(self, request: Poll) -> bool:
-        """Whether the proxy lacks a few changes of the directory only, and a notification will bring them all."""
+        """Whether only a few changes of the directory are missing, which the next notification will bring."""
         directory = self._directory
         few = (
             request.registry_incarnation == directory.incarnation
--- a/lilacsill/mesh/registry/process.py
+++ b/lilacsill/mesh/registry/process.py
@@ -79,7 +79,7 @@
         self._check()
 
     def _check(self) -> None:
-        """Find failed nodes and new core machines, again and again."""
+        """Find failed nodes and new core machines, periodically."""
         now = self._reactor.now()
         was_suspended = now - self._checked_at > CHECK_INTERVAL_US + MAX_CHECK_DELAY_US
         if was_suspended or not self._config.is_current:
--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..records import Departure, Endpoint, EndpointState, Freshness, Item, Load, Member, SuspicionReport, View
+from ..records import Departure, Endpoint, EndpointState, Freshness, Item, Load, Member, Suspect, SuspicionReport, View
 from .base import Headers, Message
 from .configuration import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply, Status, StatusReply
 from .consensus import (
@@ -128,6 +128,7 @@
     "StatusReply",
     "Summary",
     "SummaryRequest",
+    "Suspect",
     "SuspicionReport",
     "View",
     "ViewChange",
--- a/lilacsill/mesh/runtime/messages/configuration.py
+++ b/lilacsill/mesh/runtime/messages/configuration.py
@@ -16,7 +16,7 @@
 
 
 class Read(Message):
-    """An operator's read of the whole configuration."""
+    """An operator's read of the complete configuration."""
 
     hops: int
 
@@ -37,7 +37,7 @@
 
 
 class ConfigUpdate(msgspec.Struct, array_like=True, gc=False):
-    """What the configuration in force has beyond the sequence number that was asked about."""
+    """What the configuration in force has beyond the requested sequence number."""
 
     seq: int  # of its last change
     items: list[Item]
--- a/lilacsill/mesh/runtime/messages/discovery.py
+++ b/lilacsill/mesh/runtime/messages/discovery.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ..records import Endpoint, Freshness, Item, SuspicionReport
+from ..records import Endpoint, Freshness, Item, Suspect, SuspicionReport
 from .base import Message
 
 
@@ -10,16 +10,16 @@
     """A proxy asks a registry for everything that is newer than what it has (a long poll)."""
 
     endpoint: Endpoint  # the proxy's own record
-    registry_incarnation: int  # of this registry, as it last told
+    registry_incarnation: int  # of this registry, from its last reply
     directory_version: int  # of this registry's directory that the proxy has
     config_seq: int  # sequence number of the configuration that the proxy has; -1: it wants no items
     newest_seq: int  # highest sequence number that the proxy knows to exist
     wait_ms: int  # how long the registry may wait for something new
-    suspects: list[tuple[str, int]]  # nodes that neither this proxy nor its helpers reach: node, incarnation
+    suspects: list[Suspect]
 
 
 class PollReply(Message):
-    """What the proxy lacked."""
+    """What is newer than what the proxy has."""
 
     registry_incarnation: int
     directory_version: int
--- a/lilacsill/mesh/runtime/messages/proxying.py
+++ b/lilacsill/mesh/runtime/messages/proxying.py
@@ -39,7 +39,7 @@
 class Rejected(Message, tag="Declined"):
     """The request was not passed to the backend and never will be: it is safe to send it elsewhere."""
 
-    reason: str  # full, life, draining, unreachable, late
+    reason: str  # a `RejectionReason` of `lilacsill.mesh.proxy.reasons`, or one of a later version
     load: Load
 
 
--- a/lilacsill/mesh/runtime/messages/replication.py
+++ b/lilacsill/mesh/runtime/messages/replication.py
@@ -7,14 +7,14 @@
 
 
 class SummaryRequest(Message):
-    """Ask the successor what it holds."""
+    """Request a summary of what the successor has."""
 
     view_number: int
     to_learner: bool = False  # a machine that lost its disk must not answer in the place that it had before
 
 
 class Summary(Message):
-    """What the successor holds."""
+    """A summary of what the successor has."""
 
     complete: bool
     seq: int
@@ -24,7 +24,7 @@
 class Replicate(Message):
     """Items for the successor, which are complete up to `seq` with the last message.
 
-    A repair comes in several messages. Each replaces all that the successor holds in `ranges`.
+    A repair comes in several messages. Each replaces all that the successor has in `ranges`.
     """
 
     view_number: int
--- a/lilacsill/mesh/runtime/records.py
+++ b/lilacsill/mesh/runtime/records.py
@@ -46,8 +46,15 @@
     warmup_left_ms: int  # how much longer the backend is slow after its start, when it was announced
 
 
+class Suspect(NamedTuple):
+    """A node that neither the sender nor its helpers reach."""
+
+    node: str
+    incarnation: int  # of the node
+
+
 class SuspicionReport(NamedTuple):
-    """The report that neither a node nor its helpers reach another node."""
+    """One node's report that neither it nor its helpers reach another one."""
 
     node: str
     incarnation: int  # of the node that is not reached
@@ -72,7 +79,7 @@
     """
 
     age_ms: int  # since the moment for which a holder of a read lease made the statement
-    pending_ms: int  # for how long the responder kept the question before it answered
+    pending_ms: int  # for how long the request was pending at the responder
 
 
 class Member(msgspec.Struct, array_like=True, gc=False, frozen=True):
--- a/lilacsill/mesh/runtime/rpc.py
+++ b/lilacsill/mesh/runtime/rpc.py
@@ -42,7 +42,7 @@
 
 
 class RpcClient:
-    """Sends requests to one process. It connects with the first request, and again after a link is lost.
+    """Sends requests to one process. It connects with the first request, and reconnects after a link is lost.
 
     A request is sent once at most. What was sent on a link that is lost is not sent on the next one: its sender gets
     None for a reply.
--- a/lilacsill/mesh/runtime/settings.py
+++ b/lilacsill/mesh/runtime/settings.py
@@ -51,7 +51,7 @@
     ip: str
     internal_ports: tuple[int, int]  # first and last of those between processes of the mesh
     seeds: tuple[Address, ...]  # control addresses of core machines that are there at the start
-    fresh_start: bool  # the whole site starts for the first time
+    fresh_start: bool  # all machines of the site start for the first time
     loss_counts: bool
     max_lost_machines: int  # that may fail at once
     max_lost_zones: int  # zones or regions that may fail at once
--- a/lilacsill/mesh/simulation/failure_detection.py
+++ b/lilacsill/mesh/simulation/failure_detection.py
@@ -11,7 +11,15 @@
 
 from lilacsill.mesh.proxy.failure_detector import FailureDetector, with_incarnations
 from lilacsill.mesh.registry.directory import Directory
-from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, IndirectPingReply, Message, Ping, SuspicionReport
+from lilacsill.mesh.runtime.messages import (
+    Endpoint,
+    IndirectPing,
+    IndirectPingReply,
+    Message,
+    Ping,
+    Suspect,
+    SuspicionReport,
+)
 
 from .network import MS, Machine, Net, S
 
@@ -52,7 +60,7 @@
         for directory in self.street.directories:
             self.street.net.carry(self.address, "registries", lambda b=directory: self._told(b, missing))  # type: ignore[misc]
 
-    def _told(self, directory: Directory, missing: list[tuple[str, int]]) -> None:
+    def _told(self, directory: Directory, missing: list[Suspect]) -> None:
         now = self.street.net.time.now
         directory.update(self.endpoint, now)
         for node, life in missing:
