--- a/lilacsill/mesh/registry/directory.py
+++ b/lilacsill/mesh/registry/directory.py
@@ -183,7 +183,10 @@
         return incarnation != self.incarnation or version < self.version
 
     def changes_for(self, incarnation: int, version: int) -> Changes:
-        """Return the changes for a reader that has this version, of that incarnation: all entries if it is another one."""
+        """Return the changes for a reader that has this version, of that incarnation.
+
+        All entries are changes for a reader of another incarnation.
+        """
         return self.changes_since(version if incarnation == self.incarnation else 0)
 
     def changes_since(self, version: int) -> Changes:
