--- a/tests/mesh/test_copy.py
+++ b/tests/mesh/test_config_cache.py
@@ -1,4 +1,4 @@
-"""A registry's copy of the configuration."""
+"""A registry's copy of the configuration, and the batches that proxies get."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 from .stage import Stage
 
 
-def test_a_crier_that_was_started_anew_tells_of_what_was_dropped_before() -> None:
+def test_a_restarted_registry_passes_on_what_was_dropped_before() -> None:
     # All registries died right after a route was dropped; proxies served it for ever (trouble-2, CONFIG).
     proxy = ActiveConfig()
     proxy.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
-    config_seq = ConfigState()
-    config_seq.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
-    config_seq.apply([Item("route", "b", 3, 3, None)], 3)
+    store = ConfigState()
+    store.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
+    store.apply([Item("route", "b", 3, 3, None)], 3)
     registry = ConfigCache()
-    registry.apply(config_seq.items_since(0), config_seq.seq)
+    registry.apply(store.items_since(0), store.seq)
     items, seq = registry.next_batch(proxy.seq)
     proxy.apply(items, seq)
     assert proxy.match(b"h.example", b"/b/x") is None and proxy.match(b"h.example", b"/a/x") is not None
 
 
-def test_pieces_add_up_to_the_whole() -> None:
+def test_batches_are_bounded_and_add_up_to_the_complete_configuration() -> None:
     registry, proxy = ConfigCache(), ActiveConfig()
     registry.apply([Stage.route(f"route{i}", "read_only", i + 1) for i in range(350)], 350)
-    pieces = 0
+    batches = 0
     while proxy.seq < registry.seq:
         items, seq = registry.next_batch(proxy.seq)
         assert sum(len(i.body or b"") for i in items) <= MAX_BATCH_BYTES
         proxy.apply(items, seq)
-        pieces += 1
-    assert pieces > 5 and all(proxy.match(b"h.example", f"/route{i}/".encode()) for i in range(350))
+        batches += 1
+    assert batches > 5 and all(proxy.match(b"h.example", f"/route{i}/".encode()) for i in range(350))
--- a/tests/mesh/test_decisions.py
+++ b/tests/mesh/test_decisions.py
@@ -13,9 +13,7 @@
 from lilacsill.mesh.proxy.circuit_breaker import MIN_BACKOFF_US, WRITE_TRIAL_DELAY_US, CircuitBreaker
 from lilacsill.mesh.proxy.lost_requests import LostRequestDetector
 from lilacsill.mesh.proxy.endpoint_table import EndpointTable
-from lilacsill.mesh.registry.directory import FAILURE_TIMEOUT_US, Directory
-from lilacsill.mesh.runtime.hashing import rendezvous_select
-from lilacsill.mesh.runtime.messages import Endpoint, Load, SuspicionReport
+from lilacsill.mesh.runtime.messages import Endpoint, Load
 from lilacsill.mesh.simulation.failure_detection import Street
 
 MS, S = 1_000, 1_000_000
@@ -179,37 +177,6 @@
     assert life.rejection_reason("i", 4 * S) == "life"
 
 
-# The directory
-
-
-def test_the_board_tells_changes_and_finds_the_silent() -> None:
-    directory = Directory()
-    assert directory.update(endpoint("a"), 0) and not directory.update(endpoint("a"), S)
-    version = directory.version
-    assert (
-        directory.update(endpoint("a", state="draining", count=2), S)
-        and directory.changes_since(version)[0][0].state == "draining"
-    )
-    assert not directory.update(endpoint("a", count=1), S)  # late
-    assert directory.update(endpoint("a", life=2), 2 * S)  # another life of the proxy
-    assert not directory.update(endpoint("a", life=1, count=9), 2 * S, direct=False)
-    directory.mark_alive(["a"], 4 * S)
-    assert not directory.remove_failed(4 * S + FAILURE_TIMEOUT_US - 1)
-    directory.observing_since = 6 * S  # this registry was cut off: others' silence was its own
-    assert not directory.remove_failed(5 * S + FAILURE_TIMEOUT_US)
-    assert directory.remove_failed(7 * S + FAILURE_TIMEOUT_US) and directory.changes_since(version)[1] == ["a"]
-    assert directory.update(endpoint("a", life=2, count=1), 30 * S)
-
-
-def test_a_backend_that_has_said_it_leaves_is_not_ready_to_a_porter_that_was_started_anew() -> None:
-    directory = Directory()
-    directory.update(endpoint("a", state="draining", count=3), 0)
-    assert directory.update(endpoint("a", life=2), S)  # its health answer was good
-    assert directory.entries["a"].endpoint is not None and directory.entries["a"].endpoint.state == "draining"
-    assert directory.update(endpoint("a", server="i-next", life=2, count=2), S)
-    assert directory.entries["a"].endpoint.state == "ready"
-
-
 def test_slowness_is_by_route_and_an_ill_backend_is_chosen_less_until_it_fades() -> None:
     gate, made = AdmissionController(), table(6)
     for now in range(60):
@@ -230,19 +197,6 @@
     assert picks["n0"] < 0.1 * 3000
 
 
-# Who knows whom
-
-
-def test_rendezvous_spreads_and_moves_only_what_it_must() -> None:
-    registries = [f"10.0.{i}.1:7660" for i in range(5)]
-    nodes = [f"sidecar-{i}" for i in range(400)]
-    first = {n: rendezvous_select(n, registries, 2) for n in nodes}
-    load = Counter(c for two in first.values() for c in two)
-    assert max(load.values()) < 1.35 * min(load.values())
-    fewer = {n: rendezvous_select(n, registries[1:], 2) for n in nodes}
-    assert all(set(first[n]) - {registries[0]} <= set(fewer[n]) for n in nodes)
-
-
 def test_short_work_takes_the_place_of_the_longest_that_waits() -> None:
     # Else a full service fails the calls that others' requests wait for (glossary and precheck, fresh-63bd).
     gate, ended = AdmissionController(), list[str]()
@@ -335,22 +289,6 @@
     assert all(e.endpoint is not None for b in street.directories for e in b.entries.values())  # and they are back
 
 
-def test_one_accuser_is_not_believed_and_rumours_end() -> None:
-    directory, other = Directory(), Directory()
-    for b in (directory, other):
-        b.update(endpoint("a"), S)
-    now = 2 * S
-    first = SuspicionReport("a", 1, "x")
-    assert directory.report_unreachable(first, now) and not directory.report_unreachable(first, now + 1)
-    for report in directory.direct_reports(now):
-        assert other.report_unreachable(report, now, direct=False)
-    assert other.direct_reports(now) == []  # it was not told itself
-    assert not directory.remove_failed(now + MS)
-    assert directory.report_unreachable(SuspicionReport("a", 1, "y"), now + MS) and directory.remove_failed(now + MS)
-    assert not directory.report_unreachable(SuspicionReport("a", 1, "z"), now + 2 * MS)  # gone already
-    assert directory.update(endpoint("a", count=2), now + S) and not directory.remove_failed(now + S)
-
-
 def test_a_backend_known_by_its_health_answer_drains_when_others_know_that_it_leaves() -> None:
     life = BackendLifecycle(2 * S)
     assert life.on_health_check("i-a", "s", 9) and life.rejection_reason("i-a", S) is None
@@ -359,12 +297,3 @@
     assert not life.on_reported_drain("i-a", S)  # no news
     assert life.rejection_reason("i-a", S + MS, admitted=True) is None
     assert life.rejection_reason("i-a", 3 * S, admitted=True) == "draining"
-
-
-def test_a_directory_that_was_started_anew_learns_of_drains_from_the_proxies_themselves() -> None:
-    directory = Directory()
-    directory.update(endpoint("a", state="draining", count=7), S)
-    assert directory.changes_since(0)[0][0].state == "draining"
-    assert (
-        directory.update(endpoint("a", life=2, count=1), 2 * S) and directory.changes_since(0)[0][0].state == "draining"
-    )
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -1,4 +1,4 @@
-"""The settings file, and commands: what is wrong is told by file, key and bound."""
+"""The settings file, and a command: errors name the file, the key and the allowed values."""
 
 from __future__ import annotations
 
@@ -24,21 +24,45 @@
 """
 
 
-def test_what_is_used_of_a_file_and_what_is_not_known_is_ignored(tmp_path: Path) -> None:
+@pytest.fixture
+def settings_file(tmp_path: Path) -> Path:
     path = tmp_path / "node.toml"
     path.write_text(GOOD)
-    settings = load_settings(str(path))
-    assert settings.max_lost_machines == 2 and settings.internal_ports == (7660, 7675)
-    assert settings.timing.drain_us == 2_500_000 and settings.timing.retry_window_us == 12_000_000
-    assert settings.timing.grace_period_us == 6_000_000  # not in the file
-    assert parse_timing_values("", ["closed=false", "DrainWithinMs=7", "x=maybe"]) == {
-        "closed": 0.0,
-        "DrainWithinMs": 7.0,
-    }
+    return path
+
+
+def test_keys_that_are_not_known_are_ignored(settings_file: Path) -> None:
+    settings = load_settings(str(settings_file))
+    assert settings.max_lost_machines == 2
+    assert settings.internal_ports == (7660, 7675)
+
+
+def test_time_bounds_are_read_in_the_unit_that_their_names_end_with(settings_file: Path) -> None:
+    timing = load_settings(str(settings_file)).timing
+    assert timing.drain_us == 2_500_000
+    assert timing.retry_window_us == 12_000_000
+
+
+def test_time_bounds_that_are_not_given_have_their_defaults(settings_file: Path) -> None:
+    timing = load_settings(str(settings_file)).timing
+    assert timing.grace_period_us == 6_000_000
+    assert (timing.retry_ratio, timing.retry_slack) == (0.2, 0.0)
+
+
+@pytest.mark.parametrize(
+    ("texts", "values"),
+    [
+        (["closed=false", "open=true"], {"closed": 0.0, "open": 1.0}),
+        (["DrainWithinMs=7", "x=maybe"], {"DrainWithinMs": 7.0}),
+        ("RetryRatio=0.1, GracePeriodS = 9", {"RetryRatio": 0.1, "GracePeriodS": 9.0}),
+    ],
+)
+def test_values_of_time_bounds_are_numbers_and_others_are_left_out(texts: object, values: dict[str, float]) -> None:
+    assert parse_timing_values("", texts) == values
 
 
 @pytest.mark.parametrize(
-    ("line", "wrong", "told"),
+    ("line", "wrong", "problem"),
     [
         ('NodeName = "sidecar-1"', "NodeName = 7", "NodeName: must be a str, is 7"),
         ("InternalPorts = [7660,7675]", "InternalPorts = [7675,7660]", "InternalPorts: must be two ports in order"),
@@ -48,12 +72,20 @@
         ('ZoneName = "z"', "ZoneName =", "Invalid value"),
     ],
 )
-def test_what_is_wrong_is_named(tmp_path: Path, line: str, wrong: str, told: str) -> None:
-    path = tmp_path / "node.toml"
-    path.write_text(GOOD.replace(line, wrong))
-    with pytest.raises(SettingsError) as e:
-        load_settings(str(path))
-    assert str(path) in str(e.value) and told in str(e.value)
+def test_an_error_names_file_key_and_problem(settings_file: Path, line: str, wrong: str, problem: str) -> None:
+    settings_file.write_text(GOOD.replace(line, wrong))
+    with pytest.raises(SettingsError) as raised:
+        load_settings(str(settings_file))
+    assert raised.value.path == str(settings_file)
+    assert str(raised.value).startswith(f"{settings_file}: ")
+    assert problem in str(raised.value)
+
+
+def test_an_error_carries_the_key_and_the_problem_as_facts(settings_file: Path) -> None:
+    settings_file.write_text(GOOD.replace('NodeName = "sidecar-1"', "NodeName = 7"))
+    with pytest.raises(SettingsError) as raised:
+        load_settings(str(settings_file))
+    assert (raised.value.key, raised.value.problem) == ("NodeName", "must be a str, is 7")
 
 
 def test_a_call_is_checked_on_the_command_line(tmp_path: Path) -> None:
