--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -8,7 +8,19 @@
 
 import msgspec
 
-from ..records import Departure, Endpoint, EndpointState, Freshness, Item, Load, Member, Suspect, SuspicionReport, View
+from ..records import (
+    Ballot,
+    Departure,
+    Endpoint,
+    EndpointState,
+    Freshness,
+    Item,
+    Load,
+    Member,
+    Suspect,
+    SuspicionReport,
+    View,
+)
 from .base import Headers, Message
 from .configuration import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply, Status, StatusReply
 from .consensus import (
@@ -89,6 +101,7 @@
     "Accepted",
     "AnyMessage",
     "BadMessage",
+    "Ballot",
     "BodyChunk",
     "ConfigUpdate",
     "Confirm",
--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -27,9 +27,9 @@
 from . import facts
 from .chain import Chain
 from .environment import Environment, Save, ignore_completion
-from .fencing import Fence
 from .followers import Followers
 from .frontend import Frontend
+from .lease_manager import LeaseManager
 from .membership import Membership
 from .paxos import AcceptorState
 from .replica import NO_VIEW, Replica
@@ -72,22 +72,22 @@
     def __init__(self, environment: Environment, settings: StoreSettings, disk: DiskContents) -> None:
         self.replica = replica = recover(environment, settings, disk)
         self.chain = chain = Chain(replica, self)
-        self.fence = fence = Fence(replica)
-        self.membership = membership = Membership(replica, chain, fence, settings.seeds)
+        self.lease_manager = lease_manager = LeaseManager(replica)
+        self.membership = membership = Membership(replica, chain, lease_manager, settings.seeds)
         membership.lost_machines, membership.lost_places = settings.lost_machines, settings.lost_places
         self.frontend = frontend = Frontend(replica, chain)
         self.followers = followers = Followers(replica, chain, membership)
         self.handlers: dict[type, Handler] = {
-            Heartbeat: membership.hello,
-            ViewChange: membership.agreed,
+            Heartbeat: membership.handle_heartbeat,
+            ViewChange: membership.handle_view_change,
             SummaryRequest: chain.predecessor.handle_summary_request,
             Replicate: chain.predecessor.handle_replicate,
             Patch: frontend.handle_patch,
             Read: frontend.handle_read,
             Follow: followers.handle_follow,
             Confirm: frontend.handle_confirm,
-            Prepare: fence.prepare,
-            Accept: fence.accept,
+            Prepare: lease_manager.prepare,
+            Accept: lease_manager.accept,
         }
 
     def start(self) -> None:
--- a/tests/mesh/test_stored_by_previous_version.py
+++ b/tests/mesh/test_stored_by_previous_version.py
@@ -20,7 +20,7 @@
 from lilacsill.mesh.runtime.messages import Item, Member, View
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.simulation.network import Machine, Net
-from lilacsill.mesh.store.accepted_changes import Verdict, verdict_of
+from lilacsill.mesh.store.accepted_changes import ChangeKind, classify_change
 from lilacsill.mesh.store.disk import FILE_NAME, Disk
 from lilacsill.mesh.store.environment import Save
 from lilacsill.mesh.store.node import DiskContents, StoreSettings, recover
@@ -119,30 +119,30 @@
 @pytest.mark.parametrize(
     ("version", "timeout_ms", "verdict"),
     [
-        (1, 1000, Verdict.ACCEPTED),
-        (4, 2000, Verdict.ACCEPTED),
-        (5, 2500, Verdict.ACCEPTED),  # it came when 7 was in force
-        (7, 3000, Verdict.ACCEPTED),
-        (4, 2001, Verdict.CONFLICT),
-        (5, 2501, Verdict.CONFLICT),
-        (6, 2000, Verdict.OVERTAKEN),
-        (8, 2000, Verdict.NEWER),
+        (1, 1000, ChangeKind.ACCEPTED),
+        (4, 2000, ChangeKind.ACCEPTED),
+        (5, 2500, ChangeKind.ACCEPTED),  # it came when 7 was in force
+        (7, 3000, ChangeKind.ACCEPTED),
+        (4, 2001, ChangeKind.CONFLICT),
+        (5, 2501, ChangeKind.CONFLICT),
+        (6, 2000, ChangeKind.SUPERSEDED),
+        (8, 2000, ChangeKind.NEWER),
     ],
 )
 def test_the_earlier_versions_of_a_route_are_known(
-    reactor: Reactor, folder: Path, version: int, timeout_ms: int, verdict: Verdict
+    reactor: Reactor, folder: Path, version: int, timeout_ms: int, verdict: ChangeKind
 ) -> None:
     kept = recovered(contents(reactor, folder)).state.items["route", "kept"]
-    assert verdict_of(kept, version, {"Host": "h.example", "Rule": rule(version, timeout_ms)}) is verdict
+    assert classify_change(kept, version, {"Host": "h.example", "Rule": rule(version, timeout_ms)}) is verdict
 
 
 def test_the_view_and_the_votes_are_there(reactor: Reactor, folder: Path) -> None:
     replica = recovered(contents(reactor, folder))
     assert replica.me == ME and replica.view == View(1, (ME, SECOND)) and replica.complete
     assert replica.is_head and replica.successor == SECOND and replica.view_pending
-    vote = replica.acceptor.acceptor_state
-    assert (vote.number, vote.promised, vote.accepted_ballot) == (2, (6, ADDRESS), (5, SECOND.address))
-    assert vote.accepted == View(2, (ME, SECOND, THIRD), 1)
+    vote = replica.acceptor.state
+    assert (vote.view_number, vote.promised, vote.accepted_ballot) == (2, (6, ADDRESS), (5, SECOND.address))
+    assert vote.accepted_view == View(2, (ME, SECOND, THIRD), 1)
 
 
 def test_the_facts_are_written_as_they_were(reactor: Reactor, folder: Path) -> None:
@@ -150,7 +150,7 @@
     assert disk.facts == FACTS
     replica = recovered(disk)
     assert replica.view_facts() == {"view": FACTS["view"], "whole": FACTS["whole"]}
-    assert msgspec.msgpack.encode(replica.acceptor.acceptor_state) == FACTS["accord"]
+    assert msgspec.msgpack.encode(replica.acceptor.state) == FACTS["accord"]
 
 
 def test_the_file_is_not_changed_by_reading_it(reactor: Reactor, folder: Path) -> None:
