--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -25,7 +25,7 @@
 from typing import Any
 
 from lilacsill.emulator.processes.rig import Child, Rig, rig
-from lilacsill.agent.peers.suspicion import least_us
+from lilacsill.agent.peers.suspicion import min_suspicion_us
 
 from .peers_ill import ratio
 from .peers_virtual import budgets, counts_after_a_cut, false_deaths
@@ -176,7 +176,7 @@
                 )
                 # Three periods until it is probed, asked after and suspected; the suspicion, with witnesses, takes its
                 # least time and at most twice that.
-                row["known_bar_s"] = (3 * period_ms * 1000 + 2 * least_us(agents, period_ms * 1000)) / 1e6
+                row["known_bar_s"] = (3 * period_ms * 1000 + 2 * min_suspicion_us(agents, period_ms * 1000)) / 1e6
                 told = [await r.peers(n) for n in others]
                 row["false_deaths"] = sum(
                     m["state"] == "dead" and m["number"] != victim for t in told for m in t["members"]
--- a/benchmarks/peers_virtual.py
+++ b/benchmarks/peers_virtual.py
@@ -9,7 +9,7 @@
 from lilacsill.emulator.models.links import Rule
 from lilacsill.emulator.virtual.peers import World
 from lilacsill.agent.peers.fleet import BUDGETS
-from lilacsill.agent.peers.records import PARTS
+from lilacsill.agent.peers.records import SHARE_UNITS
 
 SECOND = 1_000_000
 COLD = BUDGETS.index("cold")
@@ -17,7 +17,7 @@
 
 def needs(w: World, wanted: Callable[[int], float]) -> None:
     for p in w.running():
-        p.fleet.need(COLD, wanted(p.number))
+        p.fleet.set_need(COLD, wanted(p.number))
 
 
 def faults(w: World, rng: Random, until_s: int) -> None:
@@ -57,7 +57,7 @@
 
         def watch(w: World = w) -> None:
             nonlocal most
-            most = max(most, w.spendable(COLD) / (agents * PARTS))
+            most = max(most, w.spendable(COLD) / (agents * SHARE_UNITS))
 
         w.watch = watch
         for step in range(12):  # demand goes round
@@ -76,7 +76,8 @@
         for _ in range(40):
             w.run(w.now + SECOND // 4)
             rights = [
-                w.processes[n].fleet.right(COLD, w.processes[n].clock(w.now)).amount / PARTS for n in (0, agents - 1)
+                w.processes[n].fleet.right(COLD, w.processes[n].clock(w.now)).amount / SHARE_UNITS
+                for n in (0, agents - 1)
             ]
             samples.append(min(r / (agents / 2) for r in rights) if cut else sum(rights) / agents)
         used.append(sum(samples) / len(samples))
@@ -117,5 +118,5 @@
             w.at(w.now + i * SECOND, w.stall, (i + agents // 2) % agents, 2 * SECOND)
         w.run(w.now + 45 * SECOND)
         looked += agents * 45
-        deaths += sum(n.facts.get("after") == "dead" for p in w.running() for n in p.fleet.notes.kept)
+        deaths += sum(n.facts.get("after") == "dead" for p in w.running() for n in p.fleet.events.events)
     return {"false_deaths": deaths, "agent_seconds": looked}
--- a/lilacsill/agent/peers/__init__.py
+++ b/lilacsill/agent/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Agents that know of each other: who is alive, counts, shared budgets and judgements, over one UDP channel."""
+"""Agents that know of each other: membership, counts, shared budgets and backend health, over one UDP channel."""
--- a/lilacsill/agent/peers/channel.py
+++ b/lilacsill/agent/peers/channel.py
@@ -1,4 +1,4 @@
-"""The channel of one agent: its fleet's decisions, the socket, and the feed to and from the agent."""
+"""The channel of one agent to the others: the fleet's decisions, the UDP socket, and the bridge to the agent."""
 
 from __future__ import annotations
 
@@ -15,91 +15,127 @@
 from ..agent import Agent
 from ..config import Config, ConfigError
 from ..operator.sections import PeersSection
+from .agent_bridge import AgentBridge
 from .datagram import fleet_id
-from .feed import Feed
-from .fleet import Fleet, Settings
-from .records import MOST_AGENTS
-from .shell import Shell
+from .fleet import Fleet, FleetSettings
+from .records import MAX_AGENTS
+from .transport import UdpTransport
 
 log = logging.getLogger(__name__)
 
-SECRET_LEAST = 16  # bytes
+MIN_SECRET_BYTES = 16
 
 
 class Channel:
-    """Raises ConfigError where the configuration or the file of secrets cannot be used."""
-
-    def __init__(self, config: Config, section: PeersSection, clock: Clock, agent: Agent, life: int = 0) -> None:
-        """`life`: one that is greater than all earlier ones, where they are remembered; 0: the wall clock's."""
+    """The channel to other agents.
+
+    Raises:
+        ConfigError: The configuration or the file of secrets cannot be used (at construction).
+    """
+
+    def __init__(self, config: Config, section: PeersSection, clock: Clock, agent: Agent, incarnation: int = 0) -> None:
+        """Create the channel.
+
+        Args:
+            config: The configuration of the agent.
+            section: The section of the operator file.
+            clock: The agent's clock.
+            agent: The agent.
+            incarnation: A number greater than for all earlier processes, where one is saved; 0: the wall clock's.
+        """
         self._section, self._clock = section, clock
-        listen = check(config)
-        settings = Settings(
-            me=config.settings.balancer_index,
+        listen = check_peers(config)
+        settings = FleetSettings(
+            own_number=config.settings.balancer_index,
             agents=len(config.peers),
-            told=config.settings.balancer_count,
+            configured_agents=config.settings.balancer_count,
             fleet=fleet_id(section.fleet),
-            secrets=secrets(section.secrets_file),
+            secrets=load_secrets(section.secrets_file),
             period_us=section.period_ms * 1000,
             lease_us=section.lease_ms * 1000,
             seed=config.seed,
         )
-        self.fleet = Fleet(settings, clock.now(), life or time.time_ns() // 1_000_000)
-        self._feed = Feed(
+        self.fleet = Fleet(settings, clock.now(), incarnation or time.time_ns() // 1_000_000)
+        self._bridge = AgentBridge(
             clock, self.fleet, config.settings.zone, config.settings.warm_up_us, agent.fleet_changed, agent.estimates
         )
-        agent.add_observer(self._feed)
-        self._shell = Shell(clock, self.fleet, listen, config.peers, self._changed)
-        self._feed.wake = self._shell.wake
+        agent.add_observer(self._bridge)
+        self._transport = UdpTransport(clock, self.fleet, listen, config.peers, self._on_event)
+        self._bridge.wake = self._transport.wake
         if section.records or section.metrics:
-            from .telling import Telling
+            from .event_export import EventExport
 
-            self.fleet.notes.listener = Telling(section, config.name, clock, self.fleet).note
+            self.fleet.events.listener = EventExport(section, config.name, clock, self.fleet).add
 
     def start(self) -> None:
-        """Raises OSError."""
-        self._shell.start()
-        self._changed()
+        """Take part between agents.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        self._transport.start()
+        self._on_event()
         log.info(
             "talks with %d other agents, number %d, life %d",
             self.fleet.settings.agents - 1,
-            self.fleet.settings.me,
-            self.fleet.life,
+            self.fleet.settings.own_number,
+            self.fleet.incarnation,
         )
 
     def stop(self) -> None:
-        self._shell.stop()
-        self._changed()
+        """Announce the end to other agents and close the socket."""
+        self._transport.stop()
+        self._on_event()
 
     def read_secrets(self) -> None:
-        """Again, for SIGHUP. Raises ConfigError; the old ones stay then."""
-        new = secrets(self._section.secrets_file)
-        if new != self.fleet.gate.secrets:
-            self.fleet.gate.secrets = new
-            log.info("secrets between agents read again: %d", len(new))
+        """Read the file of secrets again.
+
+        Raises:
+            ConfigError: The file cannot be used; the old secrets stay.
+        """
+        secrets = load_secrets(self._section.secrets_file)
+        if secrets != self.fleet.codec.secrets:
+            self.fleet.codec.secrets = secrets
+            log.info("secrets between agents read again: %d", len(secrets))
 
     def describe(self) -> Mapping[str, Any]:
-        return {"open": self._shell.open, "unsent": self._shell.unsent, **self.fleet.describe(self._clock.now())}
+        """Return the response of the admin API to `peers`."""
+        return {
+            "open": self._transport.is_open,
+            "unsent": self._transport.unsent,
+            **self.fleet.describe(self._clock.now()),
+        }
 
     def notes(self) -> Mapping[str, Any]:
+        """Return the response of the admin API to `notes`: the newest events."""
         now = self._clock.now()
         return {
             "notes": [
-                {"ago_s": round((now - n.at) / 1e6, 3), "kind": n.kind, "cause": list(n.cause), **n.facts}
-                for n in self.fleet.notes.kept
+                {
+                    "ago_s": round((now - event.at) / 1e6, 3),
+                    "kind": event.kind.value,
+                    "cause": list(event.cause),
+                    **event.facts,
+                }
+                for event in self.fleet.events.events
             ]
         }
 
-    def _changed(self) -> None:
-        self._feed.takes_part = self._shell.open
-        self._feed.changed()
+    def _on_event(self) -> None:
+        self._bridge.is_channel_open = self._transport.is_open
+        self._bridge.on_fleet_event()
+
 
+def check_peers(config: Config) -> Address:
+    """Check the configuration of the channel; return the address to receive on.
 
-def check(config: Config) -> Address:
-    """Where datagrams come. Raises ConfigError, naming file, key and bound."""
+    Raises:
+        ConfigError: It cannot be used; the text names file, key and bound.
+    """
     if config.peer_listen is None:
         raise ConfigError("RELAY_CONFIG: peer_listen: missing, and [peers] is enabled")
-    if not 1 <= len(config.peers) <= MOST_AGENTS:
-        raise ConfigError(f"RELAY_CONFIG: peers: {len(config.peers)} addresses, 1 to {MOST_AGENTS} are allowed")
+    if not 1 <= len(config.peers) <= MAX_AGENTS:
+        raise ConfigError(f"RELAY_CONFIG: peers: {len(config.peers)} addresses, 1 to {MAX_AGENTS} are allowed")
     if config.settings.balancer_index >= len(config.peers):
         raise ConfigError(
             f"RELAY_CONFIG: settings.me: {config.settings.balancer_index} is not among the {len(config.peers)} "
@@ -110,21 +146,25 @@
     return config.peer_listen
 
 
-def secrets(path: str) -> tuple[bytes, ...]:
-    """The lines of the file, first the one that signs; none for no path. Raises ConfigError."""
+def load_secrets(path: str) -> tuple[bytes, ...]:
+    """Return the lines of the file of secrets, of which the first signs; none for an empty path.
+
+    Raises:
+        ConfigError: The file cannot be read, or a secret is too short.
+    """
     if not path:
         return ()
     try:
         lines = tuple(line for line in Path(path).read_bytes().split() if line)
         mode = os.stat(path).st_mode
-    except OSError as e:
-        raise ConfigError(f"[peers] secrets_file: {path}: {e.strerror}") from e
+    except OSError as error:
+        raise ConfigError(f"[peers] secrets_file: {path}: {error.strerror}") from error
     if not lines:
         raise ConfigError(f"[peers] secrets_file: {path}: no secret in it")
     for number, line in enumerate(lines, 1):
-        if len(line) < SECRET_LEAST:
+        if len(line) < MIN_SECRET_BYTES:
             raise ConfigError(
-                f"[peers] secrets_file: {path}: line {number}: {len(line)} bytes, at least {SECRET_LEAST}"
+                f"[peers] secrets_file: {path}: line {number}: {len(line)} bytes, at least {MIN_SECRET_BYTES}"
             )
     if mode & 0o077:
         log.warning("[peers] secrets_file: %s can be read by others", path)
--- a/lilacsill/agent/peers/cli.py
+++ b/lilacsill/agent/peers/cli.py
@@ -1,4 +1,4 @@
-"""`python -m lilacsill peers`: what one agent knows of the others, asked at its operators' door."""
+"""The command `python -m lilacsill peers`: what one agent knows of the others, by its admin API."""
 
 from __future__ import annotations
 
@@ -15,57 +15,93 @@
 
 
 def main(argv: list[str]) -> int:
-    words = build_parser("peers", "What an agent knows of the others: members, budgets, judgements, counts.", EXAMPLES)
-    words.add_argument("--explain", action="store_true", help="also what led to it, with the ids of the stories")
-    arguments = words.parse_args(argv)
-    return print_responses(arguments, ["peers", "notes"] if arguments.explain else ["peers"], table)
+    """Run the command; return the exit status."""
+    parser = build_parser("peers", "What an agent knows of the others: members, budgets, judgements, counts.", EXAMPLES)
+    parser.add_argument("--explain", action="store_true", help="also what led to it, with the ids of the stories")
+    arguments = parser.parse_args(argv)
+    return print_responses(arguments, ["peers", "notes"] if arguments.explain else ["peers"], format_table)
 
 
-def table(told: dict[str, Any]) -> str:
-    """For people."""
-    sizes = told["siblings"]
+def format_table(response: dict[str, Any]) -> str:
+    """Return the merged responses of the admin API as lines for people."""
+    counts = ", ".join(f"{name} {count}" for name, count in response["counts"].items())
     lines = [
-        f"agent {told['me']}, life {told['life']}.{told['incarnation']}, doubt {told['doubt']}"
-        + (", CUT OFF: nobody is heard" if told["cut_off"] else "")
-        + (", ANOTHER PROCESS HAS THIS NUMBER" if told["doubled"] else "")
-        + ("" if told["open"] else ", takes no part: its address is taken"),
-        f"siblings: {sizes['used']} used, {sizes['named']} in peers, {sizes['told']} by the settings",
+        *_header_lines(response),
         "",
+        *_member_lines(response["members"]),
+        "",
+        *_budget_lines(response["budgets"]),
+        "",
+        *_health_lines(response["judgements"]),
+        "",
+        f"counts of all agents: {counts}",
+    ]
+    if response["dropped"]:
+        dropped = ", ".join(f"{reason} {count}" for reason, count in response["dropped"].items())
+        lines.append(f"datagrams not taken: {dropped}")
+    lines += [_event_line(event) for event in response.get("notes", ())]
+    return "\n".join(lines)
+
+
+def _header_lines(response: dict[str, Any]) -> list[str]:
+    size = response["siblings"]
+    return [
+        f"agent {response['me']}, life {response['life']}.{response['incarnation']}, doubt {response['doubt']}"
+        + (", CUT OFF: nobody is heard" if response["cut_off"] else "")
+        + (", ANOTHER PROCESS HAS THIS NUMBER" if response["doubled"] else "")
+        + ("" if response["open"] else ", takes no part: its address is taken"),
+        f"siblings: {size['used']} used, {size['named']} in peers, {size['told']} by the settings",
     ]
+
+
+def _member_lines(members: list[dict[str, Any]]) -> list[str]:
     by_state: dict[str, list[dict[str, Any]]] = {}
-    for m in told["members"]:
-        by_state.setdefault(m["state"], []).append(m)
-    lines.append("members: " + ", ".join(f"{len(ms)} {state}" for state, ms in sorted(by_state.items())))
-    for state, ms in sorted(by_state.items()):
-        if state != "alive":
-            lines += [
-                f"  {m['number']:>5} {state:<8} since {_s(m['since_s'])}, heard {_s(m['heard_s'])} ago, "
-                f"story {_id(m['cause'])}"
-                for m in ms
-            ]
-    lines += ["", f"{'budget':<10}{'right':>8}{'lent':>8}{'held':>8}{'need':>8}   in parts of an agent"]
-    lines += [
-        f"{name:<10}{b['right']:>8.2f}{b['lent']:>8.2f}{b['held']:>8.2f}{b['need']:>8.2f}"
-        for name, b in told["budgets"].items()
+    for member in members:
+        by_state.setdefault(member["state"], []).append(member)
+    totals = ", ".join(f"{len(group)} {state}" for state, group in sorted(by_state.items()))
+    return [
+        f"members: {totals}",
+        *(
+            f"  {member['number']:>5} {state:<8} since {_seconds(member['since_s'])}, "
+            f"heard {_seconds(member['heard_s'])} ago, story {_cause(member['cause'])}"
+            for state, group in sorted(by_state.items())
+            if state != "alive"
+            for member in group
+        ),
     ]
-    lines += ["", f"judgements of others that count: {len(told['judgements'])}"]
-    lines += [
-        f"  {j['backend']}: {j['verdict']}, {'left out' if j['excluded'] else 'looked at with care'} for "
-        f"{j['until_s']} s, by " + ", ".join(f"{w['member']} (story {_id(w['cause'])})" for w in j["witnesses"])
-        for j in told["judgements"]
+
+
+def _budget_lines(budgets: dict[str, dict[str, float]]) -> list[str]:
+    return [
+        f"{'budget':<10}{'right':>8}{'lent':>8}{'held':>8}{'need':>8}   in parts of an agent",
+        *(
+            f"{name:<10}{budget['right']:>8.2f}{budget['lent']:>8.2f}{budget['held']:>8.2f}{budget['need']:>8.2f}"
+            for name, budget in budgets.items()
+        ),
     ]
-    lines += ["", "counts of all agents: " + ", ".join(f"{k} {v}" for k, v in told["counts"].items())]
-    if told["dropped"]:
-        lines.append("datagrams not taken: " + ", ".join(f"{k} {v}" for k, v in told["dropped"].items()))
-    for n in told.get("notes", ()):
-        facts = " ".join(f"{k}={v}" for k, v in n.items() if k not in ("ago_s", "kind", "cause"))
-        lines.append(f"{n['ago_s']:>9.3f} s ago  {n['kind']:<12} story {_id(n['cause'])}  {facts}")
-    return "\n".join(lines)
 
 
-def _s(seconds: float | None) -> str:
+def _health_lines(verdicts: list[dict[str, Any]]) -> list[str]:
+    lines = [f"judgements of others that count: {len(verdicts)}"]
+    for verdict in verdicts:
+        consequence = "left out" if verdict["excluded"] else "looked at with care"
+        witnesses = ", ".join(
+            f"{witness['member']} (story {_cause(witness['cause'])})" for witness in verdict["witnesses"]
+        )
+        lines.append(
+            f"  {verdict['backend']}: {verdict['verdict']}, {consequence} for {verdict['until_s']} s, by {witnesses}"
+        )
+    return lines
+
+
+def _event_line(event: dict[str, Any]) -> str:
+    facts = " ".join(f"{name}={value}" for name, value in event.items() if name not in ("ago_s", "kind", "cause"))
+    return f"{event['ago_s']:>9.3f} s ago  {event['kind']:<12} story {_cause(event['cause'])}  {facts}"
+
+
+def _seconds(seconds: float | None) -> str:
     return "never" if seconds is None else f"{seconds} s"
 
 
-def _id(cause: list[int]) -> str:
+def _cause(cause: list[int]) -> str:
     return f"{cause[0]}.{cause[1]}"
--- a/lilacsill/agent/peers/counts.py
+++ b/lilacsill/agent/peers/counts.py
@@ -1,9 +1,10 @@
 """What all agents have counted, as delta-state counters (Almeida, Shoker and Baquero, 2015). No I/O.
 
-A row belongs to one process (agent and life) and one key, and only that process adds to it; merging takes the greater
-of each value, so that order, repeats and lateness change nothing. The rows of processes that are over are kept. When
-all members live and agree, the agent's present process carries the sum of its earlier lives in rows of its own; only
-that one process writes them, so that nobody can fold twice, and lives that are carried are not counted again.
+A row belongs to one process (agent and incarnation) and one key, and only that process adds to it. Merging takes the
+greater of each value, so that order, repetition and delay change nothing. The rows of processes that have ended are
+kept. When all members are alive, the agent's present process carries the sum of its earlier incarnations in rows of its
+own. Only that process writes them, so that no sum is carried twice, and incarnations that are carried do not count
+again.
 """
 
 from __future__ import annotations
@@ -13,124 +14,143 @@
 
 from .records import CountRow
 
-REQUESTS, ATTEMPTS, REFUSALS, CROSSINGS = range(4)
-NAMES = ("requests", "attempts", "refusals", "crossings")
-LIVES_KEPT = 2  # earlier lives of this agent, beyond which they are carried
-KEYS_MOST = 64  # of one process: tenants times classes; what is beyond is counted under the last
+REQUESTS, ATTEMPTS, REJECTIONS, ZONE_CROSSINGS = range(4)
+NAMES = ("requests", "attempts", "refusals", "crossings")  # in the admin API, by position in the values of a row
+MAX_OWN_INCARNATIONS = 2  # earlier incarnations of this agent with rows of their own; beyond that they are carried
+MAX_KEYS = 64  # of one process: tenants times classes; what is beyond is counted under OVERFLOW_KEY
 
 Values = tuple[int, int, int, int]
 Key = tuple[int, int]  # tenant, class
+OVERFLOW_KEY: Key = (255, 255)
 ZERO: Values = (0, 0, 0, 0)
 
 
-def _join(a: Values, b: Values) -> Values:
-    return max(a[0], b[0]), max(a[1], b[1]), max(a[2], b[2]), max(a[3], b[3])
+def _join(left: Values, right: Values) -> Values:
+    return max(left[0], right[0]), max(left[1], right[1]), max(left[2], right[2]), max(left[3], right[3])
 
 
-def _add(a: Values, b: Values) -> Values:
-    return a[0] + b[0], a[1] + b[1], a[2] + b[2], a[3] + b[3]
+def _add(left: Values, right: Values) -> Values:
+    return left[0] + right[0], left[1] + right[1], left[2] + right[2], left[3] + right[3]
 
 
 @dataclass(slots=True)
 class _Carried:
-    upto: int = 0  # the sum of all lives up to this one
+    last_incarnation: int = 0  # the rows are the sum over all incarnations up to this one
     rows: dict[Key, Values] = field(default_factory=dict)
 
 
 class Counts:
     """All rows that this process knows."""
 
-    def __init__(self, me: int, life: int) -> None:
-        self.me, self.life = me, life
-        self._rows: dict[tuple[int, int], dict[Key, Values]] = {(me, life): {}}  # agent and life
-        self._carried: dict[int, _Carried] = {}
+    def __init__(self, own_number: int, incarnation: int) -> None:
+        self.own_number, self.incarnation = own_number, incarnation
+        self._rows: dict[tuple[int, int], dict[Key, Values]] = {(own_number, incarnation): {}}
+        self._carried: dict[int, _Carried] = {}  # by agent
         self._cursor = 0
 
     def count(self, kind: int, tenant: int, request_class: int) -> None:
-        mine = self._rows[self.me, self.life]
+        """Count one; `kind` is a position in the values (REQUESTS and so on)."""
+        own_rows = self._rows[self.own_number, self.incarnation]
         key = (tenant, request_class)
-        if key not in mine and len(mine) >= KEYS_MOST:
-            key = (255, 255)
-        values = list(mine.get(key, ZERO))
+        if key not in own_rows and len(own_rows) >= MAX_KEYS:
+            key = OVERFLOW_KEY
+        values = list(own_rows.get(key, ZERO))
         values[kind] += 1
-        mine[key] = values[0], values[1], values[2], values[3]
+        own_rows[key] = values[0], values[1], values[2], values[3]
 
     def merge(self, row: CountRow) -> bool:
-        """Whether it told something new. Nobody else may speak of this process: what it counts it knows best."""
-        if row.agent == self.me and row.life >= self.life:
+        """Merge a row from another agent; return whether it told something new."""
+        if row.agent == self.own_number and row.incarnation >= self.incarnation:
+            return False  # what this process counts, nobody else knows better
+        if row.carried:
+            return self._merge_carried(row)
+        carried = self._carried.get(row.agent)
+        if carried is not None and row.incarnation <= carried.last_incarnation:
             return False
         key = (row.tenant, row.request_class)
-        carried = self._carried.setdefault(row.agent, _Carried()) if row.carried else self._carried.get(row.agent)
-        if row.carried:
-            assert carried is not None
-            if row.life < carried.upto:
-                return False
-            if row.life > carried.upto:
-                carried.upto, carried.rows = row.life, dict(carried.rows)
-                self._forget(row.agent, row.life)
-            before = carried.rows.get(key, ZERO)
-            carried.rows[key] = _join(before, row.values)
-            return carried.rows[key] != before
-        if carried is not None and row.life <= carried.upto:
+        rows = self._rows.setdefault((row.agent, row.incarnation), {})
+        if key not in rows and len(rows) > MAX_KEYS:
             return False
-        rows = self._rows.setdefault((row.agent, row.life), {})
-        if key not in rows and len(rows) > KEYS_MOST:
+        return _merge_values(rows, key, row.values)
+
+    def _merge_carried(self, row: CountRow) -> bool:
+        carried = self._carried.setdefault(row.agent, _Carried())
+        if row.incarnation < carried.last_incarnation:
             return False
-        before = rows.get(key, ZERO)
-        rows[key] = _join(before, row.values)
-        return rows[key] != before
-
-    def fold(self) -> bool:
-        """Carry the earlier lives of this agent. To be called only when all members live and have been heard for long:
-        what another still knows of those lives would be lost after it."""
-        lives = sorted(life for agent, life in self._rows if agent == self.me and life < self.life)
-        if len(lives) <= LIVES_KEPT:
+        if row.incarnation > carried.last_incarnation:
+            carried.last_incarnation = row.incarnation
+            self._forget(row.agent, row.incarnation)
+        return _merge_values(carried.rows, (row.tenant, row.request_class), row.values)
+
+    def carry_earlier(self) -> bool:
+        """Carry the earlier incarnations of this agent; return whether there were enough of them.
+
+        To be called only when all members have been alive for a long time: whatever another one still knows of those
+        incarnations would be lost.
+        """
+        earlier = sorted(
+            incarnation
+            for agent, incarnation in self._rows
+            if agent == self.own_number and incarnation < self.incarnation
+        )
+        if len(earlier) <= MAX_OWN_INCARNATIONS:
             return False
-        carried = self._carried.setdefault(self.me, _Carried())
+        carried = self._carried.setdefault(self.own_number, _Carried())
         rows = dict(carried.rows)
-        for life in lives:
-            for key, values in self._rows[self.me, life].items():
+        for incarnation in earlier:
+            for key, values in self._rows[self.own_number, incarnation].items():
                 rows[key] = _add(rows.get(key, ZERO), values)
-        carried.upto, carried.rows = lives[-1], rows
-        self._forget(self.me, lives[-1])
+        carried.last_incarnation, carried.rows = earlier[-1], rows
+        self._forget(self.own_number, earlier[-1])
         return True
 
-    def _forget(self, agent: int, upto: int) -> None:
-        for known in [k for k in self._rows if k[0] == agent and k[1] <= upto and k != (self.me, self.life)]:
-            del self._rows[known]
+    def _forget(self, agent: int, last_incarnation: int) -> None:
+        own = (self.own_number, self.incarnation)
+        for key in [key for key in self._rows if key[0] == agent and key[1] <= last_incarnation and key != own]:
+            del self._rows[key]
 
     def rows(self) -> Iterable[CountRow]:
+        """Yield all rows."""
         for agent, carried in self._carried.items():
             for key, values in carried.rows.items():
-                yield CountRow(agent, carried.upto, *key, values, True)
-        for (agent, life), rows in self._rows.items():
+                yield CountRow(agent, carried.last_incarnation, *key, values, True)
+        for (agent, incarnation), rows in self._rows.items():
             for key, values in rows.items():
-                yield CountRow(agent, life, *key, values)
+                yield CountRow(agent, incarnation, *key, values)
 
-    def some(self, most: int) -> list[CountRow]:
-        """The next rows in turn, so that each is told again and again and the bytes a period stay the same."""
+    def next_rows(self, max_rows: int) -> list[CountRow]:
+        """Return the next rows in turn, so that each is sent repeatedly and a period always costs the same bytes."""
         all_rows = list(self.rows())
         if not all_rows:
             return []
         start = self._cursor % len(all_rows)
-        taken = (all_rows[start:] + all_rows[:start])[:most]
+        taken = (all_rows[start:] + all_rows[:start])[:max_rows]
         self._cursor = start + len(taken)
         return taken
 
-    def own(self) -> list[CountRow]:
-        return [CountRow(self.me, self.life, *key, values) for key, values in self._rows[self.me, self.life].items()]
+    def own_rows(self) -> list[CountRow]:
+        """Return the rows of this process."""
+        rows = self._rows[self.own_number, self.incarnation]
+        return [CountRow(self.own_number, self.incarnation, *key, values) for key, values in rows.items()]
 
     def total(self, agent: int | None = None) -> Values:
-        """Over all agents, or of one, lives that are over included."""
-        sum_ = ZERO
+        """Return the sums over all agents or of one, earlier incarnations included."""
+        total = ZERO
         for row in self.rows():
             if agent is None or row.agent == agent:
-                sum_ = _add(sum_, row.values)
-        return sum_
+                total = _add(total, row.values)
+        return total
 
     def by_key(self) -> dict[Key, Values]:
-        found: dict[Key, Values] = {}
+        """Return the sums over all agents by tenant and class."""
+        totals: dict[Key, Values] = {}
         for row in self.rows():
             key = (row.tenant, row.request_class)
-            found[key] = _add(found.get(key, ZERO), row.values)
-        return found
+            totals[key] = _add(totals.get(key, ZERO), row.values)
+        return totals
+
+
+def _merge_values(rows: dict[Key, Values], key: Key, values: Values) -> bool:
+    before = rows.get(key, ZERO)
+    rows[key] = _join(before, values)
+    return rows[key] != before
--- a/lilacsill/agent/peers/datagram.py
+++ b/lilacsill/agent/peers/datagram.py
@@ -1,10 +1,10 @@
-"""The form of a datagram between agents, and the one gate that every datagram passes. No I/O.
+"""The form of a datagram between agents, and the checks that every received datagram has to pass. No I/O.
 
     "LS" | version 1 | fleet 4 | sender 2 | target 2 | stamp 8 | sequence 4 | records | tag 8
 
-The tag is a keyed BLAKE2s over all before it, and zero where no secret is set. A datagram is taken only from an address
-that `peers` names, whole, of this version and fleet, from the process that is the youngest known under its number, and
-once. All else is dropped and counted; what is kept for that is one window for each name in `peers`.
+The tag is a keyed BLAKE2s of all bytes before it, and zero where no secret is set. A datagram is accepted only from an
+address of the list of agents, complete, of this version and fleet, from the latest known incarnation of its sender, and
+once. Any other is dropped and counted. The state for that is one window of sequence numbers for each agent of the list.
 """
 
 from __future__ import annotations
@@ -18,130 +18,156 @@
 
 import msgspec
 
-from .records import LIFE_SHIFT, Record, decode, join
+from .records import REFUTATION_BITS, Record, decode, join
 
-MOST_BYTES = 256
+MAGIC = b"LS"
 VERSION = 1
-HEAD = Struct(">2sBIHHQI")
+MAX_DATAGRAM_BYTES = 256
+HEADER = Struct(">2sBIHHQI")
 TAG_BYTES = 8
-ROOM = MOST_BYTES - HEAD.size - TAG_BYTES - 3  # for records; 3 bytes say how many
-WINDOW = 128  # how far behind the newest one a datagram may come and still be told from a repeated one
+LIST_HEADER_BYTES = 3  # of the list of records
+MAX_RECORD_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - TAG_BYTES - LIST_HEADER_BYTES
+WINDOW = 128  # how far behind the newest one a sequence number may be and still be told from a repeated one
 
 
-class Drop(Enum):
-    """Why a datagram was not taken."""
+class DropReason(Enum):
+    """The reason why a datagram is dropped."""
 
-    FOREIGN = "foreign"  # from an address that `peers` does not name, or under another's number
-    TORN = "torn"
+    FOREIGN = "foreign"  # from an address that is not in the list, or under another agent's number
+    TORN = "torn"  # incomplete or malformed
     VERSION = "version"
     FLEET = "fleet"
-    UNSIGNED = "unsigned"  # no tag of a secret that holds
-    OLD = "old"  # of a process before the youngest known, or too far behind
+    UNSIGNED = "unsigned"  # without a tag of a current secret
+    OLD = "old"  # from an earlier incarnation than the latest known, or too far behind
     REPEATED = "repeated"
 
 
 @dataclass(slots=True, frozen=True)
 class Datagram:
+    """An accepted datagram."""
+
     sender: int
     stamp: int
     records: list[Record]
 
 
 @dataclass(slots=True, frozen=True)
-class Outdated:
-    """From a process that is not the youngest under its number; it may be told so."""
+class StaleDatagram:
+    """A datagram from an earlier incarnation of its sender than the latest known; the sender may be told."""
 
     sender: int
     stamp: int
-    youngest: int
+    latest_incarnation: int
 
 
 @dataclass(slots=True)
-class _Seen:
-    """A sliding window over the sequence numbers of one process (RFC 4303, 3.4.3)."""
+class _ReplayWindow:
+    """A sliding window over the sequence numbers of one incarnation (RFC 4303, 3.4.3)."""
 
-    life: int = 0
+    incarnation: int = 0
     newest: int = 0
     bits: int = 0
 
-    def first(self, sequence: int) -> Drop | None:
-        """None: it has not been seen, and now it has."""
+    def accept(self, sequence: int) -> DropReason | None:
+        """Note a sequence number; return the reason to drop its datagram, if there is one."""
         ahead = sequence - self.newest
         if ahead > 0:
             self.bits = (self.bits << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
             self.newest = sequence
         elif ahead <= -WINDOW:
-            return Drop.OLD
+            return DropReason.OLD
         elif self.bits >> -ahead & 1:
-            return Drop.REPEATED
+            return DropReason.REPEATED
         else:
             self.bits |= 1 << -ahead
         return None
 
 
 def fleet_id(name: str) -> int:
-    """Two fleets on one network do not mix."""
+    """Return the number of a fleet in datagrams, by which fleets on one network do not mix."""
     return int.from_bytes(blake2s(name.encode(), digest_size=4).digest(), "big")
 
 
-def tag_of(secret: bytes, data: bytes) -> bytes:
+def signature(secret: bytes, data: bytes) -> bytes:
+    """Return the tag of a datagram; zeros for an empty secret."""
     return blake2s(data, key=secret[:32], digest_size=TAG_BYTES).digest() if secret else bytes(TAG_BYTES)
 
 
-class Gate:
-    """Reads and writes datagrams. `secrets`: the first one signs, all of them are good for reading; none: unsigned."""
+class DatagramCodec:
+    """Encodes and checks the datagrams of one agent.
+
+    Attributes:
+        secrets: The first one signs, all are accepted; empty: datagrams are not signed.
+        dropped: How many datagrams were dropped, by reason.
+    """
 
-    def __init__(self, me: int, fleet: int, agents: int, secrets: tuple[bytes, ...] = ()) -> None:
-        self.me, self._fleet, self.agents = me, fleet, agents
+    def __init__(self, own_number: int, fleet: int, agents: int, secrets: tuple[bytes, ...] = ()) -> None:
+        self.own_number, self._fleet, self.agents = own_number, fleet, agents
         self.secrets = secrets
-        self.dropped: Counter[Drop] = Counter()
-        self._seen: dict[int, _Seen] = {}
+        self.dropped: Counter[DropReason] = Counter()
+        self._windows: dict[int, _ReplayWindow] = {}
         self._sequence = 0
 
-    def write(self, target: int, stamp: int, encoded: list[bytes]) -> bytes:
+    def encode(self, target: int, stamp: int, encoded_records: list[bytes]) -> bytes:
+        """Return a datagram for a member."""
         self._sequence = (self._sequence + 1) % 2**32
-        head = HEAD.pack(b"LS", VERSION, self._fleet, self.me, target, stamp, self._sequence)
-        data = head + join(encoded)
-        data += tag_of(self.secrets[0] if self.secrets else b"", data)
-        assert len(data) <= MOST_BYTES
+        header = HEADER.pack(MAGIC, VERSION, self._fleet, self.own_number, target, stamp, self._sequence)
+        data = header + join(encoded_records)
+        data += signature(self.secrets[0] if self.secrets else b"", data)
+        assert len(data) <= MAX_DATAGRAM_BYTES
         return data
 
-    def read(self, data: bytes, sender: int | None) -> Datagram | Outdated | Drop:
-        """`sender`: whose address in `peers` it came from; None: nobody's."""
-        found = self._read(data, sender)
-        if isinstance(found, Drop):
-            self.dropped[found] += 1
-        elif isinstance(found, Outdated):
-            self.dropped[Drop.OLD] += 1
-        return found
-
-    def _read(self, data: bytes, sender: int | None) -> Datagram | Outdated | Drop:
-        if sender is None:
-            return Drop.FOREIGN
-        if not HEAD.size + TAG_BYTES < len(data) <= MOST_BYTES:
-            return Drop.TORN
-        magic, version, fleet, by, to, stamp, sequence = HEAD.unpack_from(data)
-        if magic != b"LS":
-            return Drop.TORN
-        if version != VERSION:
-            return Drop.VERSION
-        if fleet != self._fleet:
-            return Drop.FLEET
-        body, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
-        if not any(hmac.compare_digest(tag_of(s, body), tag) for s in self.secrets or (b"",)):
-            return Drop.UNSIGNED
-        if by != sender or to != self.me or by == self.me:
-            return Drop.FOREIGN
-        life = stamp >> LIFE_SHIFT
-        seen = self._seen.get(by)
-        if seen is not None and life < seen.life:
-            return Outdated(by, stamp, seen.life)
+    def decode(self, data: bytes, source: int | None) -> Datagram | StaleDatagram | DropReason:
+        """Check and decode a datagram.
+
+        Args:
+            data: The datagram.
+            source: The number of the agent at the address it came from; None: no agent of the list has that address.
+        """
+        outcome = self._decode(data, source)
+        if isinstance(outcome, DropReason):
+            self.dropped[outcome] += 1
+        elif isinstance(outcome, StaleDatagram):
+            self.dropped[DropReason.OLD] += 1
+        return outcome
+
+    def _decode(self, data: bytes, source: int | None) -> Datagram | StaleDatagram | DropReason:
+        if source is None:
+            return DropReason.FOREIGN
+        reason = self._check(data, source)
+        if reason is not None:
+            return reason
+        _, _, _, sender, _, stamp, sequence = HEADER.unpack_from(data)
+        incarnation = stamp >> REFUTATION_BITS
+        window = self._windows.get(sender)
+        if window is not None and incarnation < window.incarnation:
+            return StaleDatagram(sender, stamp, window.incarnation)
         try:
-            records = decode(body[HEAD.size :])
+            records = decode(data[HEADER.size : -TAG_BYTES])
         except msgspec.DecodeError:
-            return Drop.TORN
-        if seen is None or life > seen.life:
-            seen = self._seen[by] = _Seen(life, sequence, 1)
-        elif (drop := seen.first(sequence)) is not None:
-            return drop
-        return Datagram(by, stamp, records)
+            return DropReason.TORN
+        if window is None or incarnation > window.incarnation:
+            self._windows[sender] = _ReplayWindow(incarnation, sequence, 1)
+        elif (reason := window.accept(sequence)) is not None:
+            return reason
+        return Datagram(sender, stamp, records)
+
+    def _check(self, data: bytes, source: int) -> DropReason | None:
+        """Return the reason to drop a datagram that its header and tag give, if there is one."""
+        if not HEADER.size + TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
+            return DropReason.TORN
+        magic, version, fleet, sender, target, _, _ = HEADER.unpack_from(data)
+        if magic != MAGIC:
+            return DropReason.TORN
+        if version != VERSION:
+            return DropReason.VERSION
+        if fleet != self._fleet:
+            return DropReason.FLEET
+        if not self._is_signed(data):
+            return DropReason.UNSIGNED
+        is_foreign = sender != source or target != self.own_number or sender == self.own_number
+        return DropReason.FOREIGN if is_foreign else None
+
+    def _is_signed(self, data: bytes) -> bool:
+        signed, tag = data[:-TAG_BYTES], data[-TAG_BYTES:]
+        return any(hmac.compare_digest(signature(secret, signed), tag) for secret in self.secrets or (b"",))
--- a/lilacsill/agent/peers/fleet.py
+++ b/lilacsill/agent/peers/fleet.py
@@ -1,6 +1,6 @@
-"""One agent's part in its fleet: the rooms, wired, and the one way in. No I/O; the clock from outside.
+"""One agent's part in its fleet: membership, counts, budgets and backend health, wired to one stream of datagrams.
 
-Datagrams and time in, datagrams and changes out. Whoever calls sends what `take` returns and reads `state`.
+Datagrams and times go in, datagrams and changes come out. No I/O: the caller sends what `take_datagrams` returns.
 """
 
 from __future__ import annotations
@@ -9,33 +9,48 @@
 from random import Random
 
 from .counts import NAMES, Counts
-from .datagram import ROOM, Datagram, Gate, Outdated
+from .datagram import MAX_RECORD_BYTES, Datagram, DatagramCodec, StaleDatagram
 from .escrow import Escrow, Right
+from .event_log import EventKind, EventLog
+from .fleet_size import FleetSize
 from .gossip import Gossip
-from .judgements import ALL, Claim, Hearsay, Judgements
-from .membership import Change, Membership
-from .notes import Notes
+from .membership import Membership, StateChange
 from .outbox import Outbox
-from .records import LIFE_SHIFT, PARTS, Ask, CountRow, Grant, Judgement, Record, Release, State, encode
-from .siblings import Siblings
+from .peer_health import ALL_BACKENDS, Claim, PeerHealth, PeerVerdict
+from .records import (
+    REFUTATION_BITS,
+    SHARE_UNITS,
+    CountRow,
+    HealthReport,
+    LeaseGrant,
+    LeaseRequest,
+    LeaseReturn,
+    MemberState,
+    Record,
+    encode,
+)
 
 BUDGETS = ("cold", "probes", "retries")
-TALLIES = 2  # datagrams of counts a period, while there are new ones,
-ROW_LEAST = 16  # bytes of a row of counts
-HEALED_TALLIES, HEALED_PERIODS = 4, 6  # and to those that were found again, for so long
-VIEW_EVERY = 4  # periods
-FOLD_CALM_US = 10_000_000  # all members have lived for so long: earlier lives may be carried
-BACKLOG = 0.1  # of the time for which this process stood still, what it reads was probably sent before
+COUNT_DATAGRAMS = 2  # datagrams of counts in a period, while there are new ones
+MIN_ROW_BYTES = 16  # of a row of counts
+ROWS_PER_DATAGRAM = 8  # rows of counts that are sent again
+# After members were found again: how many of them get a datagram of counts in a period, and for how many periods.
+HEALED_DATAGRAMS, HEALED_PERIODS = 4, 6
+VIEW_PERIODS = 4  # a member gets the view of who is alive once in this many periods
+CARRY_AFTER_US = 10_000_000  # with all members alive for this time, earlier incarnations may be carried
+BACKLOG_SHARE = 0.1  # of a stall: what is read within this time was probably sent before its end
+# An idle agent pays for each wake-up, so a period may begin with another event in this range around its end.
+PERIOD_RANGE = 0.75, 1.25
 
 
 @dataclass(slots=True, frozen=True)
-class Settings:
-    """Of the channel; times in microseconds."""
+class FleetSettings:
+    """The settings of the channel between agents."""
 
-    me: int
-    agents: int  # names in `peers`, this one among them
-    told: int  # siblings by the platform's settings
-    fleet: int = 0
+    own_number: int
+    agents: int  # in the list, this one included
+    configured_agents: int  # by the platform's settings
+    fleet: int = 0  # datagram.fleet_id
     secrets: tuple[bytes, ...] = ()
     period_us: int = 500_000
     lease_us: int = 2_000_000
@@ -43,315 +58,365 @@
 
 
 class Fleet:
-    """Call `begin` once, `tick` at `due`, `read` for each datagram that comes."""
-
-    def __init__(self, settings: Settings, now: int, life: int) -> None:
-        self.settings = s = settings
-        rng = self._rng = Random(f"{s.seed} peers {s.me} {life}")
-        self.gate = Gate(s.me, s.fleet, s.agents, s.secrets)
-        self.notes = Notes(s.me)
-        self.news, self._tallies = Gossip(s.agents), Gossip(s.agents)
-        self._outbox = Outbox(self.news, self._tally)
+    """One agent's part in its fleet.
+
+    Call `start` once, `tick` at `due`, `receive` for each datagram.
+
+    Attributes:
+        changes: The changes of members' states; the caller empties it.
+    """
+
+    def __init__(self, settings: FleetSettings, now: int, incarnation: int) -> None:
+        self.settings = settings
+        rng = self._rng = Random(f"{settings.seed} peers {settings.own_number} {incarnation}")
+        self.codec = DatagramCodec(settings.own_number, settings.fleet, settings.agents, settings.secrets)
+        self.events = EventLog(settings.own_number)
+        self.updates, self._count_updates = Gossip(settings.agents), Gossip(settings.agents)
+        self._outbox = Outbox(self.updates, self._encoded_counts)
         self.membership = Membership(
-            s.me,
-            s.agents,
-            s.period_us,
-            life,
+            settings.own_number,
+            settings.agents,
+            settings.period_us,
+            incarnation,
             rng,
             self._outbox.send,
-            lambda r: self.news.add(("member", r.member), r),
-            self.notes.begin,
+            lambda update: self.updates.add(("member", update.member), update),
+            self.events.new_cause,
         )
-        self.counts = Counts(s.me, life)
-        self.escrow = {b: Escrow(now, s.lease_us, settled=s.agents == 1) for b in range(len(BUDGETS))}
-        self.judgements = Judgements(s.me)
-        self.siblings = Siblings(s.told, s.agents)
-        self.changes: list[Change] = []  # of members, since they were last taken
-        self._nonce = rng.getrandbits(31)  # far from where it would begin again: an ask must not look old
-        self._period_from = self._period_at = now  # from the first on it may begin, at the second it must
+        self.counts = Counts(settings.own_number, incarnation)
+        self.escrows = {
+            budget: Escrow(now, settings.lease_us, no_earlier_leases=settings.agents == 1)
+            for budget in range(len(BUDGETS))
+        }
+        self.peer_health = PeerHealth(settings.own_number)
+        self.size = FleetSize(settings.configured_agents, settings.agents)
+        self.changes: list[StateChange] = []
+        self._nonce = rng.getrandbits(31)  # far from that of the incarnation before: a request must not look old
+        self._period_from = self._period_at = now  # a period may begin from the first on, and begins at the second
         self._periods = 0
-        self._old_until = 0  # what is read before may have waited while this process stood still
+        self._backlog_until = 0  # what is read before may have waited while this process did not run
         self._ready: list[tuple[int, bytes]] = []
-        self._told: dict[tuple[int, int], tuple[int, int, int, int]] = {}  # own counts, as last told
-        self._all_live_since = 0
-        self._healed = 0  # periods since others were found again; 0: long ago
-        self._last_period = now
-        self._back: list[int] = []  # which ones, not yet told of what they have missed
-
-    def begin(self, now: int) -> None:
+        self._sent_counts: dict[tuple[int, int], tuple[int, int, int, int]] = {}  # own counts as sent last, by key
+        self._all_alive_since = 0  # 0: not all are
+        self._healed_periods = 0  # periods left after others were found again
+        self._last_period_at = now
+        self._found_again: list[int] = []  # members that have not got yet what they have missed
+
+    def start(self, now: int) -> None:
+        """Begin to probe."""
         self.membership.start(now)
 
     @property
     def due(self) -> int:
+        """When `tick` is to be called next, in microseconds."""
         return min(self.membership.due, self._period_at)
 
     @property
-    def life(self) -> int:
-        return self.counts.life
-
-    def read(self, now: int, data: bytes, sender: int | None) -> None:
-        """A datagram from that member's address, or from nobody's (None)."""
-        self._woke(now)
-        got = self.gate.read(data, sender)
-        if isinstance(got, Outdated):
-            self.membership.outdated(got.sender, got.youngest)
-        elif isinstance(got, Datagram):
-            self.membership.heard(got.sender, got.stamp, now)
-            for record in got.records:
-                self._take(got.sender, got.stamp, record, now)
-        self._settle(now)
+    def incarnation(self) -> int:
+        """The incarnation of this process at its start."""
+        return self.counts.incarnation
+
+    def receive(self, now: int, data: bytes, source: int | None) -> None:
+        """Handle a datagram from the address of a member; None: from any other address."""
+        self._detect_stall(now)
+        decoded = self.codec.decode(data, source)
+        if isinstance(decoded, StaleDatagram):
+            self.membership.report_stale(decoded.sender, decoded.latest_incarnation)
+        elif isinstance(decoded, Datagram):
+            self.membership.on_datagram(decoded.sender, decoded.stamp, now)
+            for record in decoded.records:
+                self._on_record(decoded.sender, decoded.stamp, record, now)
+        self._finish_event(now)
 
     def tick(self, now: int) -> None:
-        self._woke(now)
+        """Act on everything that is due."""
+        self._detect_stall(now)
         self.membership.tick(now)
-        # With whatever else wakes this process in the last part of the period: an idle agent pays by the wake-up.
         if self._period_from <= now:
-            self._period(now)
-        self._settle(now)
+            self._begin_period(now)
+        self._finish_event(now)
 
-    def take(self) -> list[tuple[int, bytes]]:
-        """Datagrams to be sent, by member."""
+    def take_datagrams(self) -> list[tuple[int, bytes]]:
+        """Return the datagrams to send, each with its member."""
         ready, self._ready = self._ready, []
         return ready
 
     def leave(self, now: int) -> None:
-        """This process ends in order; some are told, who tell the others."""
-        rumour = self.membership.leave()
+        """Announce the end of this process to some members, who spread it."""
+        update = self.membership.leave()
         alive = self.membership.alive()
         for member in self._rng.sample(alive, min(3, len(alive))):
-            self._outbox.send(member, rumour)
-        self._settle(now)
+            self._outbox.send(member, update)
+        self._finish_event(now)
 
-    # What the agent brings and takes
+    # For the agent
 
     def right(self, budget: int, now: int) -> Right:
-        return self.escrow[budget].right(now)
+        """Return what this agent may spend of a budget, in SHARE_UNITS."""
+        return self.escrows[budget].right(now)
 
     def share(self, budget: int, now: int) -> tuple[float, int, float]:
-        """Of the whole budget: what may be spent, until when, and what then."""
-        right, whole = self.right(budget, now), self.siblings.number * PARTS
-        return right.amount / whole, right.until, right.after / whole
+        """Return the share of the whole budget that may be spent, until when, and the share from then on."""
+        right, whole = self.right(budget, now), self.size.number * SHARE_UNITS
+        return right.amount / whole, right.until, right.amount_after / whole
 
-    def need(self, budget: int, parts: float) -> None:
-        """How much of the whole this agent could use, as a multiple of its equal part."""
-        self.escrow[budget].need = int(min(float(self.settings.agents), max(0.0, parts)) * PARTS)
+    def set_need(self, budget: int, shares: float) -> None:
+        """Set how much of a budget this agent could use, as a multiple of its equal share."""
+        self.escrows[budget].need = int(min(float(self.settings.agents), max(0.0, shares)) * SHARE_UNITS)
 
-    def ill(self, backends: set[str], now: int, lasts_us: int) -> None:
-        """All backends that this agent has by its own evidence found ill, now."""
-        cut_off = self.membership.cut_off(now)
+    def set_unhealthy(self, backends: set[str], now: int, lasts_us: int) -> None:
+        """Set the backends that this agent finds unhealthy by its own observations, and report them for `lasts_us`."""
+        is_isolated = self.membership.is_isolated(now)
         alive = self.membership.alive()
-        for claim in self.judgements.saw(backends, now, lasts_us, self.life, cut_off, self.notes.begin()):
-            self.notes.note(
+        cause = self.events.new_cause()
+        claims = self.peer_health.update_own_claims(backends, now, lasts_us, self.incarnation, is_isolated, cause)
+        for claim in claims:
+            self.events.add(
                 now,
-                "said",
+                EventKind.REPORT_SENT,
                 claim.cause,
-                backend=self.judgements.name_of(claim.backend),
-                verdict=claim.verdict.name.lower(),
+                backend=self.peer_health.name_of(claim.backend),
+                verdict=claim.health.label,
             )
             record = claim.record(now)
-            self._spread(claim, record)
-            if claim.round == 0:  # at once to as many as news goes to in the end: while it rides, others send there
-                for member in self._rng.sample(alive, min(self.news.sends, len(alive))):
+            self._spread_claim(claim, record)
+            if claim.renewal == 0:  # at once to as many members as gossip reaches, since others send there meanwhile
+                for member in self._rng.sample(alive, min(self.updates.sends, len(alive))):
                     self._outbox.send(member, record)
-        self._settle(now)
+        self._finish_event(now)
 
-    def acted(self, now: int, on: Hearsay) -> None:
-        """The module was told of it."""
-        for _, cause in on.witnesses:
-            self.notes.note(now, "acted", cause, backend=on.backend, excluded=on.excluded)
+    def note_applied(self, now: int, verdict: PeerVerdict) -> None:
+        """Note that the decision module was told of a verdict."""
+        for _, cause in verdict.witnesses:
+            self.events.add(now, EventKind.VERDICT_APPLIED, cause, backend=verdict.backend, excluded=verdict.ejected)
 
-    def hearsay(self, now: int) -> list[Hearsay]:
-        return self.judgements.verdicts(now)
+    def verdicts(self, now: int) -> list[PeerVerdict]:
+        """Return what follows from the reports of others."""
+        return self.peer_health.verdicts(now)
 
-    # Inside
+    # Events
 
-    def _woke(self, now: int) -> None:
-        late = self.membership.woke(now)
-        if late:
-            self._old_until = now + int(BACKLOG * late)
-            self.notes.note(now, "stood_still", self.notes.begin(), ms=late // 1000)
+    def _detect_stall(self, now: int) -> None:
+        late_us = self.membership.detect_stall(now)
+        if late_us:
+            self._backlog_until = now + int(BACKLOG_SHARE * late_us)
+            self.events.add(now, EventKind.STALLED, self.events.new_cause(), ms=late_us // 1000)
 
-    def _take(self, sender: int, stamp: int, record: Record, now: int) -> None:
+    def _on_record(self, sender: int, stamp: int, record: Record, now: int) -> None:
         if isinstance(record, CountRow):
             if self.counts.merge(record):
-                self._tallies.add(
-                    (record.agent, record.life, record.tenant, record.request_class, record.carried), record
-                )
-        elif isinstance(record, Ask):
-            self._asked(sender, stamp, record, now)
-        elif isinstance(record, Grant):
-            escrow = self.escrow.get(record.budget)
-            if (
-                escrow is not None
-                and record.life == self.life
-                and escrow.granted(now, sender, record.nonce, record.amount)
-            ):
-                self.notes.note(
-                    now, "held", record.cause, budget=BUDGETS[record.budget], lender=sender, amount=record.amount
-                )
-        elif isinstance(record, Release):
-            if record.budget in self.escrow:
-                self.escrow[record.budget].released(sender, stamp >> LIFE_SHIFT, record.nonce)
-        elif isinstance(record, Judgement):
-            # How long it lay unread while this process stood still nobody knows.
-            claim = self.judgements.heard(record, now) if now >= self._old_until else None
-            if claim is not None:
-                self.notes.note(
-                    now,
-                    "heard",
-                    claim.cause,
-                    backend=self.judgements.name_of(claim.backend),
-                    witness=claim.witness,
-                    verdict=claim.verdict.name.lower(),
-                )
-                if self.judgements.is_news(claim, now):
-                    self._spread(claim, claim.record(now))
+                subject = (record.agent, record.incarnation, record.tenant, record.request_class, record.carried)
+                self._count_updates.add(subject, record)
+        elif isinstance(record, LeaseRequest):
+            self._on_lease_request(sender, stamp, record, now)
+        elif isinstance(record, LeaseGrant):
+            self._on_lease_grant(sender, record, now)
+        elif isinstance(record, LeaseReturn):
+            if record.budget in self.escrows:
+                self.escrows[record.budget].handle_return(sender, stamp >> REFUTATION_BITS, record.nonce)
+        elif isinstance(record, HealthReport):
+            self._on_health_report(record, now)
         else:
-            self.membership.take(sender, record, now)
+            self.membership.on_record(sender, record, now)
 
-    def _spread(self, claim: Claim, record: Record) -> None:
-        if claim.backend == ALL:
-            self.news.drop_of("judged", claim.witness)
-        self.news.add(("judged", claim.witness, claim.backend), record)
+    def _on_health_report(self, report: HealthReport, now: int) -> None:
+        if now < self._backlog_until:
+            return  # how long it has waited while this process did not run is unknown
+        claim = self.peer_health.on_report(report, now)
+        if claim is None:
+            return
+        self.events.add(
+            now,
+            EventKind.REPORT_RECEIVED,
+            claim.cause,
+            backend=self.peer_health.name_of(claim.backend),
+            witness=claim.witness,
+            verdict=claim.health.label,
+        )
+        if self.peer_health.is_worth_spreading(claim, now):
+            self._spread_claim(claim, claim.record(now))
+
+    def _spread_claim(self, claim: Claim, record: HealthReport) -> None:
+        if claim.backend == ALL_BACKENDS:
+            self.updates.drop_subjects("health", claim.witness)
+        self.updates.add(("health", claim.witness, claim.backend), record)
 
-    def _asked(self, sender: int, stamp: int, ask: Ask, now: int) -> None:
-        escrow = self.escrow.get(ask.budget)
-        if escrow is None or now < self._old_until:
+    def _on_lease_request(self, sender: int, stamp: int, request: LeaseRequest, now: int) -> None:
+        escrow = self.escrows.get(request.budget)
+        if escrow is None or now < self._backlog_until:
             return
-        amount = escrow.asked(now, sender, stamp >> LIFE_SHIFT, ask.nonce, ask.wanted)
+        incarnation = stamp >> REFUTATION_BITS
+        amount = escrow.handle_request(now, sender, incarnation, request.nonce, request.wanted)
         if amount:
-            cause = self.notes.begin()
-            self.notes.note(now, "lent", cause, budget=BUDGETS[ask.budget], borrower=sender, amount=amount)
-            self._outbox.send(sender, Grant(ask.budget, ask.nonce, stamp >> LIFE_SHIFT, amount, cause))
-
-    def _period(self, now: int) -> None:
-        self._last_period = now
-        self._period_from = now + int(0.75 * self.settings.period_us)
-        self._period_at = now + int(1.25 * self.settings.period_us)
+            cause = self.events.new_cause()
+            budget = BUDGETS[request.budget]
+            self.events.add(now, EventKind.LEASE_GRANTED, cause, budget=budget, borrower=sender, amount=amount)
+            self._outbox.send(sender, LeaseGrant(request.budget, request.nonce, incarnation, amount, cause))
+
+    def _on_lease_grant(self, sender: int, grant: LeaseGrant, now: int) -> None:
+        escrow = self.escrows.get(grant.budget)
+        if escrow is None or grant.incarnation != self.incarnation:
+            return
+        if escrow.handle_grant(now, sender, grant.nonce, grant.amount):
+            budget = BUDGETS[grant.budget]
+            self.events.add(
+                now, EventKind.LEASE_RECEIVED, grant.cause, budget=budget, lender=sender, amount=grant.amount
+            )
+
+    # Periods
+
+    def _begin_period(self, now: int) -> None:
+        earliest, latest = PERIOD_RANGE
+        self._last_period_at = now
+        self._period_from = now + int(earliest * self.settings.period_us)
+        self._period_at = now + int(latest * self.settings.period_us)
         self._periods += 1
-        m = self.membership
-        alive = m.alive()
-        self._tell_own_counts(changed=True)
-        if self._healed:
-            if self._healed == HEALED_PERIODS:  # who was away has missed this; it rides with all that is new again
-                self._tell_own_counts()
-            self._healed -= 1
-        back = [n for n in self._back if m.lives(n)][:HEALED_TALLIES]
-        self._back = self._back[len(back) :] if self._healed else []
-        targets = back + self._rng.sample(alive, min(TALLIES, len(alive)))
-        # Datagrams of their own only while there is something new: an idle agent pays by the wake-up, and probes and
-        # their answers have room for what is told again.
-        for to in targets if self._tallies else back:
-            if rows := self._tally(ROOM):
-                self._ready.append((to, self.gate.write(to, m.stamp, rows)))
-        if alive and self._periods % VIEW_EVERY == 0:
-            self._outbox.send(self._rng.choice(alive), m.view())
-        for budget, escrow in self.escrow.items():
-            escrow.doubled = m.doubled
-            for lender, nonce in escrow.release(now):
-                self.notes.note(now, "given_back", (self.settings.me, 0), budget=BUDGETS[budget], lender=lender)
-                self._outbox.send(lender, Release(budget, nonce))
-            for whom in escrow.whom(now, alive, self._rng):
+        alive = self.membership.alive()
+        self._send_counts(alive)
+        if alive and self._periods % VIEW_PERIODS == 0:
+            self._outbox.send(self._rng.choice(alive), self.membership.alive_view())
+        self._balance_budgets(alive, now)
+        self._carry_counts(alive, now)
+        self._update_size(now)
+
+    def _send_counts(self, alive: list[int]) -> None:
+        self._spread_own_counts(changed_only=True)
+        if self._healed_periods:
+            if self._healed_periods == HEALED_PERIODS:  # members that were away have missed these
+                self._spread_own_counts()
+            self._healed_periods -= 1
+        found_again = [member for member in self._found_again if self.membership.is_alive_or_suspect(member)]
+        found_again = found_again[:HEALED_DATAGRAMS]
+        self._found_again = self._found_again[len(found_again) :] if self._healed_periods else []
+        targets = found_again + self._rng.sample(alive, min(COUNT_DATAGRAMS, len(alive)))
+        # Datagrams for counts alone only while there are new ones: an idle agent pays for each wake-up, and probes and
+        # their answers have space for rows that are sent again.
+        for member in targets if self._count_updates else found_again:
+            if rows := self._encoded_counts(MAX_RECORD_BYTES):
+                self._ready.append((member, self.codec.encode(member, self.membership.stamp, rows)))
+
+    def _balance_budgets(self, alive: list[int], now: int) -> None:
+        """Return leases that are no longer needed, and ask for others."""
+        for budget, escrow in self.escrows.items():
+            escrow.has_duplicate = self.membership.has_duplicate
+            for lender, nonce in escrow.return_unneeded(now):
+                cause = (self.settings.own_number, 0)
+                self.events.add(now, EventKind.LEASE_RETURNED, cause, budget=BUDGETS[budget], lender=lender)
+                self._outbox.send(lender, LeaseReturn(budget, nonce))
+            for lender in escrow.choose_lenders(now, alive, self._rng):
                 self._nonce = (self._nonce + 1) % 2**32
-                wanted = escrow.ask(now, whom, self._nonce)
+                wanted = escrow.open_request(now, lender, self._nonce)
                 if wanted:
-                    self._outbox.send(whom, Ask(budget, self._nonce, min(wanted, 2**32 - 1)))
-        if len(alive) == len(m.members):
-            self._all_live_since = self._all_live_since or now
-            if now - self._all_live_since >= FOLD_CALM_US:
-                self.counts.fold()
-        else:
-            self._all_live_since = 0
-        before = self.siblings.number
-        if self.siblings.look(now, [(x.heard_at, x.agents) for x in m.members.values()]):
-            self.notes.note(now, "siblings", self.notes.begin(), before=before, after=self.siblings.number)
+                    self._outbox.send(lender, LeaseRequest(budget, self._nonce, min(wanted, 2**32 - 1)))
 
-    def _tell_own_counts(self, changed: bool = False) -> None:
-        for row in self.counts.own():
+    def _carry_counts(self, alive: list[int], now: int) -> None:
+        if len(alive) < len(self.membership.members):
+            self._all_alive_since = 0
+            return
+        self._all_alive_since = self._all_alive_since or now
+        if now - self._all_alive_since >= CARRY_AFTER_US:
+            self.counts.carry_earlier()
+
+    def _update_size(self, now: int) -> None:
+        before = self.size.number
+        members = [(member.heard_at, member.listed_agents) for member in self.membership.members.values()]
+        if self.size.update(now, members):
+            self.events.add(now, EventKind.FLEET_SIZE, self.events.new_cause(), before=before, after=self.size.number)
+
+    def _spread_own_counts(self, changed_only: bool = False) -> None:
+        for row in self.counts.own_rows():
             key = (row.tenant, row.request_class)
-            if not changed or self._told.get(key) != row.values:
-                self._told[key] = row.values
-                self._tallies.add((row.agent, row.life, *key, False), row)
-
-    def _tally(self, room: int) -> list[bytes]:
-        """Rows that are new, then others in turn: who was cut off learns of all of them again."""
-        rows = self._tallies.take(room)
-        room -= sum(map(len, rows))
-        for row in self.counts.some(8) if room >= ROW_LEAST else ():
+            if not changed_only or self._sent_counts.get(key) != row.values:
+                self._sent_counts[key] = row.values
+                self._count_updates.add((row.agent, row.incarnation, *key, False), row)
+
+    def _encoded_counts(self, free_bytes: int) -> list[bytes]:
+        """Return rows that are new, then others in turn, so that members that were cut off get all of them again."""
+        rows = self._count_updates.take(free_bytes)
+        free_bytes -= sum(map(len, rows))
+        for row in self.counts.next_rows(ROWS_PER_DATAGRAM) if free_bytes >= MIN_ROW_BYTES else ():
             encoded = encode(row)
-            if len(encoded) <= room and encoded not in rows:
+            if len(encoded) <= free_bytes and encoded not in rows:
                 rows.append(encoded)
-                room -= len(encoded)
+                free_bytes -= len(encoded)
         return rows
 
-    def _settle(self, now: int) -> None:
-        """Whatever was queued becomes datagrams, and changes are noted."""
-        m = self.membership
-        for c in m.changes:
-            self.changes.append(c)
-            self.notes.note(
-                now,
-                "member",
-                c.cause,
-                member=c.member,
-                before=c.before.name.lower(),
-                after=c.after.name.lower(),
-                by=c.by,
-            )
-            if c.after in (State.DEAD, State.LEFT):
-                self.judgements.forget(c.member)
-            elif c.before is State.DEAD:
-                self._healed = HEALED_PERIODS
-                self._back.append(c.member)
-                soon = max(now, self._last_period + self.settings.period_us // 4)
-                self._period_from = self._period_at = min(self._period_at, soon)
-        m.changes = []
-        for to, records in self._outbox.packed():
-            self._ready.append((to, self.gate.write(to, m.stamp, records)))
+    def _finish_event(self, now: int) -> None:
+        """Note the changes of members' states, and pack what was queued into datagrams."""
+        for change in self.membership.changes:
+            self._on_state_change(change, now)
+        self.membership.changes = []
+        for member, records in self._outbox.pack():
+            self._ready.append((member, self.codec.encode(member, self.membership.stamp, records)))
+
+    def _on_state_change(self, change: StateChange, now: int) -> None:
+        self.changes.append(change)
+        self.events.add(
+            now,
+            EventKind.MEMBER,
+            change.cause,
+            member=change.member,
+            before=change.before.name.lower(),
+            after=change.after.name.lower(),
+            by=change.by,
+        )
+        if change.after in (MemberState.DEAD, MemberState.LEFT):
+            self.peer_health.forget_witness(change.member)
+        elif change.before is MemberState.DEAD:
+            self._healed_periods = HEALED_PERIODS
+            self._found_again.append(change.member)
+            soon = max(now, self._last_period_at + self.settings.period_us // 4)
+            self._period_from = self._period_at = min(self._period_at, soon)
+
+    # For operators
 
     def describe(self, now: int) -> dict[str, object]:
-        """For operators."""
-        m = self.membership
+        """Return the response of the admin API."""
+        membership = self.membership
         return {
-            "me": self.settings.me,
-            "life": m.stamp >> LIFE_SHIFT,
-            "incarnation": m.stamp & 0xFFFF,
-            "doubt": m.doubt,
-            "doubled": m.doubled,
-            "cut_off": m.cut_off(now),
-            "siblings": {"told": self.siblings.told, "named": self.settings.agents, "used": self.siblings.number},
+            "me": self.settings.own_number,
+            "life": membership.stamp >> REFUTATION_BITS,
+            "incarnation": _refutations(membership.stamp),
+            "doubt": membership.health_score,
+            "doubled": membership.has_duplicate,
+            "cut_off": membership.is_isolated(now),
+            "siblings": {"told": self.size.configured, "named": self.settings.agents, "used": self.size.number},
             "members": [
                 {
-                    "number": n,
-                    "state": x.state.name.lower(),
-                    "since_s": round((now - x.since) / 1e6, 1) if x.since else None,
-                    "heard_s": round((now - x.heard_at) / 1e6, 1) if x.heard_at else None,
-                    "life": x.stamp >> LIFE_SHIFT,
-                    "incarnation": x.stamp & 0xFFFF,
-                    "cause": list(x.cause),
+                    "number": number,
+                    "state": member.state.name.lower(),
+                    "since_s": round((now - member.since) / 1e6, 1) if member.since else None,
+                    "heard_s": round((now - member.heard_at) / 1e6, 1) if member.heard_at else None,
+                    "life": member.stamp >> REFUTATION_BITS,
+                    "incarnation": _refutations(member.stamp),
+                    "cause": list(member.cause),
                 }
-                for n, x in m.members.items()
+                for number, member in membership.members.items()
             ],
             "budgets": {
-                BUDGETS[b]: {
-                    "right": e.right(now).amount / PARTS,
-                    "lent": e.lent(now) / PARTS,
-                    "held": e.held(now) / PARTS,
-                    "need": e.need / PARTS,
+                BUDGETS[budget]: {
+                    "right": escrow.right(now).amount / SHARE_UNITS,
+                    "lent": escrow.lent(now) / SHARE_UNITS,
+                    "held": escrow.borrowed(now) / SHARE_UNITS,
+                    "need": escrow.need / SHARE_UNITS,
                 }
-                for b, e in self.escrow.items()
+                for budget, escrow in self.escrows.items()
             },
             "judgements": [
                 {
-                    "backend": h.backend,
-                    "verdict": h.verdict.name.lower(),
-                    "excluded": h.excluded,
-                    "until_s": round((h.until - now) / 1e6, 1),
-                    "witnesses": [{"member": w, "cause": list(c)} for w, c in h.witnesses],
+                    "backend": verdict.backend,
+                    "verdict": verdict.health.label,
+                    "excluded": verdict.ejected,
+                    "until_s": round((verdict.until - now) / 1e6, 1),
+                    "witnesses": [{"member": member, "cause": list(cause)} for member, cause in verdict.witnesses],
                 }
-                for h in self.hearsay(now)
+                for verdict in self.verdicts(now)
             ],
             "counts": dict(zip(NAMES, self.counts.total(), strict=True)),
-            "dropped": {d.value: n for d, n in self.gate.dropped.items()},
-            "stood_still_s": round(m.stood_us / 1e6, 3),
+            "dropped": {reason.value: number for reason, number in self.codec.dropped.items()},
+            "stood_still_s": round(membership.stalled_us / 1e6, 3),
         }
+
+
+def _refutations(stamp: int) -> int:
+    return stamp & (1 << REFUTATION_BITS) - 1
--- a/lilacsill/agent/peers/gossip.py
+++ b/lilacsill/agent/peers/gossip.py
@@ -1,4 +1,4 @@
-"""What is to be passed on: each piece of news rides on so many datagrams, the least sent first (SWIM, section 4.1)."""
+"""Gossip: each update is sent with a number of datagrams, those sent least often first (SWIM, section 4.1)."""
 
 from __future__ import annotations
 
@@ -7,44 +7,46 @@
 
 from .records import Record, encode
 
-SPREAD = 4  # datagrams for each decimal digit of the fleet's size
-MOST_NEWS = 4096
+SENDS_PER_DIGIT = 4  # datagrams that carry an update, for each decimal digit of the number of agents
+MAX_UPDATES = 4096
+MIN_RECORD_BYTES = 24  # with less space left no further update is tried
 
 
 class Gossip:
-    """News by what it is about: a newer piece takes the place of an older one."""
+    """Encoded updates by subject: a newer one replaces an older one."""
 
     def __init__(self, agents: int) -> None:
-        self.sends = SPREAD * ceil(log10(agents + 1))
-        self._news: dict[Hashable, tuple[int, bytes]] = {}  # sends so far, encoded
+        self.sends = SENDS_PER_DIGIT * ceil(log10(agents + 1))  # how often an update is sent
+        self._updates: dict[Hashable, tuple[int, bytes]] = {}  # how often it was sent so far, and its encoding
 
     def __len__(self) -> int:
-        return len(self._news)
-
-    def add(self, about: Hashable, record: Record) -> None:
-        self._news.pop(about, None)
-        if len(self._news) >= MOST_NEWS:  # who has been told most often makes way
-            del self._news[max(self._news, key=lambda k: self._news[k][0])]
-        self._news[about] = (0, encode(record))
-
-    def drop_of(self, *beginning: Hashable) -> None:
-        """All that is about something that begins so."""
-        for about in [k for k in self._news if isinstance(k, tuple) and k[: len(beginning)] == beginning]:
-            del self._news[about]
-
-    def take(self, room: int) -> list[bytes]:
-        """What fits into so many bytes; it counts as sent."""
+        return len(self._updates)
+
+    def add(self, subject: Hashable, record: Record) -> None:
+        """Spread a record from now on."""
+        self._updates.pop(subject, None)
+        if len(self._updates) >= MAX_UPDATES:  # the one sent most often is dropped
+            del self._updates[max(self._updates, key=lambda subject: self._updates[subject][0])]
+        self._updates[subject] = (0, encode(record))
+
+    def drop_subjects(self, *prefix: Hashable) -> None:
+        """Drop the updates whose subject is a tuple that begins with `prefix`."""
+        for subject in [key for key in self._updates if isinstance(key, tuple) and key[: len(prefix)] == prefix]:
+            del self._updates[subject]
+
+    def take(self, free_bytes: int) -> list[bytes]:
+        """Return updates that fit into a number of bytes; they count as sent once more."""
         taken: list[bytes] = []
-        if not self._news:
+        if not self._updates:
             return taken
-        for about, (sent, encoded) in sorted(self._news.items(), key=lambda item: item[1][0]):
-            if len(encoded) <= room:
+        for subject, (sent, encoded) in sorted(self._updates.items(), key=lambda item: item[1][0]):
+            if len(encoded) <= free_bytes:
                 taken.append(encoded)
-                room -= len(encoded)
+                free_bytes -= len(encoded)
                 if sent + 1 >= self.sends:
-                    del self._news[about]
+                    del self._updates[subject]
                 else:
-                    self._news[about] = (sent + 1, encoded)
-            if room < 24:
+                    self._updates[subject] = (sent + 1, encoded)
+            if free_bytes < MIN_RECORD_BYTES:
                 break
         return taken
--- a/lilacsill/agent/peers/membership.py
+++ b/lilacsill/agent/peers/membership.py
@@ -1,10 +1,11 @@
-"""Who is alive: SWIM (Das, Gupta and Motivala, 2002) with Lifeguard's three additions. No I/O; the clock from outside.
+"""Which agents are alive: SWIM (Das, Gupta and Motivala, 2002) with the three additions of Lifeguard (2018).
 
-One member is probed a period, by itself and then through others; what does not answer is suspected, and dead when
-nobody has refuted that in time. A process that was itself stalled, or that hears nothing from others, doubts itself
-first: its probes take longer and its clocks of suspicion stand still for as long as it did.
+One member is probed in each period, directly and then through others. A member that does not answer is suspected, and
+dead if nobody refutes that in time. A process that was itself stalled, or that hears nothing from others, lowers its
+trust in itself: its probes take longer, and its suspicions last longer by the time for which it did not run.
 
-A member is a number in `peers`; its stamp is its life (which process) and its incarnation (how often that has refuted).
+No I/O; the caller passes the time in. A member is a number in the list of agents. Its stamp combines the incarnation of
+its process with the number of suspicions that the process has refuted (see records.py).
 """
 
 from __future__ import annotations
@@ -13,43 +14,58 @@
 from dataclasses import dataclass
 from random import Random
 
-from .records import LIFE_SHIFT, Ack, Cause, Nack, Ping, PingRequest, Record, Rumour, Stale, State, View
+from .records import (
+    REFUTATION_BITS,
+    Ack,
+    AliveView,
+    Cause,
+    MemberState,
+    MemberUpdate,
+    Nack,
+    Ping,
+    PingRequest,
+    Record,
+    StaleIncarnation,
+)
 from .suspicion import Suspicion
 
-DOUBT_MOST = 8
-INDIRECT = 3  # members that are asked to probe for this one
-DIRECT = 0.4  # of a period, for the answer; then others are asked
-STALL = 0.5  # of a period later than due: this process stood still
-KNOCKS = 3  # probes a period to members that are not known to live, while those are most; else one
-LAST_CALLS = 6  # periods before a suspicion ends in which its member is asked directly
-RELAYED_MOST = 64  # probes made for others that are still out
-LIFE_STEP = 256  # milliseconds; most by which a life that is taken on outbids the one before
-LIVES_MOST = 4  # younger lives that this process takes on; then another one has its number for good
+MAX_HEALTH_SCORE = 8
+INDIRECT_PROBES = 3  # members that are asked to probe a target
+PROBE_TIMEOUT_PERIODS = 0.4  # for the answer to a direct probe; then others are asked
+STALL_PERIODS = 0.5  # this much later than due: this process did not run
+ISOLATION_PERIODS = 3  # without a datagram from anybody: this process is cut off
+ABSENT_PROBES = 3  # probes a period to members that are not known to live, while those are most; else one
+REFUTATION_PERIODS = 6  # before a suspicion ends, its member is probed directly
+MAX_RELAYED_PROBES = 64  # probes for others without an answer
+INCARNATION_STEP_MS = 256  # most by which a new incarnation exceeds the one before
+MAX_NEW_INCARNATIONS = 4  # that this process takes; then another process has its number for good
 
 Send = Callable[[int, Record], None]
 
 
 @dataclass(slots=True)
 class Member:
+    """What this process knows of another agent. Times are microseconds; 0: never."""
+
     stamp: int = 0
-    state: State = State.UNKNOWN
-    since: int = 0
-    heard_at: int = 0  # by itself; 0: never
-    told_at: int = 0  # when it was last told what is said of it
-    agents: int = 0  # how many its own list names
-    cause: Cause = (0, 0)
+    state: MemberState = MemberState.UNKNOWN
+    since: int = 0  # of the state
+    heard_at: int = 0  # when a datagram of its own came last
+    notified_at: int = 0  # when it was told last that it is suspected or held dead
+    listed_agents: int = 0  # how many agents its own list names
+    cause: Cause = (0, 0)  # of the state
     suspicion: Suspicion | None = None
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
-    """Of one member, as this process sees it."""
+class StateChange:
+    """A change of a member's state, as this process sees it."""
 
     member: int
-    before: State
-    after: State
+    before: MemberState
+    after: MemberState
     stamp: int
-    by: int
+    by: int  # the agent that reported it first
     cause: Cause
 
 
@@ -58,292 +74,384 @@
     target: int
     nonce: int
     sent_at: int
-    indirect: bool = False
-    nacks_owed: int = 0
+    is_indirect: bool = False
+    nacks_expected: int = 0
+
+
+@dataclass(slots=True)
+class _RelayedProbe:
+    """A probe made for another agent."""
+
+    asker: int
+    asker_nonce: int
+    answer_by: int
+    nack_sent: bool = False
 
 
 class Membership:
-    """`send` queues a record for a member, `gossip` one for all. Call `woke` before anything else, `tick` at `due`."""
+    """The members and their states.
+
+    Call `detect_stall` before anything else, and `tick` at `due`.
+
+    Attributes:
+        members: All other agents of the list, by number.
+        changes: The changes of states; the caller empties it.
+        health_score: Lifeguard's local health multiplier; 0: this process trusts itself.
+        has_duplicate: Whether another process uses this number.
+        stalled_us: For how long this process did not run, in all.
+    """
 
     def __init__(
         self,
-        me: int,
+        own_number: int,
         agents: int,
         period_us: int,
-        life: int,
+        incarnation: int,
         rng: Random,
         send: Send,
-        gossip: Callable[[Rumour], None],
-        begin: Callable[[], Cause],
+        gossip: Callable[[MemberUpdate], None],
+        new_cause: Callable[[], Cause],
     ) -> None:
-        self.me, self.agents, self._period = me, agents, period_us
-        self.stamp = life << LIFE_SHIFT
-        self._rng, self._send, self._gossip, self._begin = rng, send, gossip, begin
-        self.members = {n: Member() for n in range(agents) if n != me}
-        self._suspected: dict[int, Member] = {}
-        self.changes: list[Change] = []
-        self.doubt = 0  # Lifeguard's local health: 0 is well
-        self.doubled = False  # another process goes by this number
-        self._lives = 0
-        self._ring: list[int] = []
+        """Create the membership.
+
+        Args:
+            own_number: The number of this agent.
+            agents: The number of agents in the list.
+            period_us: The probe period in microseconds.
+            incarnation: The incarnation of this process.
+            rng: The random numbers of this agent's part between agents.
+            send: Queues a record for a member.
+            gossip: Queues an update for all members.
+            new_cause: Returns the id for a chain of events that begins here.
+        """
+        self.own_number, self.agents, self._period_us = own_number, agents, period_us
+        self.stamp = incarnation << REFUTATION_BITS
+        self._rng, self._send, self._gossip, self._new_cause = rng, send, gossip, new_cause
+        self.members = {number: Member() for number in range(agents) if number != own_number}
+        self._suspects: dict[int, Member] = {}
+        self.changes: list[StateChange] = []
+        self.health_score = 0
+        self.has_duplicate = False
+        self._new_incarnations = 0
+        self._probe_order: list[int] = []
         self._probe: _Probe | None = None
-        self._relayed: dict[int, tuple[int, int, int, bool]] = {}  # own nonce: for whom, its nonce, until, told
+        self._relayed: dict[int, _RelayedProbe] = {}  # by own nonce
         self._nonce = rng.getrandbits(31)
         self._period_at = 0  # when the next period begins; 0: not started
-        self.stood_us = 0  # in all
-        self.heard_at = 0  # of anybody
+        self.stalled_us = 0
+        self.heard_at = 0  # when a datagram of anybody came last
 
     # Time
 
     @property
     def due(self) -> int:
+        """When `tick` is to be called next, in microseconds."""
         times = [self._period_at]
-        if self._probe is not None and not self._probe.indirect:
-            times.append(self._probe.sent_at + self._patience())
-        times += [m.suspicion.due for m in self._suspected.values() if m.suspicion is not None]
-        times += [until for _, _, until, told in self._relayed.values() if not told]
+        if self._probe is not None and not self._probe.is_indirect:
+            times.append(self._probe.sent_at + self._probe_timeout_us())
+        times += [member.suspicion.due for member in self._suspects.values() if member.suspicion is not None]
+        times += [relayed.answer_by for relayed in self._relayed.values() if not relayed.nack_sent]
         return min(times)
 
     def start(self, now: int) -> None:
-        self._period_at = now + int(self._rng.random() * self._period / 4)
+        """Begin the first period."""
+        self._period_at = now + int(self._rng.random() * self._period_us / 4)
         self.heard_at = now
 
-    def woke(self, now: int) -> int:
-        """For how many microseconds this process stood still, else 0: what it measured across that is void."""
-        late = now - self.due
-        if late <= STALL * self._period:
+    def detect_stall(self, now: int) -> int:
+        """Return for how many microseconds this process did not run, else 0; measurements across a stall are void."""
+        late_us = now - self.due
+        if late_us <= STALL_PERIODS * self._period_us:
             return 0
-        self.stood_us += late
-        self.doubt = min(DOUBT_MOST, self.doubt + 2)
+        self.stalled_us += late_us
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 2)
         self._probe = None
         self._relayed.clear()
-        for m in self._suspected.values():
-            if m.suspicion is not None:
-                m.suspicion.began += late
-        self.heard_at += late
+        for member in self._suspects.values():
+            if member.suspicion is not None:
+                member.suspicion.started_at += late_us
+        self.heard_at += late_us
         self._period_at = now
-        return late
+        return late_us
 
     def tick(self, now: int) -> None:
-        for number, m in list(self._suspected.items()):
-            if m.suspicion is None or m.suspicion.due > now:
+        """Act on everything that is due."""
+        self._end_suspicions(now)
+        self._end_relayed_probes(now)
+        probe = self._probe
+        if probe is not None and not probe.is_indirect and probe.sent_at + self._probe_timeout_us() <= now:
+            self._probe_indirectly(probe)
+        if self._period_at <= now:
+            self._next_period(now)
+
+    def _end_suspicions(self, now: int) -> None:
+        for number, member in list(self._suspects.items()):
+            if member.suspicion is None or member.suspicion.due > now:
                 continue
-            if m.heard_at > m.suspicion.began:  # it spoke since, and only its refutation was lost: once more
-                m.suspicion = Suspicion(now, self.me, self.agents, self._period)
+            if member.heard_at > member.suspicion.started_at:  # it is alive, and only its refutation was lost
+                member.suspicion = Suspicion(now, self.own_number, self.agents, self._period_us)
             else:
-                # An agent that has heard nobody for as long as a suspicion lasts is itself the one that is cut off,
-                # and says so to nobody; for itself it still must do without them.
-                self._turn(number, m, State.DEAD, m.stamp, self.me, m.cause, now, tell=not self.cut_off(now))
-        for nonce, (asker, theirs, until, told) in list(self._relayed.items()):
-            if until <= now and not told:
-                self._send(asker, Nack(theirs))
-                self._relayed[nonce] = (asker, theirs, until + self._period, True)
-            elif until + self._period <= now:
+                # An agent that has heard nobody for as long as a suspicion lasts is itself the one that is isolated.
+                # It does not spread this, but still has to do without the others.
+                self._set_state(
+                    number,
+                    member,
+                    MemberState.DEAD,
+                    member.stamp,
+                    self.own_number,
+                    member.cause,
+                    now,
+                    spread=not self.is_isolated(now),
+                )
+
+    def _end_relayed_probes(self, now: int) -> None:
+        for nonce, relayed in list(self._relayed.items()):
+            if relayed.answer_by <= now and not relayed.nack_sent:
+                self._send(relayed.asker, Nack(relayed.asker_nonce))
+                relayed.answer_by += self._period_us
+                relayed.nack_sent = True
+            elif relayed.answer_by + self._period_us <= now:
                 del self._relayed[nonce]
-        p = self._probe
-        if p is not None and not p.indirect and p.sent_at + self._patience() <= now:
-            self._ask_others(p)
-        if self._period_at <= now:
-            self._next_period(now)
 
-    def _patience(self) -> int:
-        return int(DIRECT * self._period * (1 + self.doubt))
+    def _probe_timeout_us(self) -> int:
+        return int(PROBE_TIMEOUT_PERIODS * self._period_us * (1 + self.health_score))
 
-    def cut_off(self, now: int) -> bool:
-        """Whether nobody at all has been heard for three periods."""
-        return now - self.heard_at > 3 * self._period * (1 + self.doubt)
+    def is_isolated(self, now: int) -> bool:
+        """Return whether nobody at all has been heard for some periods."""
+        return now - self.heard_at > ISOLATION_PERIODS * self._period_us * (1 + self.health_score)
 
     # Probing
 
     def _next_period(self, now: int) -> None:
-        p, self._probe = self._probe, None
-        if p is not None:
-            # Asked members that say not even no are a sign that this process is the one that hears badly.
-            self.doubt = min(DOUBT_MOST, self.doubt + 1 + (p.nacks_owed > 0))
-            m = self.members[p.target]
-            if m.state is State.ALIVE:
-                self._turn(p.target, m, State.SUSPECT, m.stamp, self.me, self._begin(), now)
-            elif m.state is State.SUSPECT and m.suspicion is not None and m.suspicion.confirm(self.me):
-                self._gossip(Rumour(p.target, m.stamp, State.SUSPECT, self.me, m.cause))
+        probe, self._probe = self._probe, None
+        if probe is not None:
+            self._probe_failed(probe, now)
         target = self._next_target()
         if target is not None:
             self._probe = _Probe(target, self._new_nonce(), now)
             self._ping(target, self._probe.nonce)
-        self._knock()
-        self._last_calls(now)
-        self._period_at = now + int(self._period * (1 + self.doubt) * (0.9 + 0.2 * self._rng.random()))
+        self._probe_absent()
+        self._probe_before_death(now)
+        self._period_at = now + int(self._period_us * (1 + self.health_score) * (0.9 + 0.2 * self._rng.random()))
+
+    def _probe_failed(self, probe: _Probe, now: int) -> None:
+        # If the members that were asked to probe do not even say no, this process probably hears badly itself.
+        self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1 + (probe.nacks_expected > 0))
+        member = self.members[probe.target]
+        if member.state is MemberState.ALIVE:
+            self._set_state(
+                probe.target, member, MemberState.SUSPECT, member.stamp, self.own_number, self._new_cause(), now
+            )
+        elif (
+            member.state is MemberState.SUSPECT
+            and member.suspicion is not None
+            and member.suspicion.confirm(self.own_number)
+        ):
+            self._gossip(MemberUpdate(probe.target, member.stamp, MemberState.SUSPECT, self.own_number, member.cause))
 
     def _next_target(self) -> int | None:
-        """Each in turn, in an order drawn anew for each round (SWIM, 4.3): nobody waits longer than two rounds."""
+        # Each member in turn, in an order drawn again for each round (SWIM, 4.3): no member waits more than two rounds.
         for _ in range(2):
-            while self._ring:
-                number = self._ring.pop()
-                if self.members[number].state in (State.ALIVE, State.SUSPECT):
+            while self._probe_order:
+                number = self._probe_order.pop()
+                if self.is_alive_or_suspect(number):
                     return number
-            self._ring = [n for n, m in self.members.items() if m.state in (State.ALIVE, State.SUSPECT)]
-            self._rng.shuffle(self._ring)
+            self._probe_order = [number for number in self.members if self.is_alive_or_suspect(number)]
+            self._rng.shuffle(self._probe_order)
         return None
 
-    def _knock(self) -> None:
-        """At the doors of those that are not known to live: what was cut off is found again."""
-        away = [n for n, m in self.members.items() if m.state not in (State.ALIVE, State.SUSPECT)]
-        for number in self._rng.sample(away, min(len(away), KNOCKS if 2 * len(away) > len(self.members) else 1)):
+    def _probe_absent(self) -> None:
+        """Probe members that are not known to live, so that those beyond a partition are found again."""
+        absent = [number for number in self.members if not self.is_alive_or_suspect(number)]
+        probes = ABSENT_PROBES if 2 * len(absent) > len(self.members) else 1
+        for number in self._rng.sample(absent, min(len(absent), probes)):
             self._ping(number, self._new_nonce())
 
-    def _last_calls(self, now: int) -> None:
-        """To those that are soon held dead on others' word: one whose refutations were lost answers this."""
-        soon = [
-            n
-            for n, m in self._suspected.items()
-            if m.suspicion is not None and m.suspicion.due - LAST_CALLS * self._period * (1 + self.doubt) <= now
+    def _probe_before_death(self, now: int) -> None:
+        """Probe suspects that are soon held dead on others' word: one whose refutations were lost answers this."""
+        margin_us = REFUTATION_PERIODS * self._period_us * (1 + self.health_score)
+        soon_dead = [
+            number
+            for number, member in self._suspects.items()
+            if member.suspicion is not None and member.suspicion.due - margin_us <= now
         ]
-        for number in soon[:KNOCKS]:
+        for number in soon_dead[:ABSENT_PROBES]:
             self._ping(number, self._new_nonce())
 
-    def _ping(self, to: int, nonce: int) -> None:
-        m = self.members[to]
-        if m.state in (State.SUSPECT, State.DEAD, State.LEFT):  # Lifeguard's buddy system: it hears that first
-            self._send(to, Rumour(to, m.stamp, m.state, self.me, m.cause))
-        self._send(to, Ping(nonce, self.agents))
+    def _ping(self, number: int, nonce: int) -> None:
+        member = self.members[number]
+        if member.state in (MemberState.SUSPECT, MemberState.DEAD, MemberState.LEFT):  # Lifeguard's buddy system
+            self._send(number, MemberUpdate(number, member.stamp, member.state, self.own_number, member.cause))
+        self._send(number, Ping(nonce, self.agents))
 
-    def _ask_others(self, p: _Probe) -> None:
-        p.indirect = True
-        self._ping(p.target, p.nonce)  # once more: the first one may just have been lost
-        others = [n for n, m in self.members.items() if m.state is State.ALIVE and n != p.target]
-        for other in self._rng.sample(others, min(INDIRECT, len(others))):
-            self._send(other, PingRequest(p.nonce, p.target))
-            p.nacks_owed += 1
+    def _probe_indirectly(self, probe: _Probe) -> None:
+        probe.is_indirect = True
+        self._ping(probe.target, probe.nonce)  # directly again, too: the first ping may just have been lost
+        others = [number for number in self.alive() if number != probe.target]
+        for other in self._rng.sample(others, min(INDIRECT_PROBES, len(others))):
+            self._send(other, PingRequest(probe.nonce, probe.target))
+            probe.nacks_expected += 1
 
     def _new_nonce(self) -> int:
         self._nonce = (self._nonce + 1) % 2**32
         return self._nonce
 
-    # What is heard
-
-    def heard(self, sender: int, stamp: int, now: int) -> None:
-        """A datagram that passed the gate: its sender lives."""
-        m = self.members[sender]
-        m.heard_at = self.heard_at = now
-        if stamp > m.stamp or m.state is State.UNKNOWN:
-            self._turn(sender, m, State.ALIVE, stamp, sender, self._begin(), now)
-        elif m.state in (State.SUSPECT, State.DEAD) and now - m.told_at >= self._period // 2:
-            # It must hear of it to refute it; until then others would not believe this process either. Not at every
+    # Datagrams and records
+
+    def on_datagram(self, sender: int, stamp: int, now: int) -> None:
+        """Note an accepted datagram: its sender is alive."""
+        member = self.members[sender]
+        member.heard_at = self.heard_at = now
+        if stamp > member.stamp or member.state is MemberState.UNKNOWN:
+            self._set_state(sender, member, MemberState.ALIVE, stamp, sender, self._new_cause(), now)
+        elif member.state in (MemberState.SUSPECT, MemberState.DEAD) and (
+            now - member.notified_at >= self._period_us // 2
+        ):
+            # It must be told to refute it; until then others would not believe this process either. Not at every
             # datagram: two that hold each other dead would answer each other without end.
-            m.told_at = now
-            self._send(sender, Rumour(sender, m.stamp, m.state, self.me, m.cause))
+            member.notified_at = now
+            self._send(sender, MemberUpdate(sender, member.stamp, member.state, self.own_number, member.cause))
 
-    def take(self, sender: int, record: Record, now: int) -> None:
-        """One of this room's records."""
+    def on_record(self, sender: int, record: Record, now: int) -> None:
+        """Handle a record on membership."""
         if isinstance(record, Ping):
-            self.members[sender].agents = record.agents
+            self.members[sender].listed_agents = record.agents
             self._send(sender, Ack(record.nonce))
         elif isinstance(record, Ack):
-            self._acked(sender, record.nonce)
+            self._on_ack(record.nonce)
         elif isinstance(record, Nack):
             if self._probe is not None and record.nonce == self._probe.nonce:
-                self._probe.nacks_owed = max(0, self._probe.nacks_owed - 1)
+                self._probe.nacks_expected = max(0, self._probe.nacks_expected - 1)
         elif isinstance(record, PingRequest):
-            if record.target in self.members and record.target != sender and len(self._relayed) < RELAYED_MOST:
-                nonce = self._new_nonce()
-                self._relayed[nonce] = (sender, record.nonce, now + int(DIRECT * self._period), False)
-                self._ping(record.target, nonce)
-        elif isinstance(record, Stale):
-            self._outlive(record.stamp)
-        elif isinstance(record, Rumour):
-            self._rumour(sender, record, now)
-        elif isinstance(record, View):
-            for number, m in self.members.items():
-                if (
-                    m.state is State.UNKNOWN
-                    and number >> 3 < len(record.alive)
-                    and (record.alive[number >> 3] >> (number & 7) & 1)
-                ):
-                    self._turn(number, m, State.ALIVE, 0, sender, self._begin(), now, tell=False)
-
-    def view(self) -> View:
+            self._on_ping_request(sender, record, now)
+        elif isinstance(record, StaleIncarnation):
+            self._take_later_incarnation(record.stamp)
+        elif isinstance(record, MemberUpdate):
+            self._on_update(sender, record, now)
+        elif isinstance(record, AliveView):
+            self._on_alive_view(sender, record, now)
+
+    def alive_view(self) -> AliveView:
+        """Return the members that are alive, this process included."""
         bits = bytearray(-(-self.agents // 8))
-        for number in (self.me, *(n for n, m in self.members.items() if m.state is State.ALIVE)):
+        for number in (self.own_number, *self.alive()):
             bits[number >> 3] |= 1 << (number & 7)
-        return View(bytes(bits))
+        return AliveView(bytes(bits))
 
-    def leave(self) -> Rumour:
-        """What a process says of itself before it ends in order."""
-        return Rumour(self.me, self.stamp, State.LEFT, self.me, self._begin())
+    def leave(self) -> MemberUpdate:
+        """Return the update by which a process announces its own end."""
+        return MemberUpdate(self.own_number, self.stamp, MemberState.LEFT, self.own_number, self._new_cause())
 
-    def outdated(self, sender: int, youngest_life: int) -> None:
-        """A process spoke that is not the youngest under its number."""
-        self._send(sender, Stale(youngest_life << LIFE_SHIFT))
+    def report_stale(self, sender: int, latest_incarnation: int) -> None:
+        """Tell a process that a later incarnation was heard under its number."""
+        self._send(sender, StaleIncarnation(latest_incarnation << REFUTATION_BITS))
 
-    def _acked(self, sender: int, nonce: int) -> None:
-        p = self._probe
-        if p is not None and p.nonce == nonce:
+    def _on_ack(self, nonce: int) -> None:
+        probe = self._probe
+        if probe is not None and probe.nonce == nonce:
             self._probe = None
-            self.doubt = max(0, self.doubt - 1)
-        asked = self._relayed.get(nonce)
-        if asked is not None:
-            self._send(asked[0], Ack(asked[1]))
+            self.health_score = max(0, self.health_score - 1)
+        relayed = self._relayed.get(nonce)
+        if relayed is not None:
+            self._send(relayed.asker, Ack(relayed.asker_nonce))
             del self._relayed[nonce]
 
-    def _rumour(self, sender: int, r: Rumour, now: int) -> None:
-        if r.member == self.me:
-            return self._about_me(sender, r)
-        m = self.members.get(r.member)
-        if m is None:
+    def _on_ping_request(self, sender: int, request: PingRequest, now: int) -> None:
+        has_room = len(self._relayed) < MAX_RELAYED_PROBES
+        if request.target in self.members and request.target != sender and has_room:
+            nonce = self._new_nonce()
+            answer_by = now + int(PROBE_TIMEOUT_PERIODS * self._period_us)
+            self._relayed[nonce] = _RelayedProbe(sender, request.nonce, answer_by)
+            self._ping(request.target, nonce)
+
+    def _on_alive_view(self, sender: int, view: AliveView, now: int) -> None:
+        """Take over members that this process has never heard of."""
+        for number, member in self.members.items():
+            if member.state is not MemberState.UNKNOWN or number >> 3 >= len(view.alive):
+                continue
+            if view.alive[number >> 3] >> (number & 7) & 1:
+                self._set_state(number, member, MemberState.ALIVE, 0, sender, self._new_cause(), now, spread=False)
+
+    def _on_update(self, sender: int, update: MemberUpdate, now: int) -> None:
+        if update.member == self.own_number:
+            self._on_update_of_self(sender, update)
             return
-        if r.state is State.SUSPECT and m.state is State.SUSPECT and r.stamp == m.stamp:
-            assert m.suspicion is not None
-            if m.suspicion.confirm(r.by):
-                self._gossip(r)
-        elif (r.stamp, r.state) > (m.stamp, m.state) and r.state is not State.UNKNOWN:
-            self._turn(r.member, m, r.state, r.stamp, r.by, r.cause, now)
-
-    def _about_me(self, sender: int, r: Rumour) -> None:
-        """Refuted to all by gossip, and to who said it at once: gossip that is lost may pass one member by for ever."""
-        if r.stamp >> LIFE_SHIFT > self.stamp >> LIFE_SHIFT:
-            return self._outlive(r.stamp)
-        if r.state is State.ALIVE or r.stamp >> LIFE_SHIFT < self.stamp >> LIFE_SHIFT:
+        member = self.members.get(update.member)
+        if member is None:
             return
-        if r.stamp >= self.stamp:
-            self.doubt = min(DOUBT_MOST, self.doubt + 1)
-            self._tell_stamp(r.stamp + 1, r.cause)
-        self._send(sender, Rumour(self.me, self.stamp, State.ALIVE, self.me, r.cause))
-
-    def _outlive(self, stamp: int) -> None:
-        """The clock went back since the process before, or another process has this number: take a younger life."""
-        if stamp >> LIFE_SHIFT < self.stamp >> LIFE_SHIFT:
+        is_same_suspicion = update.state is MemberState.SUSPECT and member.state is MemberState.SUSPECT
+        if is_same_suspicion and update.stamp == member.stamp:
+            assert member.suspicion is not None
+            if member.suspicion.confirm(update.by):
+                self._gossip(update)
+        elif (update.stamp, update.state) > (member.stamp, member.state) and update.state is not MemberState.UNKNOWN:
+            self._set_state(update.member, member, update.state, update.stamp, update.by, update.cause, now)
+
+    def _on_update_of_self(self, sender: int, update: MemberUpdate) -> None:
+        """Refute an update that this process is suspected or dead.
+
+        It is refuted by gossip and to the sender directly: gossip may miss one member every time.
+        """
+        incarnation = self.stamp >> REFUTATION_BITS
+        if update.stamp >> REFUTATION_BITS > incarnation:
+            self._take_later_incarnation(update.stamp)
             return
-        self._lives += 1
-        if self._lives > LIVES_MOST:
-            self.doubled = True  # no end of it: two processes would drive each other up for ever
+        if update.state is MemberState.ALIVE or update.stamp >> REFUTATION_BITS < incarnation:
             return
-        # By chance, or two processes of one number would come to the same life and pass for one.
-        life = (stamp >> LIFE_SHIFT) + 1 + self._rng.randrange(LIFE_STEP)
-        self._tell_stamp(life << LIFE_SHIFT, self._begin())
+        if update.stamp >= self.stamp:
+            self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1)
+            self._announce_stamp(update.stamp + 1, update.cause)
+        self._send(sender, MemberUpdate(self.own_number, self.stamp, MemberState.ALIVE, self.own_number, update.cause))
 
-    def _tell_stamp(self, stamp: int, cause: Cause) -> None:
+    def _take_later_incarnation(self, stamp: int) -> None:
+        """Take an incarnation later than that of a stamp.
+
+        The clock went back since the process before, or another process has this number.
+        """
+        if stamp >> REFUTATION_BITS < self.stamp >> REFUTATION_BITS:
+            return
+        self._new_incarnations += 1
+        if self._new_incarnations > MAX_NEW_INCARNATIONS:
+            self.has_duplicate = True  # the two processes would drive each other up without end
+            return
+        # Random, since two processes of one number could come to the same incarnation and pass for one.
+        incarnation = (stamp >> REFUTATION_BITS) + 1 + self._rng.randrange(INCARNATION_STEP_MS)
+        self._announce_stamp(incarnation << REFUTATION_BITS, self._new_cause())
+
+    def _announce_stamp(self, stamp: int, cause: Cause) -> None:
         self.stamp = stamp
-        self._gossip(Rumour(self.me, stamp, State.ALIVE, self.me, cause))
+        self._gossip(MemberUpdate(self.own_number, stamp, MemberState.ALIVE, self.own_number, cause))
 
-    def _turn(
-        self, number: int, m: Member, state: State, stamp: int, by: int, cause: Cause, now: int, tell: bool = True
+    def _set_state(
+        self,
+        number: int,
+        member: Member,
+        state: MemberState,
+        stamp: int,
+        by: int,
+        cause: Cause,
+        now: int,
+        spread: bool = True,
     ) -> None:
-        before = m.state
-        m.state, m.stamp, m.cause = state, max(stamp, m.stamp), cause
-        m.suspicion = None
-        self._suspected.pop(number, None)
-        if state is State.SUSPECT:
-            m.suspicion = Suspicion(now, by, self.agents, self._period)
-            self._suspected[number] = m
+        before = member.state
+        member.state, member.stamp, member.cause = state, max(stamp, member.stamp), cause
+        member.suspicion = None
+        self._suspects.pop(number, None)
+        if state is MemberState.SUSPECT:
+            member.suspicion = Suspicion(now, by, self.agents, self._period_us)
+            self._suspects[number] = member
         if before is not state:
-            m.since = now
-            self.changes.append(Change(number, before, state, stamp, by, cause))
-        if tell and stamp:
-            self._gossip(Rumour(number, m.stamp, state, by, cause))
+            member.since = now
+            self.changes.append(StateChange(number, before, state, stamp, by, cause))
+        if spread and stamp:
+            self._gossip(MemberUpdate(number, member.stamp, state, by, cause))
 
     # Views
 
     def alive(self) -> list[int]:
-        return [n for n, m in self.members.items() if m.state is State.ALIVE]
+        """Return the numbers of the members that are alive."""
+        return [number for number, member in self.members.items() if member.state is MemberState.ALIVE]
 
-    def lives(self, number: int) -> bool:
-        return number == self.me or self.members[number].state in (State.ALIVE, State.SUSPECT)
+    def is_alive_or_suspect(self, number: int) -> bool:
+        """Return whether a member counts as alive until its death is sure; this process always does."""
+        return number == self.own_number or self.members[number].state in (MemberState.ALIVE, MemberState.SUSPECT)
--- a/lilacsill/agent/peers/outbox.py
+++ b/lilacsill/agent/peers/outbox.py
@@ -1,10 +1,10 @@
-"""Packs records into datagrams: what is owed to a member first, then news, then counts in the room that is left."""
+"""Packs records into datagrams: records for a member first, then gossip, then counts in the space that is left."""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Iterable
 
-from .datagram import ROOM
+from .datagram import MAX_RECORD_BYTES
 from .gossip import Gossip
 from .records import Record, encode
 
@@ -12,25 +12,31 @@
 class Outbox:
     """Records by the member they are for, in the order in which they were queued."""
 
-    def __init__(self, news: Gossip, counts: Callable[[int], list[bytes]]) -> None:
-        """`counts` gives rows for so many bytes."""
-        self._news, self._counts = news, counts
-        self._owed: dict[int, list[bytes]] = {}
-
-    def send(self, to: int, record: Record) -> None:
-        self._owed.setdefault(to, []).append(encode(record))
-
-    def packed(self) -> Iterable[tuple[int, list[bytes]]]:
-        """Member and encoded records that fit one datagram, until nothing is owed."""
-        while self._owed:
-            to, owed = next(iter(self._owed.items()))
-            fits: list[bytes] = []
-            room = ROOM
-            while owed and len(owed[0]) <= room:
-                room -= len(owed[0])
-                fits.append(owed.pop(0))
-            if not owed:
-                del self._owed[to]
-                news = self._news.take(room)
-                fits += news + self._counts(room - sum(map(len, news)))
-            yield to, fits
+    def __init__(self, updates: Gossip, counts: Callable[[int], list[bytes]]) -> None:
+        """Create an empty outbox.
+
+        Args:
+            updates: The gossip that fills datagrams up.
+            counts: Returns encoded rows of counts that fit into a number of bytes.
+        """
+        self._updates, self._counts = updates, counts
+        self._queued: dict[int, list[bytes]] = {}
+
+    def send(self, member: int, record: Record) -> None:
+        """Queue a record for a member."""
+        self._queued.setdefault(member, []).append(encode(record))
+
+    def pack(self) -> Iterable[tuple[int, list[bytes]]]:
+        """Yield members and encoded records that fit into one datagram, until nothing is queued."""
+        while self._queued:
+            member, queued = next(iter(self._queued.items()))
+            packed: list[bytes] = []
+            free_bytes = MAX_RECORD_BYTES
+            while queued and len(queued[0]) <= free_bytes:
+                free_bytes -= len(queued[0])
+                packed.append(queued.pop(0))
+            if not queued:
+                del self._queued[member]
+                updates = self._updates.take(free_bytes)
+                packed += updates + self._counts(free_bytes - sum(map(len, updates)))
+            yield member, packed
--- a/lilacsill/agent/peers/records.py
+++ b/lilacsill/agent/peers/records.py
@@ -1,8 +1,11 @@
-"""What agents tell one another: typed records with their bounds.
+"""The records that agents send each other, with the types and bounds of their fields.
 
-A record is an array of MessagePack with its tag first; msgspec checks types and bounds as it reads, so that nothing
-behind this module meets a value that it does not expect. Times travel as ages and as time left, in milliseconds: no two
-agents share a clock. `cause` is the id of what began a story: the number of the agent and its own count.
+A record is an array of MessagePack with its tag first. msgspec checks types and bounds on decoding, so that no other
+module meets an unexpected value. Times are sent as ages and as remaining times in milliseconds: no two agents share a
+clock. `cause` is the id of the event that began a chain of events: the number of an agent and a count of its own.
+
+The incarnation is the number of an agent's process, greater for each later one; SWIM's incarnation number, which counts
+how often a process has refuted a suspicion, is the refutation count here. A stamp combines the two and orders them.
 """
 
 from __future__ import annotations
@@ -13,134 +16,176 @@
 import msgspec
 from msgspec import Meta
 
-MOST_AGENTS = 1024
-PARTS = 1_000_000  # units of an agent's equal part of a budget
+MAX_AGENTS = 1024
+SHARE_UNITS = 1_000_000  # units in an agent's equal share of a budget
 
-Number = Annotated[int, Meta(ge=0, lt=MOST_AGENTS)]
+Number = Annotated[int, Meta(ge=0, lt=MAX_AGENTS)]
 U16 = Annotated[int, Meta(ge=0, lt=2**16)]
 U32 = Annotated[int, Meta(ge=0, lt=2**32)]
-Stamp = Annotated[int, Meta(ge=0, le=2**63 - 1)]  # life << 16 | incarnation
+Stamp = Annotated[int, Meta(ge=0, le=2**63 - 1)]  # incarnation << REFUTATION_BITS | refutations
 Count = Annotated[int, Meta(ge=0, le=2**63 - 1)]
 Cause = tuple[Number, U32]
 Byte = Annotated[int, Meta(ge=0, lt=256)]
 
-LIFE_SHIFT = 16  # a life is a process, an incarnation its answer to a suspicion
+REFUTATION_BITS = 16
 
 
-class State(IntEnum):
-    """Of a member, weakest first: of two words about one incarnation the stronger holds."""
+class MemberState(IntEnum):
+    """The state of a member. Of two updates with the same stamp the greater state wins."""
 
     UNKNOWN = 0  # never heard of
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
-    LEFT = 4  # it said so itself
+    LEFT = 4  # it announced its end itself
 
 
-class Verdict(IntEnum):
-    """On a backend."""
+class Health(IntEnum):
+    """The health of a backend by a report."""
 
-    WELL = 0  # what was said before is withdrawn
+    HEALTHY = 0  # withdraws earlier reports
     SLOW = 1
-    ILL = 2
+    UNHEALTHY = 2
+
+    @property
+    def label(self) -> str:
+        """The word for it in the admin API, the event log and its export."""
+        return _HEALTH_LABELS[self]
+
+
+_HEALTH_LABELS = {Health.HEALTHY: "well", Health.SLOW: "slow", Health.UNHEALTHY: "ill"}
 
 
 class Ping(msgspec.Struct, array_like=True, tag=1, frozen=True):
+    """A probe of a member (SWIM)."""
+
     nonce: U32
-    agents: U16  # how many the sender's own list names
+    agents: U16  # how many agents the sender's own list names
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2, frozen=True):
+    """The answer to a probe."""
+
     nonce: U32
 
 
 class Nack(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The one that was to be asked has not answered; the asker knows at least that this agent is there."""
+    """The target of an indirect probe has not answered; it shows that the agent asked to probe is alive."""
 
     nonce: U32
 
 
 class PingRequest(msgspec.Struct, array_like=True, tag=4, frozen=True):
+    """The request to probe a target for the sender (SWIM's indirect probe)."""
+
     nonce: U32
     target: Number
 
 
-class Stale(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A younger process was heard under your number; be younger still, or be somebody else."""
+class StaleIncarnation(msgspec.Struct, array_like=True, tag=5, frozen=True):
+    """A process with a later incarnation was heard under the receiver's number; it has to take a later one still."""
 
     stamp: Stamp
 
 
-class Rumour(msgspec.Struct, array_like=True, tag=6, frozen=True):
+class MemberUpdate(msgspec.Struct, array_like=True, tag=6, frozen=True):
+    """A new state of a member, spread by gossip."""
+
     member: Number
     stamp: Stamp
-    state: State
-    by: Number  # who says so first
+    state: MemberState
+    by: Number  # the agent that reported it first
     cause: Cause
 
 
-class View(msgspec.Struct, array_like=True, tag=7, frozen=True):
-    """Who is alive in the sender's eyes: bit i of the bytes is member i, lowest bit first."""
+class AliveView(msgspec.Struct, array_like=True, tag=7, frozen=True):
+    """The members that are alive in the sender's view: bit i of the bytes is member i, lowest bit first."""
 
-    alive: Annotated[bytes, Meta(max_length=MOST_AGENTS // 8)]
+    alive: Annotated[bytes, Meta(max_length=MAX_AGENTS // 8)]
 
 
 class CountRow(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """What one process has counted under one key. `carried`: the sum of that agent's lives up to this one."""
+    """What one process has counted under one key."""
 
     agent: Number
-    life: Stamp
+    incarnation: Stamp
     tenant: Byte
     request_class: Byte
     values: tuple[Count, Count, Count, Count]
-    carried: bool = False
+    carried: bool = False  # the values are the sum over the agent's incarnations up to this one
+
 
+class LeaseRequest(msgspec.Struct, array_like=True, tag=9, frozen=True):
+    """The request for a lease on a part of the receiver's share of a budget."""
 
-class Ask(msgspec.Struct, array_like=True, tag=9, frozen=True):
     budget: Byte
     nonce: U32
-    wanted: U32
+    wanted: U32  # in SHARE_UNITS
+
 
+class LeaseGrant(msgspec.Struct, array_like=True, tag=10, frozen=True):
+    """The grant of a lease."""
 
-class Grant(msgspec.Struct, array_like=True, tag=10, frozen=True):
     budget: Byte
     nonce: U32
-    life: Stamp  # of the process that asked: the one before it may have used the same nonce
-    amount: U32
+    incarnation: Stamp  # of the process that asked: an earlier one may have used the same nonce
+    amount: U32  # in SHARE_UNITS
     cause: Cause
 
 
-class Release(msgspec.Struct, array_like=True, tag=11, frozen=True):
+class LeaseReturn(msgspec.Struct, array_like=True, tag=11, frozen=True):
+    """The return of a lease before its end."""
+
     budget: Byte
     nonce: U32
 
 
-class Judgement(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    backend: Annotated[int, Meta(ge=0, le=2**63 - 1)]  # the tag of its id
-    verdict: Verdict
+class HealthReport(msgspec.Struct, array_like=True, tag=12, frozen=True):
+    """What one agent, the witness, has observed of a backend."""
+
+    backend: Annotated[int, Meta(ge=0, le=2**63 - 1)]  # the tag of its id (peer_health.backend_tag)
+    health: Health
     witness: Number
-    life: Stamp  # of the witness
-    round: U32  # how often the witness has said so again
+    incarnation: Stamp  # of the witness
+    renewal: U32  # how often the witness has renewed the report
     age_ms: U32
-    left_ms: U32
+    remaining_ms: U32
     cause: Cause
 
 
-Record = Ping | Ack | Nack | PingRequest | Stale | Rumour | View | CountRow | Ask | Grant | Release | Judgement
+Record = (
+    Ping
+    | Ack
+    | Nack
+    | PingRequest
+    | StaleIncarnation
+    | MemberUpdate
+    | AliveView
+    | CountRow
+    | LeaseRequest
+    | LeaseGrant
+    | LeaseReturn
+    | HealthReport
+)
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(list[Record])
 
 
 def encode(record: Record) -> bytes:
+    """Encode one record."""
     return _encoder.encode(record)
 
 
 def join(encoded: list[bytes]) -> bytes:
-    """A list of records that are encoded already."""
+    """Return the encoding of a list of records that are encoded already."""
     return b"\xdc" + len(encoded).to_bytes(2, "big") + b"".join(encoded)
 
 
 def decode(body: bytes) -> list[Record]:
-    """Raises msgspec.DecodeError (of which ValidationError is one)."""
+    """Decode a list of records.
+
+    Raises:
+        msgspec.DecodeError: The bytes are no such list; ValidationError, a subclass, where a value is out of bounds.
+    """
     return _decoder.decode(body)
--- a/lilacsill/agent/peers/suspicion.py
+++ b/lilacsill/agent/peers/suspicion.py
@@ -1,31 +1,43 @@
-"""How long a member stays suspected before it counts as dead (Lifeguard, Dadgar, Phillips and Currey, 2018, 4.2)."""
+"""How long a member stays suspected before it counts as dead (Lifeguard; Dadgar, Phillips and Currey, 2018, 4.2)."""
 
 from __future__ import annotations
 
 from math import log, log10
 
-LEAST, MOST = 6.0, 4.0  # periods for each decimal digit of the fleet; the longest is so many times the shortest
-WITNESSES = 3  # further ones that bring the time down to its least
+MIN_PERIODS = 6.0  # the shortest time of a suspicion, for each decimal digit of the number of agents
+MAX_FACTOR = 4.0  # the longest time of a suspicion, as a multiple of the shortest
+CONFIRMATIONS = 3  # further witnesses that bring the time down to the shortest
 
 
-def least_us(agents: int, period_us: int) -> int:
-    return int(LEAST * max(1.0, log10(max(1, agents))) * period_us)
+def min_suspicion_us(agents: int, period_us: int) -> int:
+    """Return the shortest time of a suspicion in microseconds.
+
+    Args:
+        agents: The number of agents.
+        period_us: The probe period in microseconds.
+    """
+    return int(MIN_PERIODS * max(1.0, log10(max(1, agents))) * period_us)
 
 
 class Suspicion:
-    """One suspicion: each further witness that is new shortens it."""
+    """One suspicion: each further witness shortens it.
+
+    Attributes:
+        started_at: When it began, in microseconds.
+        witnesses: The members that suspect it.
+    """
 
-    __slots__ = ("began", "witnesses", "_least", "_most", "_needed")
+    __slots__ = ("started_at", "witnesses", "_min_us", "_max_us", "_confirmations")
 
     def __init__(self, now: int, by: int, agents: int, period_us: int) -> None:
-        self.began = now
+        self.started_at = now
         self.witnesses = {by}
-        self._least = least_us(agents, period_us)
-        self._needed = min(WITNESSES, max(0, agents - 2))
-        self._most = MOST * self._least if self._needed else self._least
+        self._min_us = min_suspicion_us(agents, period_us)
+        self._confirmations = min(CONFIRMATIONS, max(0, agents - 2))
+        self._max_us = MAX_FACTOR * self._min_us if self._confirmations else self._min_us
 
     def confirm(self, by: int) -> bool:
-        """Whether this witness is a new one."""
+        """Add a witness; return whether it is a new one."""
         if by in self.witnesses:
             return False
         self.witnesses.add(by)
@@ -33,8 +45,8 @@
 
     @property
     def due(self) -> int:
-        """When it counts as a death."""
-        if not self._needed:
-            return int(self.began + self._least)
-        share = min(1.0, log(len(self.witnesses)) / log(self._needed + 1))
-        return int(self.began + self._most - (self._most - self._least) * share)
+        """The time at which the member counts as dead, in microseconds."""
+        if not self._confirmations:
+            return int(self.started_at + self._min_us)
+        share = min(1.0, log(len(self.witnesses)) / log(self._confirmations + 1))
+        return int(self.started_at + self._max_us - (self._max_us - self._min_us) * share)
--- a/lilacsill/emulator/virtual/peers.py
+++ b/lilacsill/emulator/virtual/peers.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from lilacsill.agent.peers.fleet import Fleet, Settings
+from lilacsill.agent.peers.fleet import Fleet, FleetSettings
 
 from ..models.links import Links, Rule
 
@@ -47,7 +47,7 @@
         seed: int = 1,
         rules: list[Rule] | None = None,
         drift: float = 0.005,
-        make: Callable[[Settings, int, int], Fleet] = Fleet,
+        make: Callable[[FleetSettings, int, int], Fleet] = Fleet,
         **settings: Any,
     ) -> None:
         self.rng = Random(f"{seed} world")
@@ -88,8 +88,10 @@
             1.0 + self.rng.uniform(-self._drift, self._drift),
         )
         life = self.wall + self.now // 1000 - wall_back_ms
-        p.fleet = self._make(Settings(me=number, agents=self.agents, **self._settings), p.clock(self.now), life)
-        p.fleet.begin(p.clock(self.now))
+        p.fleet = self._make(
+            FleetSettings(own_number=number, agents=self.agents, **self._settings), p.clock(self.now), life
+        )
+        p.fleet.start(p.clock(self.now))
         self.processes[number] = p
         self.all.append(p)
         self._arm(p)
@@ -132,12 +134,12 @@
         if self.rng.random() < 0.5:  # timers first or datagrams first: both happen
             p.fleet.tick(p.clock(self.now))
         for data, source in queue:
-            p.fleet.read(p.clock(self.now), data, source)
+            p.fleet.receive(p.clock(self.now), data, source)
         p.fleet.tick(p.clock(self.now))
         self._flush(p)
 
     def _flush(self, p: Process) -> None:
-        for to, data in p.fleet.take():
+        for to, data in p.fleet.take_datagrams():
             self.sent[p.number][0] += 1
             self.sent[p.number][1] += len(data)
             for delay in self.links.copies(self.now, p.number, to):
@@ -152,7 +154,7 @@
             if len(p.queue) < QUEUE:
                 p.queue.append((data, source))
             return
-        p.fleet.read(p.clock(self.now), data, source)
+        p.fleet.receive(p.clock(self.now), data, source)
         self._flush(p)
 
     # What the fleet comes to
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -9,11 +9,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lilacsill.emulator.models.links import Rule
-from lilacsill.emulator.virtual.peers import World
 from lilacsill.agent.peers import fleet as peers
-from lilacsill.agent.peers.counts import KEYS_MOST, LIVES_KEPT, REFUSALS, REQUESTS, ZERO, Counts
+from lilacsill.agent.peers.counts import MAX_KEYS, MAX_OWN_INCARNATIONS, REJECTIONS, REQUESTS, ZERO, Counts
 from lilacsill.agent.peers.records import CountRow, decode, encode, join
+from lilacsill.emulator.models.links import Rule
+from lilacsill.emulator.virtual.peers import World
 
 AGENTS = 3
 
@@ -70,7 +70,7 @@
             fleet.check()
             if rng.random() < 0.7:
                 for c in fleet.counts:
-                    c.fold()
+                    c.carry_earlier()
             fleet.check()
 
 
@@ -82,9 +82,9 @@
 
 class MergesBySum(Counts):
     def merge(self, row: CountRow) -> bool:
-        rows = self._rows.setdefault((row.agent, row.life), {})
+        rows = self._rows.setdefault((row.agent, row.incarnation), {})
         before = rows.get((row.tenant, row.request_class), ZERO)
-        if row.agent == self.me:
+        if row.agent == self.own_number:
             return False
         rows[row.tenant, row.request_class] = tuple(a + b for a, b in zip(before, row.values, strict=True))  # type: ignore[assignment]
         return True
@@ -97,9 +97,9 @@
 
 class TakesTheLast(Counts):
     def merge(self, row: CountRow) -> bool:
-        if row.agent == self.me or row.carried:
+        if row.agent == self.own_number or row.carried:
             return super().merge(row)
-        self._rows.setdefault((row.agent, row.life), {})[row.tenant, row.request_class] = row.values
+        self._rows.setdefault((row.agent, row.incarnation), {})[row.tenant, row.request_class] = row.values
         return True
 
 
@@ -111,7 +111,7 @@
 class ForgetsTheDead(Counts):
     def merge(self, row: CountRow) -> bool:
         new = super().merge(row)
-        for key in [k for k in self._rows if k[0] == row.agent and k[1] < row.life]:
+        for key in [k for k in self._rows if k[0] == row.agent and k[1] < row.incarnation]:
             del self._rows[key]
         return new
 
@@ -136,12 +136,12 @@
 
 
 def test_lives_that_are_over_are_carried_by_the_present_one_and_not_counted_again() -> None:
-    old = [CountRow(0, life, 0, 0, (10, 0, 0, 0)) for life in range(1, LIVES_KEPT + 2)]
+    old = [CountRow(0, life, 0, 0, (10, 0, 0, 0)) for life in range(1, MAX_OWN_INCARNATIONS + 2)]
     c, other = Counts(0, 100), Counts(1, 1)
     for row in old:
         assert c.merge(row)
         other.merge(row)
-    assert c.fold() and len(list(c.rows())) == 1
+    assert c.carry_earlier() and len(list(c.rows())) == 1
     for row in [*c.rows(), *old]:  # old ones come late
         other.merge(row)
         c.merge(row)
@@ -151,17 +151,17 @@
 def test_keys_of_one_process_are_bounded() -> None:
     c = Counts(0, 1)
     for tenant in range(200):
-        c.count(REFUSALS, tenant, 0)
-    assert len(c.own()) <= KEYS_MOST + 1 and c.total()[REFUSALS] == 200
+        c.count(REJECTIONS, tenant, 0)
+    assert len(c.own_rows()) <= MAX_KEYS + 1 and c.total()[REJECTIONS] == 200
 
 
 class TellsNobodyThatCameBack(peers.Fleet):
-    def _settle(self, now: int) -> None:
-        super()._settle(now)
-        self._healed, self._back = 0, []
+    def _finish_event(self, now: int) -> None:
+        super()._finish_event(now)
+        self._healed_periods, self._found_again = 0, []
 
 
-def exact_after_a_cut(make: Callable[[peers.Settings, int, int], peers.Fleet] = peers.Fleet) -> None:
+def exact_after_a_cut(make: Callable[[peers.FleetSettings, int, int], peers.Fleet] = peers.Fleet) -> None:
     """Twenty seconds of cut, with counts on both sides all the while; two after it all agents count the same."""
     n, second = 24, 1_000_000
     for seed in range(4):
--- a/tests/peers/test_escrow.py
+++ b/tests/peers/test_escrow.py
@@ -10,25 +10,25 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from lilacsill.emulator.virtual.peers import World
 from lilacsill.agent.peers import fleet as fleet_module
-from lilacsill.agent.peers.escrow import KEPT, Escrow
-from lilacsill.agent.peers.fleet import Fleet, Settings
-from lilacsill.agent.peers.records import LIFE_SHIFT, PARTS, Grant
+from lilacsill.agent.peers.escrow import NEVER_LENT, Escrow
+from lilacsill.agent.peers.fleet import Fleet, FleetSettings
+from lilacsill.agent.peers.records import REFUTATION_BITS, SHARE_UNITS, LeaseGrant
+from lilacsill.emulator.virtual.peers import World
 
 from .escrow_defects import (
-    NoExpiryCheck,
+    AnyReleaseCounts,
+    AsksOutliveARelease,
     BorrowerCountsFromTheGrant,
-    NoDrift,
-    WholeAfterARestart,
     GrantsAnyAsk,
-    TakesAnyGrant,
-    LendsWhatItHolds,
     KeepsWhatItReleases,
-    ShrinksARenewal,
-    AsksOutliveARelease,
-    AnyReleaseCounts,
     LendsBeforeItIsWhole,
+    LendsWhatItHolds,
+    NoDrift,
+    NoExpiryCheck,
+    ShrinksARenewal,
+    TakesAnyGrant,
+    WholeAfterARestart,
 )
 
 LEASE = 1_000_000
@@ -58,7 +58,7 @@
     def __post_init__(self) -> None:
         for rate in (1.0, 1.009, 0.991):
             a = Agent(rate, self.make(0))
-            a.escrow.whole_from = 0  # they have run for long
+            a.escrow.full_share_from = 0  # they have run for long
             self.agents.append(a)
 
     def clock(self, a: Agent) -> int:
@@ -70,7 +70,7 @@
     def ask(self, i: int, j: int) -> None:
         a = self.agents[i]
         a.nonce += 1
-        wanted = a.escrow.ask(self.clock(a), j, a.nonce)
+        wanted = a.escrow.open_request(self.clock(a), j, a.nonce)
         if wanted:
             self.wire.append(("ask", i, j, a.life, a.nonce, wanted))
 
@@ -82,18 +82,18 @@
         a = self.agents[to]
         now = self.clock(a)
         if kind == "ask":
-            lent = a.escrow.asked(now, by, life, nonce, amount)
+            lent = a.escrow.handle_request(now, by, life, nonce, amount)
             if lent:
                 self.wire.append(("grant", to, by, life, nonce, lent))
         elif kind == "grant":
             if life == a.life:
-                a.escrow.granted(now, by, nonce, amount)
+                a.escrow.handle_grant(now, by, nonce, amount)
         else:
-            a.escrow.released(by, life, nonce)
+            a.escrow.handle_return(by, life, nonce)
 
     def release(self, i: int) -> None:
         a = self.agents[i]
-        for lender, nonce in a.escrow.release(self.clock(a)):
+        for lender, nonce in a.escrow.return_unneeded(self.clock(a)):
             self.wire.append(("release", i, lender, a.life, nonce, 0))
 
     def restart(self, i: int) -> None:
@@ -113,18 +113,18 @@
     for _ in range(steps):
         kind, i, j = rng.randrange(8), rng.randrange(3), rng.randrange(3)
         if kind <= 1 and i != j:
-            m.agents[i].escrow.need = int(rng.choice((1.5, 2, 3)) * PARTS)
+            m.agents[i].escrow.need = int(rng.choice((1.5, 2, 3)) * SHARE_UNITS)
             m.ask(i, j)
         elif kind <= 4 and m.wire:
             m.deliver(rng.randrange(len(m.wire)), keep=rng.random() < 0.3)
         elif kind == 5:
             m.now += rng.choice((1, LEASE // 3, int(LEASE * 0.995), LEASE, 30 * LEASE))
         elif kind == 6:
-            m.agents[i].escrow.need = rng.choice((0, PARTS // 2, PARTS))
+            m.agents[i].escrow.need = rng.choice((0, SHARE_UNITS // 2, SHARE_UNITS))
             m.release(i)
         elif rng.random() < 0.3:
             m.restart(i)
-        assert m.spendable() <= 3 * PARTS
+        assert m.spendable() <= 3 * SHARE_UNITS
 
 
 @settings(deadline=None, max_examples=60)
@@ -152,7 +152,7 @@
     def play(moves: tuple[int, ...]) -> Model | None:
         m = Model(make)
         for a in m.agents[::2]:
-            a.escrow.need = 3 * PARTS
+            a.escrow.need = 3 * SHARE_UNITS
         m.agents[1].escrow.need = 0
         for move in moves:
             kind, x, y = first[move]
@@ -169,8 +169,8 @@
             else:
                 m.agents[x].escrow.need = 0
                 m.release(x)
-                m.agents[x].escrow.need = 3 * PARTS
-            assert m.spendable() <= 3 * PARTS, moves
+                m.agents[x].escrow.need = 3 * SHARE_UNITS
+            assert m.spendable() <= 3 * SHARE_UNITS, moves
         return m
 
     frontier: list[tuple[int, ...]] = [()]
@@ -191,10 +191,10 @@
                             a.nonce,
                             a.escrow.need,
                             tuple(a.escrow._lent.items()),
-                            tuple(a.escrow._held.items()),
-                            tuple(a.escrow._asked.items()),
-                            tuple(a.escrow._newest.items()),
-                            a.escrow.whole_from,
+                            tuple(a.escrow._borrowed.items()),
+                            tuple(a.escrow._requested_at.items()),
+                            tuple(a.escrow._newest_requests.items()),
+                            a.escrow.full_share_from,
                         )
                         for a in m.agents
                     ),
@@ -235,7 +235,7 @@
     """Two asks, the second one granted first and given back; then the first grant comes."""
     m = Model(new)
     a, b = m.agents[0].escrow, m.agents[1].escrow
-    a.need, b.need = 2 * PARTS, 0
+    a.need, b.need = 2 * SHARE_UNITS, 0
     m.ask(0, 1)
     m.ask(0, 1)
     m.deliver(0, keep=False)
@@ -245,28 +245,28 @@
     m.release(0)
     m.deliver(1, keep=False)
     assert b.lent(m.now) == 0
-    a.need = 2 * PARTS
+    a.need = 2 * SHARE_UNITS
     m.deliver(0, keep=False)
-    assert not m.wire and m.spendable() <= 3 * PARTS
+    assert not m.wire and m.spendable() <= 3 * SHARE_UNITS
 
 
 def late_release(new: Make) -> None:
     """Given back and lent anew: then the word that it was given back comes."""
     m = Model(new)
     a, b = m.agents[0].escrow, m.agents[1].escrow
-    a.need, b.need = 2 * PARTS, 0
+    a.need, b.need = 2 * SHARE_UNITS, 0
     m.ask(0, 1)
     m.deliver(0, keep=False)
     m.deliver(0, keep=False)
     a.need = 0
     m.release(0)
-    a.need = 2 * PARTS
+    a.need = 2 * SHARE_UNITS
     m.ask(0, 1)
     m.deliver(1, keep=False)
     m.deliver(1, keep=False)  # lent anew
-    assert a.held(m.now) > 0
+    assert a.borrowed(m.now) > 0
     m.deliver(0, keep=False)
-    assert m.spendable() <= 3 * PARTS
+    assert m.spendable() <= 3 * SHARE_UNITS
 
 
 @pytest.mark.parametrize("planted, found_by", [(AsksOutliveARelease, late_grant), (AnyReleaseCounts, late_release)])
@@ -279,59 +279,63 @@
 
 
 def test_a_grant_to_the_process_before_is_not_taken() -> None:
-    f = Fleet(Settings(0, 2, 2), 0, life=5)
-    f.escrow[0].need = 2 * PARTS
-    assert f.escrow[0].ask(10, 1, 7)
-    for life, taken in ((4, 0), (5, PARTS // 2)):
-        f._take(1, 1 << LIFE_SHIFT, Grant(0, 7, life, PARTS // 2, (1, 1)), 20)
-        assert f.escrow[0].held(20) == taken
+    f = Fleet(FleetSettings(0, 2, 2), 0, incarnation=5)
+    f.escrows[0].need = 2 * SHARE_UNITS
+    assert f.escrows[0].open_request(10, 1, 7)
+    for life, taken in ((4, 0), (5, SHARE_UNITS // 2)):
+        f._on_record(1, 1 << REFUTATION_BITS, LeaseGrant(0, 7, life, SHARE_UNITS // 2, (1, 1)), 20)
+        assert f.escrows[0].borrowed(20) == taken
 
 
 def test_a_process_that_slept_through_its_lease_spends_nothing_of_it() -> None:
-    lender, borrower = Escrow(0, LEASE, settled=True), Escrow(0, LEASE, settled=True)
-    lender.need, borrower.need = 0, 2 * PARTS
-    wanted = borrower.ask(0, 1, 1)
-    lent = lender.asked(10, 0, 1, 1, wanted)
-    assert lent == PARTS - KEPT and borrower.granted(20, 1, 1, lent)
+    lender, borrower = Escrow(0, LEASE, no_earlier_leases=True), Escrow(0, LEASE, no_earlier_leases=True)
+    lender.need, borrower.need = 0, 2 * SHARE_UNITS
+    wanted = borrower.open_request(0, 1, 1)
+    lent = lender.handle_request(10, 0, 1, 1, wanted)
+    assert lent == SHARE_UNITS - NEVER_LENT and borrower.handle_grant(20, 1, 1, lent)
     right = borrower.right(20)
-    assert right.amount == 2 * PARTS - KEPT and right.after == PARTS and right.until <= LEASE * 0.99
-    assert borrower.right(30 * LEASE).amount == PARTS
-    assert lender.right(LEASE // 2).amount == KEPT and lender.right(2 * LEASE).amount == PARTS
+    assert (
+        right.amount == 2 * SHARE_UNITS - NEVER_LENT
+        and right.amount_after == SHARE_UNITS
+        and right.until <= LEASE * 0.99
+    )
+    assert borrower.right(30 * LEASE).amount == SHARE_UNITS
+    assert lender.right(LEASE // 2).amount == NEVER_LENT and lender.right(2 * LEASE).amount == SHARE_UNITS
 
 
 def test_a_grant_that_comes_after_its_lease_is_none() -> None:
-    borrower = Escrow(0, LEASE, settled=True)
-    borrower.need = 3 * PARTS
-    assert borrower.ask(0, 1, 1) == 2 * PARTS
-    assert not borrower.granted(LEASE, 1, 1, PARTS)
-    assert not borrower.granted(10, 2, 1, PARTS)  # nor one by somebody who was not asked
-    assert borrower.right(LEASE).amount == PARTS
+    borrower = Escrow(0, LEASE, no_earlier_leases=True)
+    borrower.need = 3 * SHARE_UNITS
+    assert borrower.open_request(0, 1, 1) == 2 * SHARE_UNITS
+    assert not borrower.handle_grant(LEASE, 1, 1, SHARE_UNITS)
+    assert not borrower.handle_grant(10, 2, 1, SHARE_UNITS)  # nor one by somebody who was not asked
+    assert borrower.right(LEASE).amount == SHARE_UNITS
 
 
 def test_of_a_doubled_number_nobody_spends() -> None:
-    e = Escrow(0, LEASE, settled=True)
-    e.doubled = True
-    assert e.right(0).amount == 0 and e.asked(0, 1, 1, 1, PARTS) == 0
+    e = Escrow(0, LEASE, no_earlier_leases=True)
+    e.has_duplicate = True
+    assert e.right(0).amount == 0 and e.handle_request(0, 1, 1, 1, SHARE_UNITS) == 0
 
 
 def test_a_lease_that_is_asked_for_anew_goes_on_without_a_gap() -> None:
-    lender, borrower = Escrow(0, LEASE, settled=True), Escrow(0, LEASE, settled=True)
-    lender.need, borrower.need = 0, 2 * PARTS
+    lender, borrower = Escrow(0, LEASE, no_earlier_leases=True), Escrow(0, LEASE, no_earlier_leases=True)
+    lender.need, borrower.need = 0, 2 * SHARE_UNITS
     now, nonce, rng = 0, 0, Random(1)
     for _ in range(50):
-        for whom in borrower.whom(now, [1], rng):
+        for whom in borrower.choose_lenders(now, [1], rng):
             nonce += 1
-            lent = lender.asked(now, 0, 1, nonce, borrower.ask(now, whom, nonce))
-            assert lent == PARTS - KEPT and borrower.granted(now, 1, nonce, lent)
-        assert borrower.right(now).amount == 2 * PARTS - KEPT
+            lent = lender.handle_request(now, 0, 1, nonce, borrower.open_request(now, whom, nonce))
+            assert lent == SHARE_UNITS - NEVER_LENT and borrower.handle_grant(now, 1, nonce, lent)
+        assert borrower.right(now).amount == 2 * SHARE_UNITS - NEVER_LENT
         now += LEASE // 4
-    lender.need = PARTS  # it wants its part back: it does not renew, and has it when the lease is over
+    lender.need = SHARE_UNITS  # it wants its part back: it does not renew, and has it when the lease is over
     for _ in range(4):
-        for whom in borrower.whom(now, [1], rng):
+        for whom in borrower.choose_lenders(now, [1], rng):
             nonce += 1
-            assert lender.asked(now, 0, 1, nonce, borrower.ask(now, whom, nonce)) == 0
+            assert lender.handle_request(now, 0, 1, nonce, borrower.open_request(now, whom, nonce)) == 0
         now += LEASE // 4 + LEASE // 50
-    assert lender.right(now).amount == PARTS == borrower.right(now).amount
+    assert lender.right(now).amount == SHARE_UNITS == borrower.right(now).amount
 
 
 def killed_while_it_grants() -> None:
@@ -340,18 +344,18 @@
     w = World(n, seed=3)
     w.run(5 * LEASE)
     for p in w.running():
-        p.fleet.need(0, float(n) if p.number == 0 else 0.0)
+        p.fleet.set_need(0, float(n) if p.number == 0 else 0.0)
 
     def watch() -> None:
-        assert w.spendable(0) <= n * PARTS
+        assert w.spendable(0) <= n * SHARE_UNITS
 
     w.watch = watch
     died = 0
     for _ in range(400):
         w.run(w.now + LEASE // 50)
         for p in w.running():
-            if p.number and p.fleet.escrow[0].lent(p.clock(w.now)):
-                w.restart(p.number).fleet.need(0, 0.0)
+            if p.number and p.fleet.escrows[0].lent(p.clock(w.now)):
+                w.restart(p.number).fleet.set_need(0, 0.0)
                 died += 1
     assert died >= 5
 
@@ -360,6 +364,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     killed_while_it_grants()
-    monkeypatch.setattr(fleet_module, "Escrow", lambda now, lease_us, settled: WholeAfterARestart(now, lease_us))
+    monkeypatch.setattr(
+        fleet_module, "Escrow", lambda now, lease_us, no_earlier_leases: WholeAfterARestart(now, lease_us)
+    )
     with pytest.raises(AssertionError):
         killed_while_it_grants()
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -8,13 +8,13 @@
 
 import pytest
 
+from lilacsill.agent.peers import fleet as fleet_module
+from lilacsill.agent.peers.fleet import Fleet, FleetSettings
+from lilacsill.agent.peers.membership import INCARNATION_STEP_MS, MAX_NEW_INCARNATIONS, Membership
+from lilacsill.agent.peers.records import SHARE_UNITS, MemberState, MemberUpdate, Ping
+from lilacsill.agent.peers.suspicion import MAX_FACTOR, Suspicion, min_suspicion_us
 from lilacsill.emulator.models.links import Rule
 from lilacsill.emulator.virtual.peers import World
-from lilacsill.agent.peers import fleet as fleet_module
-from lilacsill.agent.peers.fleet import Fleet, Settings
-from lilacsill.agent.peers.membership import LIFE_STEP, LIVES_MOST, Membership
-from lilacsill.agent.peers.records import PARTS, Ping, Rumour, State
-from lilacsill.agent.peers.suspicion import MOST, Suspicion, least_us
 
 SECOND = 1_000_000
 PERIOD = SECOND // 2
@@ -23,7 +23,7 @@
 HALF = frozenset(range(N // 2))
 
 
-def state(w: World, of: int) -> dict[int, State]:
+def state(w: World, of: int) -> dict[int, MemberState]:
     """How the others that run see that member."""
     return {p.number: p.fleet.membership.members[of].state for p in w.running() if p.number != of}
 
@@ -58,9 +58,9 @@
     for seed in range(8):
         w = world(24, seed=seed)
         w.kill(5)
-        bound = (3 * PERIOD + MOST * least_us(24, PERIOD)) / SECOND
-        took = until(w, lambda w=w: set(state(w, 5).values()) == {State.DEAD}, bound)  # type: ignore[misc]
-        assert took <= (4 * PERIOD + 2 * least_us(24, PERIOD)) / SECOND  # witnesses bring it near its least
+        bound = (3 * PERIOD + MAX_FACTOR * min_suspicion_us(24, PERIOD)) / SECOND
+        took = until(w, lambda w=w: set(state(w, 5).values()) == {MemberState.DEAD}, bound)  # type: ignore[misc]
+        assert took <= (4 * PERIOD + 2 * min_suspicion_us(24, PERIOD)) / SECOND  # witnesses bring it near its least
         assert all(len(p.fleet.membership.alive()) == 22 for p in w.running())
 
 
@@ -72,7 +72,7 @@
             w.at(w.now + at * SECOND, w.stall, at % 20, 2 * SECOND)
         w.run(w.now + 45 * SECOND)
         # One that stalls is suspected and refutes; counted as dead it must not be by anybody.
-        deaths = [n for p in w.running() for n in p.fleet.notes.kept if n.facts.get("after") == "dead"]
+        deaths = [n for p in w.running() for n in p.fleet.events.events if n.facts.get("after") == "dead"]
         assert not deaths
 
 
@@ -85,7 +85,7 @@
     )
     w.run(w.now + 2 * SECOND)
     until(w, lambda: settled(w), 5)
-    assert all(p.fleet.siblings.number == N for p in w.running())  # a cut makes nobody bold
+    assert all(p.fleet.size.number == N for p in w.running())  # a cut makes nobody bold
 
 
 def test_one_way_loss_condemns_nobody_for_good() -> None:
@@ -93,7 +93,7 @@
     w = world()
     w.links.rules = [Rule(w.now, w.now + 20 * SECOND, frozenset({0}), ALL - {0}, both=False, cut=True)]
     w.run(w.now + 19 * SECOND)
-    assert set(state(w, 0).values()) == {State.DEAD}
+    assert set(state(w, 0).values()) == {MemberState.DEAD}
     assert all(len(p.fleet.membership.alive()) == N - 2 for p in w.running() if p.number)
     w.run(w.now + SECOND)
     until(w, lambda: settled(w), 5)
@@ -103,7 +103,7 @@
     w = world()
     w.links.rules = [Rule(0, 2**62, frozenset({0}), frozenset({1}), cut=True)]
     w.run(w.now + 30 * SECOND)
-    assert not [n for p in w.running() for n in p.fleet.notes.kept if n.facts.get("after") in ("suspect", "dead")]
+    assert not [n for p in w.running() for n in p.fleet.events.events if n.facts.get("after") in ("suspect", "dead")]
 
 
 def test_a_third_lost_and_a_fifth_of_a_second_late() -> None:
@@ -112,7 +112,7 @@
     w.run(w.now + 30 * SECOND)
     w.links.rules = []
     until(w, lambda: settled(w), 6)
-    assert sum(n.facts.get("after") == "dead" for p in w.running() for n in p.fleet.notes.kept) <= 2
+    assert sum(n.facts.get("after") == "dead" for p in w.running() for n in p.fleet.events.events) <= 2
 
 
 @pytest.mark.parametrize("for_s", [0.5, 5, 30])
@@ -124,9 +124,11 @@
         w.stall(3, int(for_s * SECOND))
         w.run(w.now + int(for_s * SECOND) + 1)
         sleeper = w.processes[3].fleet
-        assert sleeper.membership.doubt > 0 or for_s < 1
+        assert sleeper.membership.health_score > 0 or for_s < 1
         until(w, lambda w=w: settled(w), 10)  # type: ignore[misc]
-        assert not [n for n in sleeper.notes.kept if n.facts.get("after") in ("dead", "suspect") and n.facts["by"] == 3]
+        assert not [
+            n for n in sleeper.events.events if n.facts.get("after") in ("dead", "suspect") and n.facts["by"] == 3
+        ]
 
 
 def test_restarted_three_times_in_a_second_and_with_a_clock_that_went_back() -> None:
@@ -144,7 +146,7 @@
     for n in range(1, N):
         w.kill(n)
     until(w, lambda: not w.processes[0].fleet.membership.alive(), 60)
-    assert w.processes[0].fleet.right(0, w.processes[0].clock(w.now)).amount == PARTS
+    assert w.processes[0].fleet.right(0, w.processes[0].clock(w.now)).amount == SHARE_UNITS
 
 
 def test_one_that_leaves_in_order_is_not_suspected() -> None:
@@ -153,7 +155,7 @@
     p.fleet.leave(p.clock(w.now))
     w._flush(p)
     w.kill(2)
-    until(w, lambda: set(state(w, 2).values()) == {State.LEFT}, 2)
+    until(w, lambda: set(state(w, 2).values()) == {MemberState.LEFT}, 2)
 
 
 def test_two_processes_with_one_number_end_by_standing_back() -> None:
@@ -164,16 +166,16 @@
     for _ in range(40):  # datagrams to number 1 reach now one and now the other
         w.processes[1] = second if w.processes[1] is first else first
         w.run(w.now + PERIOD)
-    assert first.fleet.membership.doubled or second.fleet.membership.doubled
+    assert first.fleet.membership.has_duplicate or second.fleet.membership.has_duplicate
     spent = [p.fleet.right(0, p.clock(w.now)).amount for p in (first, second)]
     assert min(spent) == 0
 
 
 def test_lives_are_not_driven_up_for_ever() -> None:
     m = Membership(0, 3, PERIOD, 5, Random(1), lambda to, r: None, lambda r: None, lambda: (0, 1))
-    for i in range(LIVES_MOST + 3):
-        m.take(1, Rumour(0, m.stamp + (1 << 16), State.ALIVE, 1, (1, i)), 0)
-    assert m.doubled and m.stamp >> 16 <= 5 + LIVES_MOST * (LIFE_STEP + 1)
+    for i in range(MAX_NEW_INCARNATIONS + 3):
+        m.on_record(1, MemberUpdate(0, m.stamp + (1 << 16), MemberState.ALIVE, 1, (1, i)), 0)
+    assert m.has_duplicate and m.stamp >> 16 <= 5 + MAX_NEW_INCARNATIONS * (INCARNATION_STEP_MS + 1)
 
 
 def test_traffic_of_an_agent_is_flat() -> None:
@@ -190,9 +192,9 @@
 
 
 class AnswersWithoutEnd(Membership):
-    def heard(self, sender: int, stamp: int, now: int) -> None:
-        self.members[sender].told_at = -PERIOD
-        super().heard(sender, stamp, now)
+    def on_datagram(self, sender: int, stamp: int, now: int) -> None:
+        self.members[sender].notified_at = -PERIOD
+        super().on_datagram(sender, stamp, now)
 
 
 def test_two_that_hold_each_other_dead_do_not_answer_without_end(kind: type[Membership] = Membership) -> None:
@@ -202,12 +204,12 @@
         for n in (0, 1)
     ]
     for me, other in ((0, 1), (1, 0)):
-        pair[me].heard(other, pair[other].stamp, 1)
-        pair[me].take(other, Rumour(other, pair[other].stamp, State.DEAD, other, (1, 1)), 1)
+        pair[me].on_datagram(other, pair[other].stamp, 1)
+        pair[me].on_record(other, MemberUpdate(other, pair[other].stamp, MemberState.DEAD, other, (1, 1)), 1)
     said.clear()
     for _ in range(100):
         for me, other in ((0, 1), (1, 0)):
-            pair[me].heard(other, pair[other].stamp, PERIOD)
+            pair[me].on_datagram(other, pair[other].stamp, PERIOD)
     assert len(said) == 2
 
 
@@ -223,42 +225,42 @@
         if s.confirm(by):
             dues.append(s.due)
     assert dues == sorted(dues, reverse=True) and len(dues) == 5
-    assert dues[0] == int(MOST * least_us(50, PERIOD)) and dues[-1] == least_us(50, PERIOD)
+    assert dues[0] == int(MAX_FACTOR * min_suspicion_us(50, PERIOD)) and dues[-1] == min_suspicion_us(50, PERIOD)
 
 
 class IgnoresIncarnation(Membership):
-    def _rumour(self, sender: int, r: Rumour, now: int) -> None:
-        if r.member != self.me and r.member in self.members:
+    def _on_update(self, sender: int, r: MemberUpdate, now: int) -> None:
+        if r.member != self.own_number and r.member in self.members:
             m = self.members[r.member]
-            self._turn(r.member, m, r.state, r.stamp, r.by, r.cause, now)
+            self._set_state(r.member, m, r.state, r.stamp, r.by, r.cause, now)
         else:
-            super()._rumour(sender, r, now)
+            super()._on_update(sender, r, now)
 
 
 class NeverRefutes(Membership):
-    def _about_me(self, sender: int, r: Rumour) -> None:
+    def _on_update_of_self(self, sender: int, r: MemberUpdate) -> None:
         pass
 
 
 class ForgetsItsStall(Membership):
-    def woke(self, now: int) -> int:
+    def detect_stall(self, now: int) -> int:
         return 0
 
 
 class NoIndirectProbes(Membership):
-    def _ask_others(self, p: Any) -> None:
-        p.indirect = True
+    def _probe_indirectly(self, p: Any) -> None:
+        p.is_indirect = True
 
 
 class NeverKnocks(Membership):
-    def _knock(self) -> None:
+    def _probe_absent(self) -> None:
         if len(self.alive()) < len(self.members) // 4:
-            super()._knock()
+            super()._probe_absent()
 
 
 class SaysDeadAtOnce(Membership):
-    def _turn(self, number: int, m: Any, state: State, *rest: Any, **more: Any) -> None:
-        super()._turn(number, m, State.DEAD if state is State.SUSPECT else state, *rest, **more)
+    def _set_state(self, number: int, member: Any, state: MemberState, *rest: Any, **more: Any) -> None:
+        super()._set_state(number, member, MemberState.DEAD if state is MemberState.SUSPECT else state, *rest, **more)
 
 
 class SuspectsNobody(Membership):
@@ -288,14 +290,14 @@
 
 
 def test_a_fleet_of_one_spends_the_whole_at_once() -> None:
-    f = Fleet(Settings(0, 1, 1), 0, 1)
-    f.begin(0)
+    f = Fleet(FleetSettings(0, 1, 1), 0, 1)
+    f.start(0)
     f.tick(1)
-    assert f.share(0, 1)[0] == 1.0 and not f.take()
+    assert f.share(0, 1)[0] == 1.0 and not f.take_datagrams()
 
 
 def test_a_ping_is_answered_whoever_asks() -> None:
     said: list[tuple[int, object]] = []
     m = Membership(0, 3, PERIOD, 5, Random(1), lambda to, r: said.append((to, r)), lambda r: None, lambda: (0, 1))
-    m.take(2, Ping(9, 7), 0)
-    assert said[0][0] == 2 and m.members[2].agents == 7
+    m.on_record(2, Ping(9, 7), 0)
+    assert said[0][0] == 2 and m.members[2].listed_agents == 7
--- a/tests/peers/test_judgements.py
+++ b/tests/peers/test_peer_health.py
@@ -7,27 +7,27 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lilacsill.agent.peers.judgements import (
-    AGE_MOST_MS,
-    ALL,
-    CLAIMS_MOST,
-    ENOUGH,
-    HEARSAY,
-    WITNESSES,
-    Judgements,
-    tag_of,
+from lilacsill.agent.peers.fleet_size import AGREEMENT_US, FleetSize
+from lilacsill.agent.peers.peer_health import (
+    ALL_BACKENDS,
+    EJECTION_WITNESSES,
+    MAX_AGE_MS,
+    MAX_CLAIMS,
+    MAX_EJECTED_SHARE,
+    SUFFICIENT_WITNESSES,
+    PeerHealth,
+    backend_tag,
 )
-from lilacsill.agent.peers.records import Judgement, Verdict
-from lilacsill.agent.peers.siblings import CALM_US, Siblings
+from lilacsill.agent.peers.records import Health, HealthReport
 from lilacsill.balancing.interface import FleetChanged, Outcome, PeerHealthChanged, Send
 from tests.helpers import MS, SECOND, Drive, only
 
 NAMES = [f"s{i}" for i in range(20)]
 
 
-def room() -> Judgements:
-    j = Judgements(0)
-    j.listed(dict.fromkeys(NAMES, 1), 0)
+def room() -> PeerHealth:
+    j = PeerHealth(0)
+    j.set_backends(dict.fromkeys(NAMES, 1), 0)
     return j
 
 
@@ -35,33 +35,33 @@
     witness: int,
     name: str,
     round_: int = 0,
-    verdict: Verdict = Verdict.ILL,
+    verdict: Health = Health.UNHEALTHY,
     age_ms: int = 0,
     left_ms: int = 4000,
     life: int = 1,
-) -> Judgement:
-    return Judgement(tag_of(name), verdict, witness, life, round_, age_ms, left_ms, (witness, 1))
+) -> HealthReport:
+    return HealthReport(backend_tag(name), verdict, witness, life, round_, age_ms, left_ms, (witness, 1))
 
 
 def test_one_witness_makes_careful_and_three_exclude() -> None:
     j = room()
-    for witness in range(1, WITNESSES + 1):
-        assert j.heard(claim(witness, "s3"), 1000) is not None
+    for witness in range(1, EJECTION_WITNESSES + 1):
+        assert j.on_report(claim(witness, "s3"), 1000) is not None
         [h] = j.verdicts(1000)
-        assert h.backend == "s3" and h.excluded is (witness == WITNESSES)
+        assert h.backend == "s3" and h.ejected is (witness == EJECTION_WITNESSES)
 
 
 def test_the_same_witness_thrice_is_one() -> None:
     j = room()
     for round_ in range(3):
-        j.heard(claim(1, "s3", round_), 1000)
-    assert not j.verdicts(1000)[0].excluded and j.heard(claim(1, "s3", 1), 1000) is None
+        j.on_report(claim(1, "s3", round_), 1000)
+    assert not j.verdicts(1000)[0].ejected and j.on_report(claim(1, "s3", 1), 1000) is None
 
 
 def test_one_that_condemns_all_is_believed_in_nothing() -> None:
     j = room()
     for name in NAMES:
-        j.heard(claim(1, name), 1000)
+        j.on_report(claim(1, name), 1000)
     assert not j.verdicts(1000)
 
 
@@ -69,84 +69,84 @@
 def test_liars_leave_out_a_share_at_most_whatever_they_say(seed: int) -> None:
     rng, j = Random(seed), room()
     for i in range(300):
-        j.heard(
+        j.on_report(
             claim(
                 rng.randrange(1, 6),
                 rng.choice([*NAMES, "unknown"]),
                 i,
-                rng.choice(list(Verdict)),
-                rng.randrange(0, 2 * AGE_MOST_MS),
+                rng.choice(list(Health)),
+                rng.randrange(0, 2 * MAX_AGE_MS),
                 rng.randrange(0, 10**6),
             ),
             1000,
         )
         said = j.verdicts(1000)
-        assert sum(h.excluded for h in said) <= HEARSAY * len(NAMES)
-        assert len(said) <= 2 * HEARSAY * len(NAMES) and {h.backend for h in said} <= set(NAMES)
-    assert j.standing <= 5 * CLAIMS_MOST
+        assert sum(h.ejected for h in said) <= MAX_EJECTED_SHARE * len(NAMES)
+        assert len(said) <= 2 * MAX_EJECTED_SHARE * len(NAMES) and {h.backend for h in said} <= set(NAMES)
+    assert j.peer_claims <= 5 * MAX_CLAIMS
 
 
 def test_what_is_older_than_an_own_answer_does_not_count_and_what_is_withdrawn_ends() -> None:
     j = room()
-    j.answered("s3", 1_000_000)
-    j.heard(claim(1, "s3", age_ms=500), 1_200_000)
+    j.backend_answered("s3", 1_000_000)
+    j.on_report(claim(1, "s3", age_ms=500), 1_200_000)
     assert not j.verdicts(1_200_000)
-    j.heard(claim(1, "s3", 1), 1_300_000)
+    j.on_report(claim(1, "s3", 1), 1_300_000)
     assert j.verdicts(1_300_000)
-    j.heard(claim(1, "s3", 2, Verdict.WELL), 1_400_000)
+    j.on_report(claim(1, "s3", 2, Health.HEALTHY), 1_400_000)
     assert not j.verdicts(1_400_000)
 
 
 def test_a_claim_ends_with_its_time_its_witness_and_the_backends_process() -> None:
     for end in range(3):
         j = room()
-        j.heard(claim(1, "s3", left_ms=1000), 1000)
+        j.on_report(claim(1, "s3", left_ms=1000), 1000)
         assert j.verdicts(1000)
         now = 1000
         if end == 0:
             now += 1_000_000
         elif end == 1:
-            j.forget(1)
+            j.forget_witness(1)
         else:
-            j.listed({**dict.fromkeys(NAMES, 1), "s3": 2}, now + 1)
+            j.set_backends({**dict.fromkeys(NAMES, 1), "s3": 2}, now + 1)
         assert not j.verdicts(now)
 
 
 def test_one_that_is_cut_off_or_finds_too_many_ill_tells_nothing() -> None:
     for ill, cut_off, told in (({"s1"}, False, 1), ({"s1"}, True, 0), (set(NAMES[:5]), False, 0)):
-        assert len(room().saw(ill, 1000, 4_000_000, 1, cut_off, (0, 1))) == told
+        assert len(room().update_own_claims(ill, 1000, 4_000_000, 1, cut_off, (0, 1))) == told
 
 
 def test_one_that_finds_too_many_ill_takes_back_what_it_told_while_it_found_them() -> None:
     """A zone cut off from its backends finds them one by one; each agent there had condemned the first few for all."""
     teller, hearer = room(), room()
-    teller.me = 7
+    teller.own_number = 7
     names, told = NAMES[:5], []
     for n in range(1, len(names) + 1):  # four of twenty are believed, a fifth is not
-        for c in teller.saw(set(names[:n]), 1000 * n, 4_000_000, 1, False, (0, n)):
+        for c in teller.update_own_claims(set(names[:n]), 1000 * n, 4_000_000, 1, False, (0, n)):
             told.append(c.record(1000 * n))
-            hearer.heard(told[-1], 1000 * n)
+            hearer.on_report(told[-1], 1000 * n)
         assert len(hearer.verdicts(1000 * n)) == (n if n < len(names) else 0)
-    assert told[-1].backend == ALL and not teller.claims
+    assert told[-1].backend == ALL_BACKENDS and not teller.own_claims
     for late in told[:-1]:  # on slow links the earlier words come after it
-        assert hearer.heard(late, 6000) is None
+        assert hearer.on_report(late, 6000) is None
     assert not hearer.verdicts(6000)
-    assert not teller.saw(set(names), 7000, 4_000_000, 1, False, (0, 7))  # said once
-    [again] = teller.saw({"s9"}, 8000, 4_000_000, 1, False, (0, 8))
-    assert hearer.heard(again.record(8000), 8000) is not None and hearer.verdicts(8000)[0].backend == "s9"
+    assert not teller.update_own_claims(set(names), 7000, 4_000_000, 1, False, (0, 7))  # said once
+    [again] = teller.update_own_claims({"s9"}, 8000, 4_000_000, 1, False, (0, 8))
+    assert hearer.on_report(again.record(8000), 8000) is not None and hearer.verdicts(8000)[0].backend == "s9"
 
 
 def test_what_enough_say_nobody_more_says_or_passes_on() -> None:
     j = room()
-    for witness in range(1, ENOUGH + 1):
-        c = j.heard(claim(witness, "s1", left_ms=1000), 1000)
-        assert c is not None and j.is_news(c, 1000)
-    assert not j.saw({"s1"}, 1000, 4_000_000, 1, False, (0, 1))
-    c = j.heard(claim(ENOUGH + 1, "s1"), 1000)
-    assert c is not None and not j.is_news(c, 1000)
-    well = j.heard(claim(1, "s1", 1, Verdict.WELL), 1000)
-    assert well is not None and j.is_news(well, 1000)
-    assert len(j.saw({"s1"}, 2_500_000, 4_000_000, 1, False, (0, 2))) == 1  # theirs have ended
+    for witness in range(1, SUFFICIENT_WITNESSES + 1):
+        c = j.on_report(claim(witness, "s1", left_ms=1000), 1000)
+        assert c is not None and j.is_worth_spreading(c, 1000)
+    assert not j.update_own_claims({"s1"}, 1000, 4_000_000, 1, False, (0, 1))
+    c = j.on_report(claim(SUFFICIENT_WITNESSES + 1, "s1"), 1000)
+    assert c is not None and not j.is_worth_spreading(c, 1000)
+    well = j.on_report(claim(1, "s1", 1, Health.HEALTHY), 1000)
+    assert well is not None and j.is_worth_spreading(well, 1000)
+    assert len(j.update_own_claims({"s1"}, 2_500_000, 4_000_000, 1, False, (0, 2))) == 1  # theirs have ended
 
 
 @given(
@@ -163,56 +163,58 @@
         now += passes
         name = f"s{n}"
         if what < 2:
-            j.heard(claim(witness, name, i, Verdict.ILL if what else Verdict.WELL, left_ms=500), now)
+            j.on_report(claim(witness, name, i, Health.UNHEALTHY if what else Health.HEALTHY, left_ms=500), now)
         elif what == 2:
-            j.answered(name, now)
+            j.backend_answered(name, now)
         elif what == 3:
-            j.forget(witness)
+            j.forget_witness(witness)
         else:
-            j.listed({**dict.fromkeys(NAMES[: 1 + n], 1), "s0": i}, now)
+            j.set_backends({**dict.fromkeys(NAMES[: 1 + n], 1), "s0": i}, now)
         remembered = j.verdicts(now)
-        j._found_until = 0
+        j._verdicts_until = 0
         assert remembered == j.verdicts(now)
 
 
 def test_a_judgement_is_renewed_by_its_witness_before_it_ends() -> None:
     j = room()
-    [first] = j.saw({"s1"}, 0, 4_000_000, 1, False, (0, 1))
-    assert not j.saw({"s1"}, 1_000_000, 4_000_000, 1, False, (0, 2))
-    [second] = j.saw({"s1"}, 2_500_000, 4_000_000, 1, False, (0, 3))
-    assert (second.round, second.cause) == (first.round + 1, first.cause)
+    [first] = j.update_own_claims({"s1"}, 0, 4_000_000, 1, False, (0, 1))
+    assert not j.update_own_claims({"s1"}, 1_000_000, 4_000_000, 1, False, (0, 2))
+    [second] = j.update_own_claims({"s1"}, 2_500_000, 4_000_000, 1, False, (0, 3))
+    assert (second.renewal, second.cause) == (first.renewal + 1, first.cause)
     # Let in again for a trial it has answered nothing: the word stands.
-    assert not j.saw(set(), 2_800_000, 4_000_000, 1, False, (0, 4)) and j.claims == 1
-    j.answered("s1", 2_900_000)
-    [well] = j.saw(set(), 3_000_000, 4_000_000, 1, False, (0, 4))
-    assert not j.claims
-    assert well.verdict is Verdict.WELL and well.round > second.round
+    assert not j.update_own_claims(set(), 2_800_000, 4_000_000, 1, False, (0, 4)) and j.own_claims == 1
+    j.backend_answered("s1", 2_900_000)
+    [well] = j.update_own_claims(set(), 3_000_000, 4_000_000, 1, False, (0, 4))
+    assert not j.own_claims
+    assert well.health is Health.HEALTHY and well.renewal > second.renewal
 
 
-# Siblings
+# FleetSize
 
 
 def test_more_than_told_counts_at_once_and_fewer_only_after_a_calm_by_half() -> None:
-    s = Siblings(told=4, named=40)
+    s = FleetSize(configured=4, listed=40)
     assert s.number == 40
-    s = Siblings(told=40, named=4)
+    s = FleetSize(configured=40, listed=4)
     assert s.number == 40
     now, heard = 1, [(1, 4)] * 3
-    s.look(now, heard)
+    s.update(now, heard)
     seen = [s.number]
     while s.number > 4:
-        now += CALM_US // 2
+        now += AGREEMENT_US // 2
         heard = [(now, 4)] * 3
-        s.look(now, heard)
+        s.update(now, heard)
         seen.append(s.number)
-    assert seen == sorted(seen, reverse=True) and 20 in seen and now >= 4 * CALM_US
+    assert seen == sorted(seen, reverse=True) and 20 in seen and now >= 4 * AGREEMENT_US
 
 
 def test_nobody_gets_bolder_while_one_is_out_of_sight_or_lists_differ() -> None:
     for odd in ((0, 4), (1, 5)):
-        s = Siblings(told=40, named=4)
+        s = FleetSize(configured=40, listed=4)
         for i in range(1, 20):
-            s.look(i * CALM_US, [(i * CALM_US, 4), (i * CALM_US, 4), (odd[0] and i * CALM_US, odd[1])])
+            s.update(
+                i * AGREEMENT_US, [(i * AGREEMENT_US, 4), (i * AGREEMENT_US, 4), (odd[0] and i * AGREEMENT_US, odd[1])]
+            )
         assert s.number == 40
 
 
@@ -269,8 +271,8 @@
 
 def test_a_word_that_is_not_renewed_ends_by_itself() -> None:
     j = room()
-    j.saw({"s1"}, 0, 4_000_000, 1, False, (0, 1))
-    assert not j.saw(set(), 4_000_000, 4_000_000, 1, False, (0, 2)) and not j.claims
+    j.update_own_claims({"s1"}, 0, 4_000_000, 1, False, (0, 1))
+    assert not j.update_own_claims(set(), 4_000_000, 4_000_000, 1, False, (0, 2)) and not j.own_claims
 
 
 def test_where_another_found_it_ill_the_first_bad_end_here_decides() -> None:
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -12,10 +12,10 @@
 
 import pytest
 
+from lilacsill.agent.peers.datagram import DatagramCodec, fleet_id
+from lilacsill.agent.peers.peer_health import backend_tag
+from lilacsill.agent.peers.records import REFUTATION_BITS, Health, HealthReport, encode
 from lilacsill.emulator.processes.rig import RigError
-from lilacsill.agent.peers.datagram import Gate, fleet_id
-from lilacsill.agent.peers.judgements import tag_of
-from lilacsill.agent.peers.records import LIFE_SHIFT, Judgement, Verdict, encode
 from tests.loopback import Running, config_doc, settings
 
 from .fleets import OPERATOR, Told, ask, burst, fleet, met, states, until
@@ -307,13 +307,13 @@
         async with fleet(6, tmp_path, backends=5, begin=False) as r:
             await asyncio.gather(*(r.start(n) for n in range(3)))
             life, sockets = time.time_ns() // 1_000_000, list[socket.socket]()
-            gates: dict[int, Gate] = {}
+            gates: dict[int, DatagramCodec] = {}
             for n in (3, 4, 5):
                 host, _, port = r.addresses["listens"][n].rpartition(":")
                 sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
                 sock.bind((host, int(port)))
                 sockets.append(sock)
-                gates[n] = Gate(n, fleet_id("test"), 6, ())
+                gates[n] = DatagramCodec(n, fleet_id("test"), 6, ())
             said = 0
 
             def lie() -> None:
@@ -321,10 +321,12 @@
                 said += 1
                 for n, sock in zip((3, 4, 5), sockets, strict=True):
                     for backend in range(5):
-                        j = Judgement(tag_of(f"s{backend}"), Verdict.ILL, n, life, said, 0, 4000, (n, 1 + said))
+                        j = HealthReport(
+                            backend_tag(f"s{backend}"), Health.UNHEALTHY, n, life, said, 0, 4000, (n, 1 + said)
+                        )
                         for hearer, peer in enumerate(r.addresses["peers"][:3]):
                             to, _, port = peer.rpartition(":")
-                            sock.sendto(gates[n].write(hearer, life << LIFE_SHIFT, [encode(j)]), (to, int(port)))
+                            sock.sendto(gates[n].encode(hearer, life << REFUTATION_BITS, [encode(j)]), (to, int(port)))
 
             try:
                 for _ in range(5):
