--- a/lilacsill/mesh/store/__main__.py
+++ b/lilacsill/mesh/store/__main__.py
@@ -4,25 +4,25 @@
 
 import sys
 
-from lilacsill.mesh.runtime.start import start
+from lilacsill.mesh.runtime.start import run_process
 
 
-def run_process() -> int:
+def run() -> int:
     """Run the replica. Return the exit status."""
     from .process import Process
 
-    return start("store", Process)
+    return run_process("store", Process)
 
 
 def main() -> int:
     """Run the command of the command line, or without one the replica. Return the exit status."""
     if len(sys.argv) == 1:
-        return run_process()
-    from lilacsill.mesh.runtime.commands import run
+        return run()
+    from lilacsill.mesh.runtime.commands import run_command
 
     from .commands import Store
 
-    return run("store", Store)
+    return run_command("store", Store)
 
 
 if __name__ == "__main__":
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from lilacsill.mesh.runtime.messages import Item
-from lilacsill.mesh.runtime.sequence import Items, Key, dropped_first, in_order, later_than, newest
+from lilacsill.mesh.runtime.sequence import ItemKey, Items, highest_seq, items_after, sorted_by_seq, tombstones_up_to
 
 from .digests import RANGE_COUNT, checksum_of, digest_of, range_of
 from .route_index import LIMITS, ROUTE, SERVICE, Place, RouteIndex
@@ -62,7 +62,7 @@
         self._route_index: RouteIndex | None = None  # made on first use: only a head needs one
         self._last_seq = 0  # the highest sequence number of an item
         self._is_ordered = True
-        self._keys_by_range: list[set[Key]] | None = None  # while a copy is compared or repaired
+        self._keys_by_range: list[set[ItemKey]] | None = None  # while a copy is compared or repaired
 
     # Changes
 
@@ -106,7 +106,7 @@
         if excess < COLLECTED_AT_ONCE:
             return self.tombstone_floor
         self._sort()
-        oldest = [item.seq for item, _ in zip(dropped_first(self.items, self.seq), range(excess), strict=False)]
+        oldest = [item.seq for item, _ in zip(tombstones_up_to(self.items, self.seq), range(excess), strict=False)]
         return max(oldest, default=self.tombstone_floor)
 
     def collect_tombstones(self, tombstone_floor: int) -> None:
@@ -115,7 +115,7 @@
             return
         self.tombstone_floor = tombstone_floor
         self._sort()
-        for item in list(dropped_first(self.items, tombstone_floor)):
+        for item in list(tombstones_up_to(self.items, tombstone_floor)):
             self.digests[range_of(item.kind, item.name)] ^= checksum_of(item)
             self._remove((item.kind, item.name))
 
@@ -140,7 +140,7 @@
         if self._keys_by_range is not None:
             self._keys_by_range[range_number].add(key)
 
-    def _remove(self, key: Key) -> None:
+    def _remove(self, key: ItemKey) -> None:
         removed = self.items.pop(key)
         self.size -= size_of(removed)
         self.tombstones -= removed.body is None
@@ -149,12 +149,12 @@
 
     def _sort(self) -> None:
         if not self._is_ordered:
-            self.items = in_order(self.items)
-            self._last_seq, self._is_ordered = newest(self.items), True
+            self.items = sorted_by_seq(self.items)
+            self._last_seq, self._is_ordered = highest_seq(self.items), True
 
     # Ranges of names
 
-    def _range_index(self) -> list[set[Key]]:
+    def _range_index(self) -> list[set[ItemKey]]:
         """Return the keys by range. They are collected in one walk and kept up to date until `drop_range_index`."""
         if self._keys_by_range is None:
             self._keys_by_range = [set() for _ in range(RANGE_COUNT)]
@@ -182,7 +182,7 @@
         Tombstones are included even for 0: whoever asks may serve others that still have the dropped items.
         """
         self._sort()
-        return later_than(self.items, seq)
+        return items_after(self.items, seq)
 
     # What an operator's change is checked against
 
