--- a/lilacsill/agent/peers/fleet.py
+++ b/lilacsill/agent/peers/fleet.py
@@ -100,7 +100,7 @@
         self._all_alive_since = 0  # 0: not all are
         self._healed_periods = 0  # periods left after others were found again
         self._last_period_at = now
-        self._found_again: list[int] = []  # members that have not got yet what they have missed
+        self._rediscovered: list[int] = []  # members that have not got yet what they have missed
 
     def start(self, now: int) -> None:
         """Begin to probe."""
@@ -157,8 +157,8 @@
 
     def share(self, budget: int, now: int) -> tuple[float, int, float]:
         """Return the share of the whole budget that may be spent, until when, and the share from then on."""
-        right, whole = self.right(budget, now), self.size.number * SHARE_UNITS
-        return right.amount / whole, right.until, right.amount_after / whole
+        right, total = self.right(budget, now), self.size.number * SHARE_UNITS
+        return right.amount / total, right.until, right.amount_after / total
 
     def set_need(self, budget: int, shares: float) -> None:
         """Set how much of a budget this agent could use, as a multiple of its equal share."""
@@ -285,13 +285,13 @@
             if self._healed_periods == HEALED_PERIODS:  # members that were away have missed these
                 self._spread_own_counts()
             self._healed_periods -= 1
-        found_again = [member for member in self._found_again if self.membership.is_alive_or_suspect(member)]
-        found_again = found_again[:HEALED_DATAGRAMS]
-        self._found_again = self._found_again[len(found_again) :] if self._healed_periods else []
-        targets = found_again + self._rng.sample(alive, min(COUNT_DATAGRAMS, len(alive)))
+        rediscovered = [member for member in self._rediscovered if self.membership.is_alive_or_suspect(member)]
+        rediscovered = rediscovered[:HEALED_DATAGRAMS]
+        self._rediscovered = self._rediscovered[len(rediscovered) :] if self._healed_periods else []
+        targets = rediscovered + self._rng.sample(alive, min(COUNT_DATAGRAMS, len(alive)))
         # Datagrams for counts alone only while there are new ones: an idle agent pays for each wake-up, and probes and
         # their answers have space for rows that are sent again.
-        for member in targets if self._count_updates else found_again:
+        for member in targets if self._count_updates else rediscovered:
             if rows := self._encoded_counts(MAX_RECORD_BYTES):
                 self._ready.append((member, self.codec.encode(member, self.membership.stamp, rows)))
 
@@ -364,7 +364,7 @@
             self.peer_health.forget_witness(change.member)
         elif change.before is MemberState.DEAD:
             self._healed_periods = HEALED_PERIODS
-            self._found_again.append(change.member)
+            self._rediscovered.append(change.member)
             soon = max(now, self._last_period_at + self.settings.period_us // 4)
             self._period_from = self._period_at = min(self._period_at, soon)
 
--- a/lilacsill/emulator/virtual/peers.py
+++ b/lilacsill/emulator/virtual/peers.py
@@ -53,7 +53,7 @@
         self.rng = Random(f"{seed} world")
         self.agents, self.now = agents, 0
         self.links = Links(rules or [], Random(f"{seed} links"))
-        self._settings: dict[str, Any] = {"told": agents, "seed": seed, **settings}
+        self._settings: dict[str, Any] = {"configured_agents": agents, "seed": seed, **settings}
         self._drift, self._make = drift, make
         self._heap: list[tuple[int, int, Callable[..., object], tuple[Any, ...]]] = []
         self._order = 0
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -158,7 +158,7 @@
 class TellsNobodyThatCameBack(peers.Fleet):
     def _finish_event(self, now: int) -> None:
         super()._finish_event(now)
-        self._healed_periods, self._found_again = 0, []
+        self._healed_periods, self._rediscovered = 0, []
 
 
 def exact_after_a_cut(make: Callable[[peers.FleetSettings, int, int], peers.Fleet] = peers.Fleet) -> None:
