--- a/lilacsill/__main__.py
+++ b/lilacsill/__main__.py
@@ -11,19 +11,20 @@
 import signal
 import sys
 
-from lilacsill.clock import Clock
-from lilacsill.agent.config import Config, ConfigError, load
 from lilacsill.agent.assembly import Options, budget_for, check_reserve
+from lilacsill.agent.config import Config, ConfigError, load
 from lilacsill.agent.run import serve
+from lilacsill.clock import Clock
 
 # Sub-commands of hosted mode, which bring a command line of their own.
 HOSTED = frozenset(("hosted", "tenants", "pools", "credentials", "events", "status", "store"))
 
 
 def main(argv: list[str]) -> int:
+    """Run the command line; return the exit status."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     clock = Clock()
-    # One that comes before it is handled is no loss: the files are read after this.
+    # A SIGHUP before its handler is installed can be ignored: the files are read after this.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     command, path = "run", os.environ.get("LILACSILL_OPERATOR") or None
     if argv and argv[0] in HOSTED:
@@ -39,23 +40,23 @@
 
         return recovery(argv[1:])
     if argv:
-        # The platform's run line has no arguments, and an agent with 32 MB has no use for argparse.
+        # Imported here: the platform's command has no arguments, and an agent with 32 MB cannot spare the memory.
         from lilacsill.agent.cli import parse
 
         arguments = parse(argv)
         command, path = arguments.command, arguments.operator or path
     try:
-        options = _options(path)
+        options = _load_options(path)
         if command == "check-config":
-            return _check(options, clock)
+            return _check_config(options, clock)
         config = load(os.environ, clock)
-    except ConfigError as e:
-        print(f"lilacsill: {e}", file=sys.stderr)
+    except ConfigError as error:
+        print(f"lilacsill: {error}", file=sys.stderr)
         return 2
     return asyncio.run(serve(config, clock, options))
 
 
-def _options(path: str | None) -> Options:
+def _load_options(path: str | None) -> Options:
     if path is None:
         return Options()
     from lilacsill.agent.operator.file import OperatorError
@@ -63,12 +64,12 @@
 
     try:
         return Options(path, load_operator(path))
-    except OperatorError as e:
-        raise ConfigError(str(e)) from None
+    except OperatorError as error:
+        raise ConfigError(str(error)) from None
 
 
-def _check(options: Options, clock: Clock) -> int:
-    """All that a start would read, without one."""
+def _check_config(options: Options, clock: Clock) -> int:
+    """Read and check all that a start would read."""
     from lilacsill.agent.cli import report_checked
 
     checked: list[str] = []
--- a/lilacsill/agent/admin/operations_file.py
+++ b/lilacsill/agent/admin/operations_file.py
@@ -15,7 +15,7 @@
 
 from .operations_state import OperationsState, decode
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("lilacsill.agent.admin.file")  # kept when the module was renamed: logs show it
 
 FILE_NAME = "lilacsill-operations.json"
 # Another writer needs less than a millisecond; one that hangs must not block this one for long.
--- a/lilacsill/agent/outbound/exchange.py
+++ b/lilacsill/agent/outbound/exchange.py
@@ -20,7 +20,7 @@
 if TYPE_CHECKING:
     from .backends import Backends
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("lilacsill.agent.outbound.attempts")  # kept when the module was renamed: logs show it
 
 HOST = (b"Host", b"origin.svc")
 LOAD_PATH = b"/_load"
--- a/lilacsill/agent/peers/agent_bridge.py
+++ b/lilacsill/agent/peers/agent_bridge.py
@@ -20,7 +20,7 @@
 from .membership import StateChange
 from .records import MemberState
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("lilacsill.agent.peers.feed")  # kept when the module was renamed: logs show it
 
 COLD = BUDGETS.index("cold")
 CHECK_INTERVAL_US = 100_000  # between checks for unhealthy backends, while there are errors
--- a/lilacsill/agent/peers/event_export.py
+++ b/lilacsill/agent/peers/event_export.py
@@ -20,7 +20,7 @@
 from .fleet import BUDGETS, Fleet
 from .records import SHARE_UNITS, MemberState
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("lilacsill.agent.peers.telling")  # kept when the module was renamed: logs show it
 
 METRICS_INTERVAL_US = 5_000_000
 
--- a/lilacsill/agent/peers/transport.py
+++ b/lilacsill/agent/peers/transport.py
@@ -15,7 +15,7 @@
 from .datagram import MAX_DATAGRAM_BYTES
 from .fleet import Fleet
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("lilacsill.agent.peers.shell")  # kept when the module was renamed: logs show it
 
 RECEIVE_BUFFER_BYTES = 1 << 18  # of the kernel, for datagrams that arrive while this process does not run
 BIND_RETRY_US = 1_000_000  # where another process uses the address
--- a/lilacsill/agent/recovery/service.py
+++ b/lilacsill/agent/recovery/service.py
@@ -22,7 +22,7 @@
 from .store import LoadResult, StateStore, boot_id
 from .trust import InitialKnowledge, SavedListing, StartTime, choose_knowledge, listing_doc
 
-log = logging.getLogger(__name__)
+log = logging.getLogger("lilacsill.agent.recovery.room")  # kept when the module was renamed: logs show it
 
 # Delay of a save after a change of the list or by operators; changed latencies alone wait for the next regular save.
 SAVE_DELAY_US = 500_000
