--- a/tests/control/defects_point_4.py
+++ b/tests/control/defects_point_4.py
@@ -23,7 +23,7 @@
 HUGE = 1 << 40
 
 
-def what_a_lower_copy_has_more_is_overwritten(patch: Patch) -> None:
+def newer_changes_of_the_successor_are_overwritten(patch: Patch) -> None:
     def on_summary(self: SuccessorLink, epoch: int, summary: Message | None) -> None:
         if isinstance(summary, Summary) and summary.seq > self._replica.state.seq:
             summary = Summary(False, summary.seq, summary.digests)
@@ -33,7 +33,7 @@
     patch.setattr(SuccessorLink, "_on_summary", on_summary)
 
 
-def the_head_gives_out_numbers_unconfirmed(patch: Patch) -> None:
+def the_head_appends_unconfirmed(patch: Patch) -> None:
     patch.setattr(
         Chain,
         "may_append",
@@ -41,19 +41,19 @@
     )
 
 
-def messages_have_no_bound(patch: Patch) -> None:
+def repair_chunks_have_no_bound(patch: Patch) -> None:
     patch.setattr(successor, "REPAIR_CHUNK_BYTES", HUGE)
 
 
-def a_large_call_is_one_message(patch: Patch) -> None:
+def batches_have_no_bound(patch: Patch) -> None:
     patch.setattr(successor, "MAX_BATCH_BYTES", HUGE)
 
 
-def a_fill_begins_anew(patch: Patch) -> None:
+def an_interrupted_repair_starts_over(patch: Patch) -> None:
     patch.setattr(successor, "differing_ranges", lambda mine, others: list(range(RANGE_COUNT)))
 
 
-def any_piece_makes_a_copy_whole(patch: Patch) -> None:
+def any_chunk_completes_a_repair(patch: Patch) -> None:
     def save(self: Chain, save: Save, done: Callable[[], None]) -> None:
         if "whole" in save.facts:
             save.facts["whole"] = b"1"
@@ -63,7 +63,7 @@
     patch.setattr(Chain, "_save", save)
 
 
-def a_view_is_saved_without_the_word_whether_the_copy_is_whole(patch: Patch) -> None:
+def views_are_saved_without_completeness(patch: Patch) -> None:
     def view_facts(self: Replica) -> dict[str, bytes]:
         made = real(self)
         return {"view": made["view"]} if "whole" in self.environment.disk.facts else made  # type: ignore[attr-defined]
@@ -72,7 +72,7 @@
     patch.setattr(Replica, "view_facts", view_facts)
 
 
-def the_number_is_saved_before_the_items(patch: Patch) -> None:
+def the_sequence_number_is_saved_before_the_items(patch: Patch) -> None:
     def save(self: Chain, save: Save, done: Callable[[], None]) -> None:
         self._environment.save(Save(facts=save.facts), lambda: None)
         real(self, Save(save.items, save.ranges, {}, save.tombstone_floor), done)
@@ -81,7 +81,7 @@
     patch.setattr(Chain, "_save", save)
 
 
-def a_view_leaves_what_is_being_saved_behind(patch: Patch) -> None:
+def pending_saves_are_not_replicated_in_the_next_view(patch: Patch) -> None:
     def save(self: Chain, save: Save, done: Callable[[], None]) -> None:
         link = self.successor
         epoch = link._epoch
@@ -102,7 +102,7 @@
     patch.setattr(Chain, "_save", save)
 
 
-def the_floor_stays_at_the_head(patch: Patch) -> None:
+def the_tombstone_floor_is_not_replicated(patch: Patch) -> None:
     def send(self: SuccessorLink, message: Replicate, answered: Any) -> None:
         real(self, msgspec.structs.replace(message, tombstone_floor=0), answered)
 
@@ -118,10 +118,10 @@
     patch.setattr(Chain, "_save", save)
 
 
-# Of the disk
+# Defects of the disk
 
 
-def a_disk_that_refuses_has_its_file_put_away(patch: Patch) -> None:
+def a_failing_disk_has_its_file_moved_away(patch: Patch) -> None:
     def begin(self: Disk) -> sqlite3.Connection:
         try:
             return self._open()
@@ -132,7 +132,7 @@
     patch.setattr(Disk, "_open_with_retries", begin)
 
 
-def names_are_not_synced_one_by_one(patch: Patch) -> None:
+def renames_are_not_synced_one_by_one(patch: Patch) -> None:
     def move_away(self: Disk) -> None:
         for ending in ("", "-wal", "-shm", "-journal"):
             if os.path.exists(self._path + ending):
@@ -141,7 +141,7 @@
     patch.setattr(Disk, "_move_away", move_away)
 
 
-def what_a_disk_refuses_is_told_as_saved(patch: Patch) -> None:
+def failed_commits_are_reported_as_saved(patch: Patch) -> None:
     def commit(self: Disk, batch: Any) -> bool:
         real(self, batch)
         return True
--- a/tests/control/long_days.py
+++ b/tests/control/long_days.py
@@ -1,5 +1,8 @@
-"""Scenes of long days in virtual time: a member is out for all of it, or filled while there is trouble, or comes back
-with an old disk. Each raises RuleBroken where something is not as it must be."""
+"""Scenes in virtual time with a large state and many changes.
+
+A member is down for all of the changes, is repaired while faults occur, or returns with an old disk. Each scene raises
+RuleBroken where a rule is broken.
+"""
 
 from __future__ import annotations
 
@@ -19,16 +22,16 @@
 from .long_days_scene import Scene, Sent
 
 ROUTES, CHANGES, AT_ONCE = 2000, 1000, 40
-THIN = 250_000  # bytes a second: 2 Mbit/s
-MOST_MESSAGE = 70_000  # bytes that may go down a thin link at once: heartbeats wait behind them
+NARROW_BYTES_PER_S = 250_000  # 2 Mbit/s
+MAX_MESSAGE_BYTES = 70_000  # in one message on a narrow link: heartbeats wait behind it
 Patch = pytest.MonkeyPatch
 
 
-# A member that was out for all of it
+# A member that was down for all of the changes
 
 
-def out_for_long(thin: bool, place: int, changes: int = CHANGES) -> Scene:
-    """A member is away for so many changes, and back, with its disk, while more go on."""
+def returns_after_changes(narrow: bool, place: int, changes: int = CHANGES) -> Scene:
+    """Return a scene in which a member was down for so many changes and is back with its disk."""
     scene = Scene(ROUTES)
     address = scene.at(place)
     scene.net.machines[address].end(power=True)
@@ -37,34 +40,36 @@
         scene.change(AT_ONCE)
         scene.run(80 * MS)
     scene.run(1 * S)
-    if thin:
-        scene.net.bandwidth[address] = THIN
+    if narrow:
+        scene.net.bandwidth[address] = NARROW_BYTES_PER_S
     scene.fleet.start(address)
     return scene
 
 
-def catches_up(thin: bool, place: int) -> None:
-    scene = out_for_long(thin, place)
+def catches_up(narrow: bool, place: int) -> None:
+    scene = returns_after_changes(narrow, place)
     address = scene.at(place)
     sent = Sent(scene, address)
     scene.watch_leaders(scene.time.now + 6 * S)
     scene.changes(150 * MS, 30)
-    within = 8 * S if thin else 2 * S
+    within = 8 * S if narrow else 2 * S
     scene.until_whole(address, within)
     scene.settle(6 * S)
     size = scene.fleet.stores[address].replica.state.size
-    if thin and sent.largest > MOST_MESSAGE:
-        raise RuleBroken(f"a message of {sent.largest} bytes goes down a thin link")
+    if narrow and sent.largest > MAX_MESSAGE_BYTES:
+        raise RuleBroken(f"a message of {sent.largest} bytes is sent over a narrow link")
     if sent.total > 1.5 * size:
         raise RuleBroken(f"{sent.total} bytes for a state of {size}")
 
 
-def one_large_call_on_a_thin_link() -> None:
-    """All routes change at once, and the tail has a thin link: heartbeats pass, nobody is thrown out. The call is given
-    to the head, for on its way over the tail's link it would be what makes heartbeats late."""
+def one_large_call_on_a_narrow_link() -> None:
+    """All routes change at once, and the tail has a narrow link: heartbeats pass, and nobody is suspended.
+
+    The call is sent to the head, since on the link of the tail it would itself delay the heartbeats.
+    """
     scene = Scene(600)
     tail = scene.at(2)
-    scene.net.bandwidth[tail] = THIN
+    scene.net.bandwidth[tail] = NARROW_BYTES_PER_S
     sent = Sent(scene, tail)
     call, statuses = patch_of(scene, 600), list[int]()
 
@@ -79,23 +84,23 @@
     ask()
     scene.run(4 * S)
     if {s.replica.view.number for s in scene.fleet.stores.values()} != {scene.view.number}:
-        raise RuleBroken("a member is thrown out over a large call")
-    if statuses != [200] or sent.largest > MOST_MESSAGE:
+        raise RuleBroken("a member is suspended because of a large call")
+    if statuses != [200] or sent.largest > MAX_MESSAGE_BYTES:
         raise RuleBroken(f"answers: {statuses}, largest message {sent.largest}")
     scene.settle()
 
 
-# Trouble in the middle of a fill
+# Faults during a repair
 
 
-def trouble(scene: Scene, address: str, kind: str) -> None:
+def inject_fault(scene: Scene, address: str, kind: str) -> None:
     machine = scene.net.machines[address]
     if kind == "kill":
         machine.end(power=False)
         scene.time.after(100 * MS, scene.fleet.start, address)
     elif kind == "torn":
         scene.restart(address)
-    elif kind == "full":  # it refuses what is written: nothing is told until there is room
+    elif kind == "full":  # commits fail: nothing is reported until there is room
         machine.disk.stall(2 * S)
     elif kind == "slow":
         machine.disk.sync_us = 120 * MS
@@ -105,36 +110,40 @@
         scene.time.after(1500 * MS, scene.net.heal, cut)
 
 
-def fill_meets(kind: str, seed: int = 4) -> None:
-    """A member with an empty disk is filled over a thin link, and halfway there is trouble; changes go on."""
+def repair_meets_fault(kind: str, seed: int = 4) -> None:
+    """A member with an empty disk is repaired over a narrow link, and halfway a fault occurs; changes go on."""
     scene = Scene(1000, seed)
     address = scene.at(seed % 3)
     machine = scene.net.machines[address]
     machine.end(power=True)
     machine.disk.wiped()
     scene.run(1500 * MS)
-    scene.net.bandwidth[address] = THIN
+    scene.net.bandwidth[address] = NARROW_BYTES_PER_S
     scene.fleet.start(address)
     sent = Sent(scene, address)
     scene.watch_leaders(scene.time.now + 12 * S)
     scene.changes(400 * MS, 20)
     while len(scene.fleet.stores[address].replica.state.items) < 500:
         scene.run(5 * MS)
-    trouble(scene, address, kind)
+    inject_fault(scene, address, kind)
     scene.run(300 * MS)
     scene.until_whole(address, 9 * S)
     scene.settle(9 * S)
     size = scene.fleet.stores[address].replica.state.size
-    if kind in ("kill", "torn") and sent.total > 1.1 * size:  # a message has less than the size counts
-        raise RuleBroken(f"a fill that was broken off halfway took {sent.total} bytes for a state of {size}")
+    if (
+        kind in ("kill", "torn") and sent.total > 1.1 * size
+    ):  # the size of a state counts more than its items take in messages
+        raise RuleBroken(f"a repair that was interrupted halfway took {sent.total} bytes for a state of {size}")
+
 
+# A disk that loses any suffix of what it had not synced
 
-# A disk that loses any part of what it had not synced
 
+def power_loss_drops_last_saves(step: int, kept: int, place: int = 2) -> None:
+    """A member is repaired while changes go on, and loses power after `step` saves.
 
-def loses_its_last_writes(step: int, kept: int, place: int = 2) -> None:
-    """A member is filled anew while changes go on; after so many saves of its life its power goes, and the first
-    `kept` of those not synced are there; then the member before it goes, too."""
+    Of the saves that were not synced the first `kept` are on its disk. Then its predecessor fails, too.
+    """
     scene = Scene(60, seed=step)
     address = scene.at(place)
     machine = scene.net.machines[address]
@@ -159,12 +168,12 @@
 
     machine.disk.save = save  # type: ignore[assignment, method-assign]
     scene.run(3 * S)
-    judge_reads(scene)
+    check_reads(scene)
     scene.settle()
 
 
-def judge_reads(scene: Scene) -> None:
-    """A read shows all that was acknowledged before it."""
+def check_reads(scene: Scene) -> None:
+    """Check that a read shows everything that was acknowledged before it."""
     acked, found = dict(scene.acked), list[Reply]()
     for address in scene.fleet.up():
         if address in scene.fleet.stores:
@@ -181,17 +190,19 @@
             raise RuleBroken(f"a read lacks {old[:5]}")
 
 
-def all_last_writes(patch: Patch) -> None:
+def power_losses_drop_last_saves(patch: Patch) -> None:
     patch.setattr(successor, "REPAIR_CHUNK_BYTES", 2000)
     for step in range(1, 46, 4):
         for kept in range(3):
-            loses_its_last_writes(step, kept)
+            power_loss_drops_last_saves(step, kept)
 
 
 def newer_view_older_data(saves: list[int], kept: int) -> None:
-    """The head is cut off with calls on its disk that nobody acknowledged. It is back when later views stand, and its
-    power goes as soon as so many saves of its next life are on its disk, with the first `kept` of those that follow;
-    then again in the life after it."""
+    """The head is partitioned with calls on its disk that were never acknowledged, and returns in a later view.
+
+    Its power fails after each number of saves in `saves`, one in each incarnation of its process; of the saves that
+    are pending then the first `kept` are on its disk.
+    """
     scene = Scene(30)
     head, others = scene.at(0), {scene.at(1), scene.at(2)}
     cut = scene.net.cut({head}, others)
@@ -216,7 +227,7 @@
         scene.restart(head, kept, 5 * MS)
         later = msgspec.msgpack.decode(disk.facts["view"], type=View).number > scene.view.number
         if later and disk.facts["whole"] == b"1" and any(("route", r["Name"]) in disk.items for r in rules):
-            raise RuleBroken("a disk says that its copy is whole, and holds what nobody acknowledged")
+            raise RuleBroken("a disk says that its copy is complete, and holds changes that were never acknowledged")
 
     def save(asked: Any, done: Callable[[], None]) -> None:
         def saved() -> None:
@@ -233,15 +244,15 @@
     scene.changes(60 * MS, 25)
     for _ in range(500):
         scene.run(5 * MS)
-        for address in (a for a in scene.fleet.up() if a in scene.fleet.stores and scene.is_whole(a)):
+        for address in (a for a in scene.fleet.up() if a in scene.fleet.stores and scene.is_synced(a)):
             state = scene.fleet.stores[address].replica.state
-            if any(("route", r["Name"]) in state.items for r in rules) or scene.lacking(state):
+            if any(("route", r["Name"]) in state.items for r in rules) or scene.missing(state):
                 raise RuleBroken(f"{address} holds what nobody acknowledged, or lacks what was")
     scene.settle()
 
 
 def newer_views_older_data(patch: Patch) -> None:
-    """At each of the saves of views and of the pieces that follow."""
+    """At each of the saves of views and of the chunks that follow."""
     patch.setattr(successor, "REPAIR_CHUNK_BYTES", 300)
     for first in range(1, 4):
         for second in range(1, 8):
@@ -270,7 +281,7 @@
         store = scene.fleet.stores[address]
         store.handlers[PatchCall](patch_of(scene, 9), lambda m: None)
     scene.run(3 * S)
-    judge_reads(scene)
+    check_reads(scene)
     scene.settle()
 
 
@@ -281,8 +292,10 @@
 
 
 def view_changes_while_the_head_saves() -> None:
-    """What the head was saving as the view changed goes down all the same, else the call could not be taken when it is
-    sent again. One member is away, so that no further view helps."""
+    """What the head saves while the view changes is replicated all the same.
+
+    Otherwise the call could not be accepted when it is retried. One member is down, so that no further view helps.
+    """
     scene = Scene(5)
     scene.net.machines[scene.at(2)].end(power=True)
     scene.run(3 * S)
@@ -299,14 +312,14 @@
     if not scene.acks:
         raise RuleBroken("the call is not acknowledged")
     if scene.fleet.stores[scene.at(1)].replica.state.seq < head.replica.state.seq:
-        raise RuleBroken("the copy below lacks a call for good")
+        raise RuleBroken("the successor never gets a call")
 
 
 # Tombstones
 
 
-def drops_are_bounded(monkeypatch: Patch) -> None:
-    """Many routes are dropped; all copies forget the same old ones, a restarted and a refilled one too."""
+def tombstones_are_bounded(monkeypatch: Patch) -> None:
+    """Many routes are dropped; all copies collect the same old tombstones, also a restarted and a repaired one."""
     monkeypatch.setattr(states, "MAX_TOMBSTONES", 40)
     monkeypatch.setattr(states, "COLLECTED_AT_ONCE", 8)
     scene = Scene(30)
@@ -335,7 +348,7 @@
         disk = scene.net.machines[address].disk
         if sum(i.body is None for i in disk.items.values()) != store.replica.state.tombstones:
             raise RuleBroken(f"{address}: the disk keeps what was collected")
-    # An older change of what was dropped is sent again: it is taken, and changes nothing.
+    # An older change of a dropped item is retried: it is accepted and changes nothing.
     scene.operator.call(put([route("d11-3", 5, "/d11-3/")]), statuses.append)
     scene.run(1 * S)
     assert statuses[-1] == 200
--- a/tests/control/long_days_disk.py
+++ b/tests/control/long_days_disk.py
@@ -1,4 +1,4 @@
-"""What happens to the file of one copy: a disk that is full or refuses, names that a loss of power takes back."""
+"""Scenes with a real file: a disk that is full or fails, renames that a power loss undoes."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def save_all(reactor: Reactor, disk: Disk, saves: list[Save], meanwhile: Callable[[], None] = lambda: None) -> None:
-    """Until all are on disk."""
+    """Save, and run the loop until all saves are on disk."""
     done: list[int] = []
     late: list[bool] = []
     reactor.after(LATE_US, late.append, True)
@@ -54,35 +54,35 @@
     assert done == list(range(len(saves)))
 
 
-def full_in_the_middle_of_a_fill(folder: Path) -> None:
-    """There is no room left for some time: nothing is told, and then all goes on in its order."""
+def disk_full_during_repair(folder: Path) -> None:
+    """The disk is full for some time: nothing is reported meanwhile, and then all saves complete in order."""
     with loop() as reactor:
         disk = Disk(reactor, str(folder))
         save_all(reactor, disk, [Save(items(1, 50), facts={"seq": b"50", "whole": b"0"})])
         disk._db.execute("pragma max_page_count=10")
-        told: list[str] = []
-        disk.save(Save(items(51, 400), [], {"seq": b"450", "whole": b"0"}), lambda: told.append("piece"))
-        disk.save(Save(items(451, 9), [], {"seq": b"459", "whole": b"1"}), lambda: told.append("last"))
+        reported: list[str] = []
+        disk.save(Save(items(51, 400), [], {"seq": b"450", "whole": b"0"}), lambda: reported.append("chunk"))
+        disk.save(Save(items(451, 9), [], {"seq": b"459", "whole": b"1"}), lambda: reported.append("last"))
         until: list[bool] = []
         reactor.after(300_000, until.append, True)
         while not until:
             reactor.turn()
-        if told or disk.oldest_save_age_us() < 200_000:
-            raise RuleBroken("what a full disk refused is told as saved")
+        if reported or disk.oldest_save_age_us() < 200_000:
+            raise RuleBroken("what a full disk rejected is reported as saved")
         disk._db.execute("pragma max_page_count=100000")
         late: list[bool] = []
         reactor.after(5_000_000, late.append, True)
-        while len(told) < 2 and not late:
+        while len(reported) < 2 and not late:
             reactor.turn()
         disk.close()
-        again = Disk(reactor, str(folder))
-        if told != ["piece", "last"] or len(again.items) != 459 or again.facts["whole"] != b"1":
+        reopened = Disk(reactor, str(folder))
+        if reported != ["chunk", "last"] or len(reopened.items) != 459 or reopened.facts["whole"] != b"1":
             raise RuleBroken("not all is there when there is room again")
-        again.close()
+        reopened.close()
 
 
-def refuses_at_the_start(folder: Path, patch: Patch) -> None:
-    """Errors of the disk at the start put nothing away: the copy is there as soon as it can be read."""
+def disk_fails_at_the_start(folder: Path, patch: Patch) -> None:
+    """Errors of the disk at the start move no file away: the copy is there as soon as it can be read."""
     patch.setattr(disks, "MAX_RETRY_DELAY_S", 0.01)
     with loop() as reactor:
         disk = Disk(reactor, str(folder))
@@ -97,14 +97,14 @@
             return real(self)
 
         patch.setattr(Disk, "_open", refuses)
-        again = Disk(reactor, str(folder))
-        again.close()
-        if len(again.items) != 5 or (folder / f"{FILE_NAME}.bad").exists():
-            raise RuleBroken("a file that was good is put away")
+        reopened = Disk(reactor, str(folder))
+        reopened.close()
+        if len(reopened.items) != 5 or (folder / f"{FILE_NAME}.bad").exists():
+            raise RuleBroken("a file that was good is moved away")
 
 
-def refuses_for_good(folder: Path, patch: Patch) -> None:
-    """The start ends with the reason, and the file stays."""
+def disk_fails_for_good(folder: Path, patch: Patch) -> None:
+    """The start ends with an error, and the file stays in place."""
     patch.setattr(disks, "START_TIMEOUT_S", 0.05)
     patch.setattr(disks, "MAX_RETRY_DELAY_S", 0.01)
     (folder / FILE_NAME).write_bytes(b"")
@@ -119,12 +119,12 @@
 
 
 class Names:
-    """Renames in one folder: which of them last whatever happens, and what lasted as each was made."""
+    """Records the renames in a folder, and for each the renames that were durable before it."""
 
     def __init__(self, patch: Patch) -> None:
         self._made: set[str] = set()
         self._durable: set[str] = set()
-        self.before: dict[str, set[str]] = {}  # file: names that were gone for good as it was renamed
+        self.before: dict[str, set[str]] = {}  # file: names whose renames were durable when it was renamed
         replace, fsync = os.replace, os.fsync
 
         def renamed(a: str, b: str) -> None:
@@ -140,9 +140,11 @@
         patch.setattr(os, "fsync", synced)
 
 
-def put_away_and_dark(folder: Path, patch: Patch) -> None:
-    """The file is spoilt, and sqlite has left its log, with later calls. At no moment of putting them away may a loss
-    of power leave the file without its log: that would be an older state, and good to read."""
+def power_loss_while_moving_away(folder: Path, patch: Patch) -> None:
+    """The file is corrupt, and sqlite has left its log with later changes.
+
+    At no moment of the renames may a power loss leave the file without its log: it would be a valid older state.
+    """
     with loop() as reactor:
         disk = Disk(reactor, str(folder))
         save_all(reactor, disk, [Save(items(1, 50), facts={"seq": b"50"})])
@@ -153,11 +155,11 @@
         disk._move_away()
     assert (folder / f"{FILE_NAME}.bad").exists() and (folder / f"{FILE_NAME}-wal.bad").exists()
     if FILE_NAME not in names.before[f"{FILE_NAME}-wal"]:
-        raise RuleBroken("the log is renamed before the file's new name is sure to last")
+        raise RuleBroken("the log is renamed before the file's new name is durable")
 
 
 def log_without_its_file(folder: Path) -> None:
-    """What is left of a file that was put away, before its log was: nothing of it comes back."""
+    """A log whose file was moved away is not taken for a state."""
     with loop() as reactor:
         live = folder / "live"
         live.mkdir()
@@ -173,8 +175,8 @@
             raise RuleBroken("a log without its file is taken for a state")
 
 
-def long_day_on_disk(folder: Path) -> None:
-    """1,000 changes of 2,000 routes, a fill, and drops of half of them: what the files take."""
+def many_changes_on_disk(folder: Path) -> None:
+    """1,000 changes of 2,000 routes, a repair, and drops of half of them: the size of the files is bounded."""
     with loop() as reactor:
         disk = Disk(reactor, str(folder))
         save_all(reactor, disk, [Save(items(1, 2000), facts={"seq": b"2000"})])
@@ -192,9 +194,9 @@
             e: (folder / (FILE_NAME + e)).stat().st_size for e in ("", "-wal") if (folder / (FILE_NAME + e)).exists()
         }
         disk.close()
-        again = Disk(reactor, str(folder))
-        again.close()
-    if len(again.items) != 1000 or any(i.body is None for i in again.items):
-        raise RuleBroken(f"{len(again.items)} items are left of 1000")
+        reopened = Disk(reactor, str(folder))
+        reopened.close()
+    if len(reopened.items) != 1000 or any(i.body is None for i in reopened.items):
+        raise RuleBroken(f"{len(reopened.items)} items are left of 1000")
     if sizes[""] > 3 * state or sizes.get("-wal", 0) > MAX_LOG_BYTES + state:
         raise RuleBroken(f"files of {sizes} for a state of {state}")
--- a/tests/control/long_days_scene.py
+++ b/tests/control/long_days_scene.py
@@ -1,4 +1,4 @@
-"""A fleet with a state of some size, its operator, what was acknowledged, and what must hold of all copies."""
+"""A fleet with a state of some size, its operator, the acknowledged changes, and the checks of all copies."""
 
 from __future__ import annotations
 
@@ -20,18 +20,20 @@
         self.acked: dict[str, int] = dict.fromkeys(self.names, 1)
         self.version = 1
         self.acks = 0
-        self._judged: dict[str, tuple[int, int]] = {}  # address: number and acknowledgements as of the last look
+        self._judged: dict[
+            str, tuple[int, int]
+        ] = {}  # address: sequence number and acknowledgements as of the last check
         self.view = next(iter(self.fleet.stores.values())).replica.view
 
     def at(self, place: int) -> str:
-        """Address of a member of the first view."""
+        """Return the address of a member of the first view."""
         return self.view.members[place].address
 
     def run(self, us: int) -> None:
         self.time.run(self.time.now + us)
 
     def change(self, count: int = 1, operator: Operator | None = None) -> None:
-        """One call that sets so many routes anew; what is acknowledged is kept in mind."""
+        """Send one call that changes so many routes, and remember it when it is acknowledged."""
         self.version += 1
         named = [self.names[(self.version * 7 + i * 13) % len(self.names)] for i in range(count)]
         changed = dict.fromkeys(named, self.version)
@@ -51,51 +53,51 @@
         for number in range(count):
             self.time.after(number * every_us, self.change)
 
-    def lacking(self, state: ConfigState) -> list[str]:
-        """What was acknowledged and is not there."""
+    def missing(self, state: ConfigState) -> list[str]:
+        """Return the routes of which an acknowledged version is missing."""
         return [n for n, v in self.acked.items() if (held := state.version("route", n)) is None or held < v]
 
     def watch_leaders(self, until: int) -> None:
-        """At every millisecond: who may give out numbers has all that was acknowledged."""
+        """Check at each millisecond that a head that may append has everything that was acknowledged."""
         for address in self.fleet.up():
             store = self.fleet.stores.get(address)
             if store is None or not store.chain.may_append or not store.membership.sure():
                 continue
             as_of = (store.replica.state.seq, self.acks)
-            if self._judged.get(address) != as_of and self.lacking(store.replica.state):
+            if self._judged.get(address) != as_of and self.missing(store.replica.state):
                 raise RuleBroken(f"{address} leads with an old state")
             self._judged[address] = as_of
         if self.time.now < until:
             self.time.after(MS, self.watch_leaders, until)
 
-    def is_whole(self, address: str) -> bool:
-        """In the chain, and known to have all."""
+    def is_synced(self, address: str) -> bool:
+        """Return whether that machine is in the chain and synced."""
         store = self.fleet.stores[address]
         return (store.replica.is_tail or store.replica.successor is not None) and store.chain.synced
 
     def until_whole(self, address: str, within_us: int) -> int:
-        """Microseconds until that member is whole."""
+        """Run until that member is synced. Return how many microseconds that took."""
         began = self.time.now
-        while not self.is_whole(address):
+        while not self.is_synced(address):
             if self.time.now - began > within_us:
-                raise RuleBroken(f"{address} is not whole after {within_us // MS} ms")
+                raise RuleBroken(f"{address} is not synced after {within_us // MS} ms")
             self.run(5 * MS)
         return self.time.now - began
 
     def settle(self, us: int = 4 * S) -> None:
-        """After quiet all copies are the same, and nothing that was acknowledged is missing."""
+        """Check, after some time without faults, that all copies are equal and have every acknowledged change."""
         self.run(us)
         copies = [s.replica for a, s in self.fleet.stores.items() if self.net.machines[a].up]
         members = [c for c in copies if c.is_member]
         if len(members) < 3 or not all(c.complete for c in members):
-            raise RuleBroken("a member is not whole")
+            raise RuleBroken("a member is not complete")
         if len({c.state.digest() for c in members}) != 1 or len({c.state.seq for c in members}) != 1:
             raise RuleBroken("copies differ")
-        if self.lacking(members[0].state):
-            raise RuleBroken(f"lacking: {self.lacking(members[0].state)[:5]}")
+        if self.missing(members[0].state):
+            raise RuleBroken(f"missing: {self.missing(members[0].state)[:5]}")
 
     def restart(self, address: str, kept: int = -1, dark_us: int = 100 * MS) -> None:
-        """Power goes; of what the disk was still to sync the first `kept` saves are there."""
+        """Cut the power; of the pending saves the first `kept` are on disk."""
         machine = self.net.machines[address]
         machine.end(power=False)
         machine.disk.power_lost(kept)
@@ -103,7 +105,7 @@
 
 
 class Sent:
-    """Sizes of what goes down the chain to one machine."""
+    """Sizes of the `Replicate` messages to one machine."""
 
     def __init__(self, scene: Scene, address: str) -> None:
         self.total = self.largest = 0
--- a/tests/control/test_point_4_long_days.py
+++ b/tests/control/test_point_4_long_days.py
@@ -1,5 +1,8 @@
-"""Point 4, long days: a member that was out for a thousand changes of two thousand routes is whole again while changes
-go on, whatever befalls its link, its disk or its process meanwhile; who holds an old state never leads."""
+"""Point 4, long days: repair under load, and no member with an old state ever leads.
+
+A member that was down for a thousand changes of two thousand routes is synced again while changes go on, also when its
+link, its disk or its process fails meanwhile.
+"""
 
 from __future__ import annotations
 
@@ -19,53 +22,53 @@
 from .long_days import (
     ROUTES,
     Patch,
-    all_last_writes,
+    power_losses_drop_last_saves,
     catches_up,
-    drops_are_bounded,
-    fill_meets,
+    tombstones_are_bounded,
+    repair_meets_fault,
     newer_views_older_data,
     old_disk_is_back,
-    one_large_call_on_a_thin_link,
+    one_large_call_on_a_narrow_link,
     view_changes_while_the_head_saves,
 )
 from .long_days_disk import (
-    full_in_the_middle_of_a_fill,
+    disk_full_during_repair,
     log_without_its_file,
-    long_day_on_disk,
-    put_away_and_dark,
-    refuses_at_the_start,
-    refuses_for_good,
+    many_changes_on_disk,
+    power_loss_while_moving_away,
+    disk_fails_at_the_start,
+    disk_fails_for_good,
 )
 
-# A member that was out for all of it
+# A member that was down for all of the changes
 
 
-@pytest.mark.parametrize("thin", [False, True], ids=["wide", "thin"])
+@pytest.mark.parametrize("narrow", [False, True], ids=["wide", "narrow"])
 @pytest.mark.parametrize("place", [0, 2], ids=["head", "tail"])
-def test_a_member_that_was_out_is_whole_again_while_changes_go_on(thin: bool, place: int) -> None:
-    catches_up(thin, place)
+def test_a_returning_member_is_synced_while_changes_go_on(narrow: bool, place: int) -> None:
+    catches_up(narrow, place)
 
 
-def test_one_large_call_on_a_thin_link_throws_nobody_out() -> None:
-    one_large_call_on_a_thin_link()
+def test_one_large_call_on_a_narrow_link_suspends_nobody() -> None:
+    one_large_call_on_a_narrow_link()
 
 
-# Trouble in the middle of a fill
+# Faults during a repair
 
 
 @pytest.mark.parametrize("kind", ["kill", "torn", "full", "slow", "cut"])
-def test_a_fill_goes_on_after(kind: str) -> None:
-    fill_meets(kind)
+def test_a_repair_goes_on_after_a_fault(kind: str) -> None:
+    repair_meets_fault(kind)
 
 
-# A disk that loses any part of what it had not synced
+# A disk that loses any suffix of what it had not synced
 
 
 def test_any_part_of_the_last_writes_may_be_lost(monkeypatch: Patch) -> None:
-    all_last_writes(monkeypatch)
+    power_losses_drop_last_saves(monkeypatch)
 
 
-def test_a_newer_view_never_comes_back_with_an_older_word_that_the_copy_is_whole(monkeypatch: Patch) -> None:
+def test_a_newer_view_is_never_recovered_with_outdated_completeness(monkeypatch: Patch) -> None:
     newer_views_older_data(monkeypatch)
 
 
@@ -78,7 +81,7 @@
     old_disk_is_back(place, early_call)
 
 
-def test_a_call_that_was_being_saved_as_the_view_changed_goes_down() -> None:
+def test_a_call_that_is_being_saved_at_a_view_change_is_replicated() -> None:
     view_changes_while_the_head_saves()
 
 
@@ -86,7 +89,7 @@
 
 
 def test_tombstones_are_bounded_and_the_same_on_all_copies(monkeypatch: Patch) -> None:
-    drops_are_bounded(monkeypatch)
+    tombstones_are_bounded(monkeypatch)
 
 
 def test_a_registry_keeps_a_bounded_number_of_dropped_items(monkeypatch: Patch) -> None:
@@ -103,36 +106,34 @@
     assert [i.name for i in registry.piece(0)[0]] == ["s"]
 
 
-# The files of one copy
+# The files of one replica
 
 
-def test_a_disk_that_is_full_in_the_middle_of_a_fill_tells_nothing_and_goes_on(tmp_path: Path) -> None:
-    full_in_the_middle_of_a_fill(tmp_path)
+def test_a_disk_that_is_full_during_a_repair_reports_nothing_and_goes_on(tmp_path: Path) -> None:
+    disk_full_during_repair(tmp_path)
 
 
-def test_a_disk_that_refuses_at_the_start_loses_nothing(tmp_path: Path, monkeypatch: Patch) -> None:
-    refuses_at_the_start(tmp_path, monkeypatch)
+def test_a_disk_that_fails_at_the_start_loses_nothing(tmp_path: Path, monkeypatch: Patch) -> None:
+    disk_fails_at_the_start(tmp_path, monkeypatch)
 
 
-def test_a_disk_that_refuses_for_good_ends_the_start_and_keeps_the_file(tmp_path: Path, monkeypatch: Patch) -> None:
-    refuses_for_good(tmp_path, monkeypatch)
+def test_a_disk_that_fails_for_good_ends_the_start_and_keeps_the_file(tmp_path: Path, monkeypatch: Patch) -> None:
+    disk_fails_for_good(tmp_path, monkeypatch)
 
 
-def test_a_loss_of_power_while_a_file_is_put_away_brings_no_older_state_back(
-    tmp_path: Path, monkeypatch: Patch
-) -> None:
+def test_a_power_loss_while_a_file_is_moved_away_brings_no_older_state_back(tmp_path: Path, monkeypatch: Patch) -> None:
     log_without_its_file(tmp_path)
-    put_away_and_dark(tmp_path, monkeypatch)
+    power_loss_while_moving_away(tmp_path, monkeypatch)
 
 
-def test_a_long_day_takes_a_bounded_part_of_the_disk(tmp_path: Path) -> None:
-    long_day_on_disk(tmp_path)
+def test_many_changes_take_a_bounded_part_of_the_disk(tmp_path: Path) -> None:
+    many_changes_on_disk(tmp_path)
 
 
-# Cost by size: what is looked at is counted in items, not in time
+# Order and ranges of items
 
 
-def test_what_was_changed_last_is_found_without_a_walk() -> None:
+def test_the_latest_changes_are_found_in_order() -> None:
     state = ConfigState()
     for seq in range(1, ROUTES + 1):
         state.apply([Item("route", f"r{seq}", 1, seq, b"{}")], seq)
@@ -140,12 +141,12 @@
     state.apply([Item("route", "r9", 2, ROUTES + 2, None)], ROUTES + 2)
     assert [i.name for i in state.items_since(ROUTES)] == ["r5", "r9"]
     assert [i.name for i in state.items_since(ROUTES - 1)] == [f"r{ROUTES}", "r5", "r9"]
-    mended = ConfigState()
-    mended.apply(reversed(state.items_since(0)), state.seq)  # in no order, as from a disk
-    assert mended.items_since(ROUTES - 1) == state.items_since(ROUTES - 1) and mended.digests == state.digests
+    reloaded = ConfigState()
+    reloaded.apply(reversed(state.items_since(0)), state.seq)  # in no order, as from a disk
+    assert reloaded.items_since(ROUTES - 1) == state.items_since(ROUTES - 1) and reloaded.digests == state.digests
 
 
-def test_ranges_are_kept_while_a_copy_is_filled_and_forgotten_then() -> None:
+def test_the_range_index_is_kept_up_to_date_during_a_repair() -> None:
     state, copy = ConfigState(), ConfigState()
     state.apply([Item("route", f"r{i}", 1, i, b"{}") for i in range(1, 300)], 299)
     copy.apply([Item("route", "extra", 1, 7, b"{}")], 7)
@@ -161,24 +162,24 @@
 
 
 FOUND_BY: list[tuple[Callable[[Patch], None], Callable[[Patch], None]]] = [
-    (defects.what_a_lower_copy_has_more_is_overwritten, lambda patch: old_disk_is_back(0, False)),
-    (defects.the_head_gives_out_numbers_unconfirmed, lambda patch: old_disk_is_back(0, True)),
-    (defects.messages_have_no_bound, lambda patch: catches_up(True, 2)),
-    (defects.a_large_call_is_one_message, lambda patch: one_large_call_on_a_thin_link()),
-    (defects.a_fill_begins_anew, lambda patch: fill_meets("kill")),
-    (defects.any_piece_makes_a_copy_whole, newer_views_older_data),
-    (defects.a_view_is_saved_without_the_word_whether_the_copy_is_whole, newer_views_older_data),
-    (defects.the_number_is_saved_before_the_items, all_last_writes),
-    (defects.a_view_leaves_what_is_being_saved_behind, lambda patch: view_changes_while_the_head_saves()),
-    (defects.the_floor_stays_at_the_head, drops_are_bounded),
-    (defects.tombstones_stay_on_the_disk, drops_are_bounded),
+    (defects.newer_changes_of_the_successor_are_overwritten, lambda patch: old_disk_is_back(0, False)),
+    (defects.the_head_appends_unconfirmed, lambda patch: old_disk_is_back(0, True)),
+    (defects.repair_chunks_have_no_bound, lambda patch: catches_up(True, 2)),
+    (defects.batches_have_no_bound, lambda patch: one_large_call_on_a_narrow_link()),
+    (defects.an_interrupted_repair_starts_over, lambda patch: repair_meets_fault("kill")),
+    (defects.any_chunk_completes_a_repair, newer_views_older_data),
+    (defects.views_are_saved_without_completeness, newer_views_older_data),
+    (defects.the_sequence_number_is_saved_before_the_items, power_losses_drop_last_saves),
+    (defects.pending_saves_are_not_replicated_in_the_next_view, lambda patch: view_changes_while_the_head_saves()),
+    (defects.the_tombstone_floor_is_not_replicated, tombstones_are_bounded),
+    (defects.tombstones_stay_on_the_disk, tombstones_are_bounded),
 ]
 
 
 FOUND_ON_DISK: list[tuple[Callable[[Patch], None], Callable[[Path, Patch], None]]] = [
-    (defects.a_disk_that_refuses_has_its_file_put_away, refuses_at_the_start),
-    (defects.names_are_not_synced_one_by_one, put_away_and_dark),
-    (defects.what_a_disk_refuses_is_told_as_saved, lambda folder, patch: full_in_the_middle_of_a_fill(folder)),
+    (defects.a_failing_disk_has_its_file_moved_away, disk_fails_at_the_start),
+    (defects.renames_are_not_synced_one_by_one, power_loss_while_moving_away),
+    (defects.failed_commits_are_reported_as_saved, lambda folder, patch: disk_full_during_repair(folder)),
 ]
 
 
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -51,7 +51,7 @@
     patch.setattr(Chain, "committed", property(lambda self: self._replica.state.seq))
 
 
-def a_member_answers_for_those_below(patch: Patch) -> None:
+def a_member_acknowledges_for_its_successors(patch: Patch) -> None:
     def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
         def at_once(answer: Message) -> None:
             reply(answer)
@@ -64,14 +64,14 @@
     patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
 
 
-def reads_need_nobody(patch: Patch) -> None:
+def reads_need_no_majority(patch: Patch) -> None:
     def read(self: Frontend, m: object, reply: Replier) -> None:
         reply(Reply(200, self._replica.state.to_json()))
 
     patch.setattr(Frontend, "handle_read", read)
 
 
-def anybody_confirms(patch: Patch) -> None:
+def every_member_confirms_every_view(patch: Patch) -> None:
     def confirm(self: Frontend, m: object, reply: Replier) -> None:
         reply(Confirmed(True))
 
@@ -79,11 +79,11 @@
     patch.setattr(Membership, "sure", lambda self: self._replica.is_member)
 
 
-def followers_need_nobody(patch: Patch) -> None:
+def followers_need_no_lease(patch: Patch) -> None:
     patch.setattr(Membership, "sure", lambda self: True)
 
 
-def strangers_vote(patch: Patch) -> None:
+def machines_with_new_disks_vote(patch: Patch) -> None:
     def same(self: Replica) -> int:
         return next((i for i, m in enumerate(self.view.members) if m.address == self.me.address), -1)
 
@@ -101,7 +101,7 @@
     )
 
 
-def removals_are_forgotten(patch: Patch) -> None:
+def tombstones_are_not_kept(patch: Patch) -> None:
     def apply(self: ConfigState, items: Any, seq: int, floor: int = 0) -> None:
         real(self, items, seq, floor)
         self.items = {k: i for k, i in self.items.items() if i.body is not None}
@@ -110,7 +110,7 @@
     patch.setattr(ConfigState, "apply", apply)
 
 
-def those_left_out_keep_what_they_hold(patch: Patch) -> None:
+def removed_members_stay_complete(patch: Patch) -> None:
     def adopt(self: Replica, view: View) -> bool:
         complete = self.complete
         news = real(self, view)
@@ -121,7 +121,7 @@
     patch.setattr(Replica, "adopt", adopt)
 
 
-def calls_are_taken_unchecked(patch: Patch) -> None:
+def calls_are_not_validated(patch: Patch) -> None:
     def against(base: Base, call: list[calls.Change]) -> object:
         draft = Draft(base)
         for c in call:
@@ -132,7 +132,7 @@
     patch.setattr(calls, "against", against)
 
 
-def anyone_takes_a_call(patch: Patch) -> None:
+def every_member_accepts_calls(patch: Patch) -> None:
     def taken(self: Frontend, m: Any, reply: Replier) -> None:
         if not self._replica.is_head and self._replica.is_member:
             return reply(Reply(200, b"{}"))
@@ -142,7 +142,7 @@
     patch.setattr(Frontend, "handle_patch", taken)
 
 
-def newcomers_come_first(patch: Patch) -> None:
+def new_members_become_the_head(patch: Patch) -> None:
     def wanted(self: Membership, now: int) -> View | None:
         view = real(self, now)
         if view is None:
@@ -154,7 +154,7 @@
     patch.setattr(Membership, "wanted", wanted)
 
 
-def a_lost_disk_keeps_its_seat(patch: Patch) -> None:
+def a_lost_disk_keeps_its_membership(patch: Patch) -> None:
     def recover(environment: Any, settings: node.StoreSettings, disk: node.DiskContents) -> Replica:
         replica = real(environment, settings, disk)
         if not disk.facts and not settings.first_start and settings.address in settings.seeds:
@@ -167,7 +167,7 @@
     patch.setattr(node, "recover", recover)
 
 
-def a_call_that_waits_is_told_it_is_done(patch: Patch) -> None:
+def pending_calls_are_acknowledged_at_a_new_view(patch: Patch) -> None:
     def fail_all(self: CommitWaiters) -> None:
         waiters, self._waiters = self._waiters, []
         for waiter in waiters:
@@ -176,7 +176,7 @@
     patch.setattr(CommitWaiters, "fail_all", fail_all)
 
 
-def an_old_call_wins(patch: Patch) -> None:
+def older_versions_overwrite_newer_ones(patch: Patch) -> None:
     patch.setattr(calls, "verdict_of", lambda held, version, content: Verdict.NEWER)
 
 
@@ -188,11 +188,11 @@
     patch.setattr(Acceptor, "_keep", keep)
 
 
-def one_voice_is_a_majority(patch: Patch) -> None:
+def one_vote_is_a_majority(patch: Patch) -> None:
     patch.setattr(Proposal, "_majority", lambda self: 1)
 
 
-def what_was_accepted_before_is_ignored(patch: Patch) -> None:
+def earlier_votes_are_ignored(patch: Patch) -> None:
     def promised(self: Proposal, m: Any) -> None:
         if isinstance(m, Promise):
             m = Promise(m.ok, m.ballot, None, None, m.view)
@@ -211,7 +211,7 @@
     patch.setattr(Acceptor, "accept", accept)
 
 
-def parcels_of_an_older_view_are_taken(patch: Patch) -> None:
+def batches_of_an_older_view_are_accepted(patch: Patch) -> None:
     def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
         real(self, msgspec.structs.replace(m, view_number=self._replica.view.number), reply)
 
@@ -219,7 +219,7 @@
     patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
 
 
-def one_piece_makes_a_copy_whole(patch: Patch) -> None:
+def one_chunk_completes_a_repair(patch: Patch) -> None:
     def send_repair(self: SuccessorLink, epoch: int, ranges: list[int], seq: int) -> None:
         real(self, epoch, ranges[:1], seq)
 
@@ -227,11 +227,11 @@
     patch.setattr(SuccessorLink, "_send_repair", send_repair)
 
 
-def digests_are_taken_on_trust(patch: Patch) -> None:
+def digests_are_not_compared(patch: Patch) -> None:
     patch.setattr(successor, "differing_ranges", lambda mine, others: [])
 
 
-def a_view_is_not_kept(patch: Patch) -> None:
+def views_are_not_saved(patch: Patch) -> None:
     def view_facts(self: Replica) -> dict[str, bytes]:
         if "view" in self.environment.disk.facts:  # type: ignore[attr-defined]
             return {}
@@ -241,11 +241,11 @@
     patch.setattr(Replica, "view_facts", view_facts)
 
 
-def a_next_view_blocks_nobody(patch: Patch) -> None:
+def a_pending_view_blocks_nobody(patch: Patch) -> None:
     patch.setattr(Acceptor, "blocked", lambda self, view: False)
 
 
-def the_head_counts_on_what_is_not_on_its_disk(patch: Patch) -> None:
+def the_head_appends_to_unsaved_changes(patch: Patch) -> None:
     def append_waiting_calls(self: Frontend) -> None:
         pending, self._chain.pending_saves = self._chain.pending_saves, 0
         real(self)
@@ -258,28 +258,28 @@
 DEFECTS = [
     ack_before_sync,
     head_alone_acknowledges,
-    a_member_answers_for_those_below,
-    reads_need_nobody,
-    anybody_confirms,
-    followers_need_nobody,
-    strangers_vote,
-    removals_are_forgotten,
-    those_left_out_keep_what_they_hold,
-    calls_are_taken_unchecked,
-    anyone_takes_a_call,
-    newcomers_come_first,
-    a_lost_disk_keeps_its_seat,
-    a_call_that_waits_is_told_it_is_done,
-    an_old_call_wins,
-    one_piece_makes_a_copy_whole,
-    digests_are_taken_on_trust,
-    a_view_is_not_kept,
-    the_head_counts_on_what_is_not_on_its_disk,
+    a_member_acknowledges_for_its_successors,
+    reads_need_no_majority,
+    every_member_confirms_every_view,
+    followers_need_no_lease,
+    machines_with_new_disks_vote,
+    tombstones_are_not_kept,
+    removed_members_stay_complete,
+    calls_are_not_validated,
+    every_member_accepts_calls,
+    new_members_become_the_head,
+    a_lost_disk_keeps_its_membership,
+    pending_calls_are_acknowledged_at_a_new_view,
+    older_versions_overwrite_newer_ones,
+    one_chunk_completes_a_repair,
+    digests_are_not_compared,
+    views_are_not_saved,
+    the_head_appends_to_unsaved_changes,
 ]
 # Found where there is nothing but agreement (`lilacsill.mesh.simulation.paxos_contest`).
-DEFECTS_OF_AGREEMENT = [
+DEFECTS_OF_CONSENSUS = [
     votes_before_sync,
-    one_voice_is_a_majority,
-    what_was_accepted_before_is_ignored,
+    one_vote_is_a_majority,
+    earlier_votes_are_ignored,
     any_ballot_is_accepted,
 ]
--- a/tests/mesh/test_chain.py
+++ b/tests/mesh/test_chain.py
@@ -18,10 +18,10 @@
 
 from .defects import (
     DEFECTS,
-    DEFECTS_OF_AGREEMENT,
-    a_next_view_blocks_nobody,
-    parcels_of_an_older_view_are_taken,
-    those_left_out_keep_what_they_hold,
+    DEFECTS_OF_CONSENSUS,
+    a_pending_view_blocks_nobody,
+    batches_of_an_older_view_are_accepted,
+    removed_members_stay_complete,
 )
 
 SCHEDULES, CONTESTS = 2000, 2000
@@ -31,19 +31,19 @@
 KEPT = sorted((Path(__file__).parent / "schedules").glob("*.json"))
 
 
-def broken(seeds: Iterable[int]) -> list[str]:
+def violations(seeds: Iterable[int]) -> list[str]:
     """What the schedules of these seeds break, in this process."""
     return [f"seed {seed}: {wrong}" for seed in seeds if (wrong := drawn(seed).play())]
 
 
 def test_some_schedules_keep_the_rules() -> None:
-    assert broken(range(SCHEDULES, SCHEDULES + SAMPLE)) == []
+    assert violations(range(SCHEDULES, SCHEDULES + SAMPLE)) == []
 
 
 @pytest.mark.sweep
 @pytest.mark.parametrize("first", range(0, SCHEDULES, AT_ONCE))
 def test_schedules_keep_the_rules(first: int) -> None:
-    assert broken(range(first, first + AT_ONCE)) == []
+    assert violations(range(first, first + AT_ONCE)) == []
 
 
 @pytest.mark.parametrize("file", KEPT, ids=lambda f: f.stem)
@@ -107,7 +107,7 @@
     assert "nobody" in next(s.frontend.rejections[-1] for s in fleet.stores.values() if s.frontend.rejections)
 
 
-def test_a_book_beyond_its_bound_is_refused_and_nothing_is_lost() -> None:
+def test_a_call_that_makes_the_state_too_large_is_rejected_and_nothing_is_lost() -> None:
     fleet, operator = begun(8)
     time = fleet.net.time
     for store in fleet.stores.values():
@@ -122,7 +122,7 @@
     assert {len(b.items) for b in states} == {3} and len({b.size for b in states}) == 1
 
 
-def test_a_copy_that_holds_something_else_is_mended() -> None:
+def test_a_corrupt_replica_is_repaired() -> None:
     fleet, _ = begun(4, [route(f"r{i}", 1, f"/r{i}/") for i in range(30)])
     time = fleet.net.time
     members = next(iter(fleet.stores.values())).replica.view.members
@@ -136,7 +136,7 @@
     assert "1 ranges" in before.chain.repairs[-1]
 
 
-def test_a_large_mend_goes_down_in_pieces_and_a_view_that_comes_meanwhile_ends_it() -> None:
+def test_a_large_repair_is_sent_in_chunks_and_ended_by_a_new_view() -> None:
     long = "/" + "x" * 2000 + "/"
     fleet, _ = begun(5, [route(f"r{i}", 1, f"/{i}{long}") for i in range(300)], sync_us=20 * MS)
     time, net = fleet.net.time, fleet.net
@@ -146,7 +146,7 @@
     time.run(time.now + 2 * S)
     fleet.start(tail)
     store = fleet.stores[tail]
-    while not 0 < len(store.replica.state.items) < 300:  # a piece is there
+    while not 0 < len(store.replica.state.items) < 300:  # a chunk is there
         time.run(time.now + MS)
     assert not store.replica.complete and net.machines[tail].disk.facts["whole"] == b"0"
     net.machines[tail].end(power=True)
@@ -157,7 +157,7 @@
     assert all(b.digests == states[0].digests and len(b.items) == 302 for b in states)
 
 
-def old_parcel_is_taken() -> bool:
+def accepts_batch_of_older_view() -> bool:
     """Whether a member takes what belongs to the view before."""
     fleet, operator = begun(6)
     time = fleet.net.time
@@ -173,7 +173,7 @@
     return ("route", "late") in store.replica.state.items
 
 
-def blocked_member_confirms() -> bool:
+def confirms_view_after_vote_for_next() -> bool:
     """Whether one that has accepted a next view still stands behind this one."""
     fleet, _ = begun(7)
     store = next(iter(fleet.stores.values()))
@@ -188,16 +188,18 @@
     return answers == [Confirmed(True)]
 
 
-def test_a_parcel_of_an_older_view_is_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert not old_parcel_is_taken()
-    parcels_of_an_older_view_are_taken(monkeypatch)
-    assert old_parcel_is_taken()
+def test_a_batch_of_an_older_view_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    assert not accepts_batch_of_older_view()
+    batches_of_an_older_view_are_accepted(monkeypatch)
+    assert accepts_batch_of_older_view()
 
 
-def test_who_has_accepted_a_next_view_stands_behind_none(monkeypatch: pytest.MonkeyPatch) -> None:
-    assert not blocked_member_confirms()
-    a_next_view_blocks_nobody(monkeypatch)
-    assert blocked_member_confirms()
+def test_a_member_that_voted_for_the_next_view_does_not_confirm_the_present_one(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    assert not confirms_view_after_vote_for_next()
+    a_pending_view_blocks_nobody(monkeypatch)
+    assert confirms_view_after_vote_for_next()
 
 
 # Planted defects: some schedule must find each.
@@ -210,13 +212,13 @@
 ) -> None:
     plant(monkeypatch)
     # A copy that holds more than its view is found out by comparing, too, unless a second trouble is close behind.
-    several = plant is those_left_out_keep_what_they_hold
+    several = plant is removed_members_stay_complete
     played, seeds = (drawn_troubles, range(len(HUNTED))) if several else (drawn, HUNTED)
     assert any(played(seed).play() for seed in seeds), f"{plant.__name__} is not found in {len(seeds)} schedules"
 
 
-@pytest.mark.parametrize("plant", DEFECTS_OF_AGREEMENT, ids=lambda p: p.__name__)
-def test_a_planted_defect_of_agreement_is_found(
+@pytest.mark.parametrize("plant", DEFECTS_OF_CONSENSUS, ids=lambda p: p.__name__)
+def test_a_planted_defect_of_consensus_is_found(
     plant: Callable[[pytest.MonkeyPatch], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     plant(monkeypatch)
--- a/tests/mesh/test_copy.py
+++ b/tests/mesh/test_copy.py
@@ -1,4 +1,4 @@
-"""A registry's copy of the configuration."""
+"""The copy of the configuration that a registry caches."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from .stage import Stage
 
 
-def test_a_crier_that_was_started_anew_tells_of_what_was_dropped_before() -> None:
+def test_a_restarted_registry_sends_tombstones_of_earlier_drops() -> None:
     # All registries died right after a route was dropped; proxies served it for ever (trouble-2, CONFIG).
     proxy = ActiveConfig()
     proxy.apply([Stage.route("a", "read_only", 1), Stage.route("b", "read_only", 2)], 2)
@@ -24,7 +24,7 @@
     assert proxy.match(b"h.example", b"/b/x") is None and proxy.match(b"h.example", b"/a/x") is not None
 
 
-def test_pieces_add_up_to_the_whole() -> None:
+def test_chunks_add_up_to_the_complete_configuration() -> None:
     registry, proxy = ConfigCache(), ActiveConfig()
     registry.take([Stage.route(f"route{i}", "read_only", i + 1) for i in range(350)], 350)
     pieces = 0
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -1,4 +1,4 @@
-"""The disk of one copy: what was told to be on it is there; what cannot be read is put away."""
+"""The disk of one replica: what was reported as saved is there; a file that cannot be read is moved away."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
     watchers.install(None)
 
 
-def until(reactor: Reactor, done: list[str], count: int) -> None:
+def run_until(reactor: Reactor, done: list[str], count: int) -> None:
     late: list[bool] = []
     reactor.after(5_000_000, late.append, True)
     while len(done) < count:
@@ -40,7 +40,7 @@
 
 
 def close(disk: Disk) -> None:
-    """As the end of a process would, between two commits."""
+    """Close the file as the end of a process would, between two commits."""
     disk._queue.put(None)
     disk._thread.join()
     disk._db.close()
@@ -56,27 +56,27 @@
     disk.save(Save([item("a", 1), item("b", 2)], facts={"seq": b"2"}), lambda: done.append("first"))
     disk.save(Save([item("a", 3, None)], facts={"seq": b"3"}), lambda: done.append("second"))
     assert disk.oldest_save_age_us() >= 0
-    until(reactor, done, 2)
+    run_until(reactor, done, 2)
     assert done == ["first", "second"] and disk.oldest_save_age_us() == 0
     close(disk)
-    again = Disk(reactor, str(tmp_path))
-    assert {(i.name, i.seq, i.body) for i in again.items} == {("a", 3, None), ("b", 2, b"{}")}
-    assert again.facts == {"seq": b"3"}
-    mended = [range_of("route", "a"), range_of("route", "c")]
-    again.save(Save([item("c", 9)], mended, {"seq": b"9"}), lambda: done.append("mend"))
-    until(reactor, done, 3)
-    close(again)
+    reopened = Disk(reactor, str(tmp_path))
+    assert {(i.name, i.seq, i.body) for i in reopened.items} == {("a", 3, None), ("b", 2, b"{}")}
+    assert reopened.facts == {"seq": b"3"}
+    replaced = [range_of("route", "a"), range_of("route", "c")]
+    reopened.save(Save([item("c", 9)], replaced, {"seq": b"9"}), lambda: done.append("repair"))
+    run_until(reactor, done, 3)
+    close(reopened)
     last = Disk(reactor, str(tmp_path))
     assert sorted(i.name for i in last.items) == ["b", "c"]
     close(last)
 
 
 @pytest.mark.parametrize("spoil", ["torn head", "torn page", "empty"])
-def test_a_file_that_cannot_be_read_makes_a_stranger(reactor: Reactor, tmp_path: Path, spoil: str) -> None:
+def test_a_file_that_cannot_be_read_is_moved_away(reactor: Reactor, tmp_path: Path, spoil: str) -> None:
     done: list[str] = []
     disk = Disk(reactor, str(tmp_path))
     disk.save(Save([item(f"r{i}", i, b"x" * 500) for i in range(200)], facts={"seq": b"1"}), lambda: done.append("x"))
-    until(reactor, done, 1)
+    run_until(reactor, done, 1)
     close(disk)
     file = tmp_path / FILE_NAME
     with sqlite3.connect(file) as db:
@@ -92,12 +92,12 @@
     file.write_bytes(data)
     for ending in ("-wal", "-shm"):
         (tmp_path / (FILE_NAME + ending)).unlink(missing_ok=True)
-    again = Disk(reactor, str(tmp_path))
-    assert again.items == [] and again.facts == {}
-    close(again)
+    reopened = Disk(reactor, str(tmp_path))
+    assert reopened.items == [] and reopened.facts == {}
+    close(reopened)
 
 
-def test_a_disk_that_refuses_tells_nothing_until_it_takes_it(reactor: Reactor, tmp_path: Path) -> None:
+def test_a_failing_disk_reports_nothing_until_a_commit_succeeds(reactor: Reactor, tmp_path: Path) -> None:
     done: list[str] = []
     disk = Disk(reactor, str(tmp_path))
     refusals = [sqlite3.OperationalError("disk I/O error")] * 2
@@ -111,20 +111,20 @@
 
     disk._commit = fails  # type: ignore[method-assign]
     disk.save(Save([item("a", 1)]), lambda: done.append("a"))
-    until(reactor, done, 1)
+    run_until(reactor, done, 1)
     assert not refusals
     close(disk)
 
 
-def fill_again(reactor: Reactor, folder: Path, temporary_files: bool) -> bool:
-    """Whether ranges of many items are replaced where no more files can be opened."""
+def replaces_items_without_descriptors(reactor: Reactor, folder: Path, temporary_files: bool) -> bool:
+    """Return whether ranges of many items are replaced where no more files can be opened."""
     done: list[str] = []
     disk = Disk(reactor, str(folder))
     if temporary_files:
         disk._db.execute("pragma temp_store=file")
     items = [item(f"r{number}", number + 1, b"x" * 400) for number in range(1500)]
     disk.save(Save(items), lambda: done.append("first"))
-    until(reactor, done, 1)
+    run_until(reactor, done, 1)
     opened: list[int] = []
     most = resource.getrlimit(resource.RLIMIT_NOFILE)
     resource.setrlimit(resource.RLIMIT_NOFILE, (256, most[1]))
@@ -141,17 +141,19 @@
 
 
 def test_many_items_are_replaced_without_a_temporary_file(reactor: Reactor, tmp_path: Path) -> None:
-    assert not fill_again(reactor, tmp_path / "files", temporary_files=True)  # what the other setting does
-    assert fill_again(reactor, tmp_path / "memory", temporary_files=False)
+    assert not replaces_items_without_descriptors(
+        reactor, tmp_path / "files", temporary_files=True
+    )  # the setting that is avoided
+    assert replaces_items_without_descriptors(reactor, tmp_path / "memory", temporary_files=False)
 
 
-# A fake disk: what was written after the last sync is there, missing or torn, sector by sector, in any order.
+# What was written after the last sync is there, missing or torn, sector by sector and in any order.
 
 SECTOR = 512
 
 
-def image(synced: bytes, written: bytes, rng: Random) -> bytes:
-    """A file as it may be found after a loss of power."""
+def image_after_power_loss(synced: bytes, written: bytes, rng: Random) -> bytes:
+    """Return a file as it may be found after a power loss."""
     found = bytearray(synced.ljust(len(written), b"\0"))
     for at in range(0, len(written), SECTOR):
         new = written[at : at + SECTOR]
@@ -162,7 +164,7 @@
     return bytes(found[: max(len(synced), rng.randrange(len(written) + 1))])
 
 
-def test_a_loss_of_power_keeps_what_was_told_and_nothing_by_halves(reactor: Reactor, tmp_path: Path) -> None:
+def test_a_power_loss_keeps_what_was_reported_and_no_partial_save(reactor: Reactor, tmp_path: Path) -> None:
     done: list[str] = []
     (tmp_path / "live").mkdir()
     disk = Disk(reactor, str(tmp_path / "live"))
@@ -179,48 +181,50 @@
             Save([item("left", number, body), item("right", number, body)], facts={"seq": b"%d" % number}),
             lambda: done.append(""),
         )
-        until(reactor, done, number)
+        run_until(reactor, done, number)
         snapshot()
     close(disk)
     rng = Random(11)
     for play in range(150):
-        told = rng.randrange(len(states) - 1)
-        later = rng.randrange(told + 1, len(states))
+        reported = rng.randrange(len(states) - 1)
+        later = rng.randrange(reported + 1, len(states))
         folder = tmp_path / f"play{play}"
         folder.mkdir()
-        (folder / FILE_NAME).write_bytes(states[told][""])
-        (folder / (FILE_NAME + "-wal")).write_bytes(image(states[told]["-wal"], states[later]["-wal"], rng))
+        (folder / FILE_NAME).write_bytes(states[reported][""])
+        (folder / (FILE_NAME + "-wal")).write_bytes(
+            image_after_power_loss(states[reported]["-wal"], states[later]["-wal"], rng)
+        )
         found = Disk(reactor, str(folder))
-        held = {i.name: i.seq for i in found.items}
+        found_seqs = {i.name: i.seq for i in found.items}
         close(found)
-        assert held["left"] == held["right"] == int(found.facts["seq"])
-        assert told + 1 <= held["left"] <= later + 1, (play, held)
+        assert found_seqs["left"] == found_seqs["right"] == int(found.facts["seq"])
+        assert reported + 1 <= found_seqs["left"] <= later + 1, (play, found_seqs)
 
 
-def test_a_row_that_is_not_what_was_written_makes_a_stranger(reactor: Reactor, tmp_path: Path) -> None:
+def test_a_file_with_a_corrupt_row_is_moved_away(reactor: Reactor, tmp_path: Path) -> None:
     done: list[str] = []
     disk = Disk(reactor, str(tmp_path))
     disk.save(Save([item("a", 1, b"good")], facts={"seq": b"1"}), lambda: done.append(""))
-    until(reactor, done, 1)
+    run_until(reactor, done, 1)
     close(disk)
     with sqlite3.connect(tmp_path / FILE_NAME) as db:
         db.execute("update item set body = ? where name = 'a'", (b"bad!",))
     db.close()
-    again = Disk(reactor, str(tmp_path))
-    assert again.items == [] and again.facts == {}
-    close(again)
+    reopened = Disk(reactor, str(tmp_path))
+    assert reopened.items == [] and reopened.facts == {}
+    close(reopened)
 
 
-def test_a_record_is_on_disk_with_its_item(reactor: Reactor, tmp_path: Path) -> None:
+def test_a_record_of_versions_is_saved_with_its_item(reactor: Reactor, tmp_path: Path) -> None:
     done: list[str] = []
     disk = Disk(reactor, str(tmp_path))
     kept = Item("route", "a", 7, 7, b"{}", b"record")
     disk.save(Save([kept], facts={"seq": b"7"}), lambda: done.append(""))
-    until(reactor, done, 1)
+    run_until(reactor, done, 1)
     close(disk)
-    again = Disk(reactor, str(tmp_path))
-    assert again.items == [kept]
-    close(again)
+    reopened = Disk(reactor, str(tmp_path))
+    assert reopened.items == [kept]
+    close(reopened)
     with sqlite3.connect(tmp_path / FILE_NAME) as db:
         db.execute("update item set accepted = ?", (b"recorD",))
     db.close()
@@ -229,7 +233,7 @@
     close(spoilt)
 
 
-def test_a_file_without_records_is_read(reactor: Reactor, tmp_path: Path) -> None:
+def test_a_file_of_format_1_is_upgraded(reactor: Reactor, tmp_path: Path) -> None:
     with sqlite3.connect(tmp_path / FILE_NAME) as db:  # as format 1 was
         db.execute(
             "create table item (kind text, name text, version integer, seq integer, body blob, sum integer,"
