--- a/lilacsill/mesh/proxy/failure_detector.py
+++ b/lilacsill/mesh/proxy/failure_detector.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Any, Protocol
 
-from lilacsill.mesh.runtime.hashing import chosen
+from lilacsill.mesh.runtime.hashing import rendezvous_select
 from lilacsill.mesh.runtime.messages import IndirectPing, IndirectPingReply, Message, Ping
 
 from .watch_list import WatchList
@@ -112,7 +112,7 @@
 
     def _ping_indirectly(self, node: str, peers: dict[str, str]) -> None:
         # The helpers depend on the silent proxy alone, so that all its monitors ask the same few.
-        helpers = [helper for helper in chosen(node, peers, HELPERS + 1) if helper != self._node][:HELPERS]
+        helpers = [helper for helper in rendezvous_select(node, peers, HELPERS + 1) if helper != self._node][:HELPERS]
         replies: list[bool | None] = []
         for helper in helpers:
             self._environment.ask(
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -9,8 +9,8 @@
 
 from returns.result import Failure
 
-from lilacsill.mesh.runtime.client import NoAnswer, ask, status
-from lilacsill.mesh.runtime.commands import Commands, Refused
+from lilacsill.mesh.runtime.client import RequestFailed, fetch_status, request
+from lilacsill.mesh.runtime.commands import CommandFailed, Commands
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Item, Patch, Read, Reply
 
 from . import validation
@@ -23,11 +23,11 @@
     """Return all items as they are in force.
 
     Raises:
-        NoAnswer: Nobody answers, or no member that holds a read lease was reached.
+        RequestFailed: Nobody answers, or no member that holds a read lease was reached.
     """
-    answer = ask(address, Follow(0, 0, 0))
+    answer = request(address, Follow(0, 0, 0))
     if not isinstance(answer, FollowReply) or answer.update is None:
-        raise NoAnswer(f"{address}: no member that holds a read lease was reached")
+        raise RequestFailed(address, "no member that holds a read lease was reached")
     return answer.update
 
 
@@ -42,18 +42,18 @@
             state.apply(present.items, present.seq)
         parsed = validation.read(_read_file(path))
         if isinstance(parsed, Failure):
-            raise Refused(f"{path}: {parsed.failure()}")
+            raise CommandFailed(f"{path}: {parsed.failure()}")
         validated = validation.against(state, parsed.unwrap())
         if isinstance(validated, Failure):
-            raise Refused(f"{path}: {validated.failure().why}")
+            raise CommandFailed(f"{path}: {validated.failure().why}")
         for item in validated.unwrap().items.values():
             print(f"{'drops' if item.body is None else 'sets'} {item.kind} {item.name} r{item.version}")
 
     def export(self, address: str) -> None:
         """Print the newest configuration, complete, as the tail of the chain has it."""
-        answer = ask(address, Read(0))
+        answer = request(address, Read(0))
         if not isinstance(answer, Reply) or answer.status != 200:
-            raise NoAnswer(f"{address}: no answer that is sure")
+            raise RequestFailed(address, "no answer that is sure")
         print(answer.body.decode())
 
     def _import(self, address: str, path: str) -> None:
@@ -61,17 +61,17 @@
         try:
             exported = json.loads(_read_file(path))
         except json.JSONDecodeError as error:
-            raise Refused(f"{path}: not JSON: {error}") from None
+            raise CommandFailed(f"{path}: not JSON: {error}") from None
         body = json.dumps({"ReplaceItems": exported}).encode()
         for _ in range(IMPORT_ATTEMPTS):
-            answer = ask(address, Patch(body, 0))
+            answer = request(address, Patch(body, 0))
             if isinstance(answer, Reply) and answer.status == 200:
                 print("taken")
                 return
             if isinstance(answer, Reply) and answer.status < 500:
-                raise Refused(f"{path}: {json.loads(answer.body)['Message']}")
+                raise CommandFailed(f"{path}: {json.loads(answer.body)['Message']}")
             time.sleep(RETRY_DELAY_S)  # until the next view is agreed on; calls are idempotent
-        raise NoAnswer(f"{address}: no clear answer after {IMPORT_ATTEMPTS} tries; it may be taken all the same")
+        raise RequestFailed(address, f"no clear answer after {IMPORT_ATTEMPTS} tries; it may be taken all the same")
 
     def history(self, address: str, name: str = "") -> None:
         """Print the items, dropped ones too, in the order of their last change; of one name where it is given."""
@@ -81,12 +81,12 @@
 
     def verify(self, address: str) -> None:
         """Ask every machine of the chain; 1 where they do not stand together."""
-        first = json.loads(status(address))
+        first = json.loads(fetch_status(address))
         problems = []
         for member in first["members"]:
             try:
-                replica = json.loads(status(member))
-            except NoAnswer as error:
+                replica = json.loads(fetch_status(member))
+            except RequestFailed as error:
                 problems.append(str(error))
                 continue
             print(_verify_line(member, replica))
@@ -94,14 +94,14 @@
             if problem:
                 problems.append(f"{member}: {problem}")
         if problems:
-            raise Refused("; ".join(problems))
+            raise CommandFailed("; ".join(problems))
 
 
 def _read_file(path: str) -> bytes:
     try:
         return Path(path).read_bytes()
     except OSError as error:
-        raise Refused(f"{path}: {error.strerror}") from None
+        raise CommandFailed(f"{path}: {error.strerror}") from None
 
 
 def _history_line(item: Item) -> str:
--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from lilacsill.mesh.runtime.freshness import told
+from lilacsill.mesh.runtime.freshness import freshness_of_reply
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Message
 
 from .accepted_changes import for_followers
@@ -75,7 +75,7 @@
             return
         state, now = self._replica.state, self._environment.now()
         changes = state.items_since(poll.request.seq) if state.seq > poll.request.seq else []
-        update = ConfigUpdate(state.seq, for_followers(changes), told(now, poll.received_at_us, now))
+        update = ConfigUpdate(state.seq, for_followers(changes), freshness_of_reply(now, poll.received_at_us, now))
         poll.reply(FollowReply(update, self._membership.peers()))
 
     def _no_update(self) -> FollowReply:
--- a/tests/control/long_days_disk.py
+++ b/tests/control/long_days_disk.py
@@ -50,7 +50,7 @@
     while len(done) < len(saves):
         if late:
             raise RuleBroken("the disk is not done")
-        reactor.turn()
+        reactor.run_once()
     assert done == list(range(len(saves)))
 
 
@@ -66,14 +66,14 @@
         until: list[bool] = []
         reactor.after(300_000, until.append, True)
         while not until:
-            reactor.turn()
+            reactor.run_once()
         if reported or disk.oldest_save_age_us() < 200_000:
             raise RuleBroken("what a full disk rejected is reported as saved")
         disk._db.execute("pragma max_page_count=100000")
         late: list[bool] = []
         reactor.after(5_000_000, late.append, True)
         while len(reported) < 2 and not late:
-            reactor.turn()
+            reactor.run_once()
         disk.close()
         reopened = Disk(reactor, str(folder))
         if reported != ["chunk", "last"] or len(reopened.items) != 459 or reopened.facts["whole"] != b"1":
