--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -17,10 +17,11 @@
 from .draft import Draft
 from .quorum import confirm_view
 from .recent_refusals import RecentRefusals
+from .rejections import Rejection, StateTooLarge
 from .replica import Replica
 
 if TYPE_CHECKING:
-    from .validation import Call, Rejection
+    from .calls import Call
 
 MAX_HOPS = 2
 FORWARD_TIMEOUT_US = 850_000  # a caller tries another member after a second without an answer
@@ -68,11 +69,12 @@
             self._forward(replica.view.chain[:1], request, reply)
             return
         # Imports cerberus and returns, 7 MB that only a head needs.
-        from . import validation
+        from .calls import parse_call
+        from .validation import is_success
 
-        parsed = validation.read(request.body)
-        if not validation.is_good(parsed):
-            rejection = self._rejection(parsed.failure(), validation.INVALID)
+        parsed = parse_call(request.body)
+        if not is_success(parsed):
+            rejection = self._rejection(parsed.failure())
             self._if_in_force(lambda ok: reply(rejection if ok else OUTCOME_UNKNOWN))
             return
         if len(self._waiting_calls) >= MAX_WAITING_CALLS:
@@ -107,13 +109,12 @@
         """Return the answer to a call once its state is committed. The changes of an accepted call go to the draft."""
         from . import validation
 
-        validated = validation.against(draft, waiting.call)
-        if not validation.is_good(validated):
+        validated = validation.apply_call(draft, waiting.call)
+        if not validation.is_success(validated):
             return self._reject(waiting.body, validated.failure())
         changed = validated.unwrap()
         if changed.size > max(self.max_state_bytes, draft.size):  # a call that makes the state smaller is accepted
-            why = f"the state would take {changed.size} bytes, {self.max_state_bytes} are allowed"
-            return self._reject(waiting.body, validation.Rejection(why, validation.TOO_LARGE))
+            return self._reject(waiting.body, StateTooLarge(changed.size, self.max_state_bytes))
         if changed.items and self._recent_refusals.includes(waiting.body, self._environment.now()):
             return REJECTED_RECENTLY
         draft.merge(changed)
@@ -122,11 +123,12 @@
     def _reject(self, body: bytes, rejection: Rejection) -> Reply:
         if rejection.status != OUTCOME_UNKNOWN.status:
             self._recent_refusals.add(body, self._environment.now())
-        return self._rejection(rejection.why, rejection.status)
+        return self._rejection(rejection)
 
-    def _rejection(self, reason: str, status: int) -> Reply:
-        self.rejections = [*self.rejections[1 - MAX_REPORTED_REJECTIONS :], f"{status}: {reason}"]
-        return Reply(status, msgspec.json.encode({"Message": reason}))
+    def _rejection(self, rejection: Rejection) -> Reply:
+        text = f"{rejection.status}: {rejection.message}"
+        self.rejections = [*self.rejections[1 - MAX_REPORTED_REJECTIONS :], text]
+        return Reply(rejection.status, msgspec.json.encode({"Message": rejection.message}))
 
     def _on_view(self) -> None:
         calls, self._waiting_calls = self._waiting_calls, []
