--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -45,18 +45,18 @@
     Attributes:
         address: Control address of this machine.
         seeds: Control addresses of the machines to contact first.
-        first_start: Whether the whole system starts for the first time, so that the seeds form the first view.
+        fresh_start: Whether the whole system starts for the first time, so that the seeds form the first view.
         new_incarnation: Incarnation of this machine's disk if the disk is empty.
-        lost_machines: So many machines may be lost at once.
-        lost_places: So many zones or regions may be lost at once.
+        max_lost_machines: So many machines may be lost at once.
+        max_lost_zones: So many zones or regions may be lost at once.
     """
 
     address: str
     seeds: list[str]
-    first_start: bool
+    fresh_start: bool
     new_incarnation: str
-    lost_machines: int
-    lost_places: int = 0
+    max_lost_machines: int
+    max_lost_zones: int = 0
 
 
 class DiskContents(msgspec.Struct, frozen=True):
@@ -74,7 +74,7 @@
         self.chain = chain = Chain(replica, self)
         self.lease_manager = lease_manager = LeaseManager(replica)
         self.membership = membership = Membership(replica, chain, lease_manager, settings.seeds)
-        membership.lost_machines, membership.lost_places = settings.lost_machines, settings.lost_places
+        membership.lost_machines, membership.lost_places = settings.max_lost_machines, settings.max_lost_zones
         self.frontend = frontend = Frontend(replica, chain)
         self.followers = followers = Followers(replica, chain, membership)
         self.handlers: dict[type, Handler] = {
@@ -118,7 +118,7 @@
     stored = facts.read(disk.facts, settings.address)
     if stored is not None:
         return Replica(environment, stored, disk.items)
-    is_founder = settings.first_start and settings.address in settings.seeds
+    is_founder = settings.fresh_start and settings.address in settings.seeds
     me = Member(settings.address, FIRST_INCARNATION if is_founder else settings.new_incarnation)
     view = View(0, founders(settings.seeds)) if is_founder else NO_VIEW
     replica = Replica(environment, facts.StoredReplica(me, view, is_founder, 0, 0, AcceptorState()), ())
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -157,7 +157,7 @@
 def a_lost_disk_keeps_its_membership(patch: Patch) -> None:
     def recover(environment: Any, settings: node.StoreSettings, disk: node.DiskContents) -> Replica:
         replica = real(environment, settings, disk)
-        if not disk.facts and not settings.first_start and settings.address in settings.seeds:
+        if not disk.facts and not settings.fresh_start and settings.address in settings.seeds:
             replica.me = Member(settings.address, node.FIRST_INCARNATION)
             replica.acceptor.me = replica.me
             replica.view, replica.complete = View(0, node.founders(settings.seeds)), True
