--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -27,9 +27,9 @@
 from . import facts
 from .chain import Chain
 from .environment import Environment, Save, ignore_completion
-from .fencing import Fence
 from .followers import Followers
 from .frontend import Frontend
+from .lease_manager import LeaseManager
 from .membership import Membership
 from .paxos import AcceptorState
 from .replica import NO_VIEW, Replica
@@ -45,18 +45,18 @@
     Attributes:
         address: Control address of this machine.
         seeds: Control addresses of the machines to contact first.
-        first_start: Whether the whole system starts for the first time, so that the seeds form the first view.
+        fresh_start: Whether the whole system starts for the first time, so that the seeds form the first view.
         new_incarnation: Incarnation of this machine's disk if the disk is empty.
-        lost_machines: So many machines may be lost at once.
-        lost_places: So many zones or regions may be lost at once.
+        max_lost_machines: So many machines may be lost at once.
+        max_lost_zones: So many zones or regions may be lost at once.
     """
 
     address: str
     seeds: list[str]
-    first_start: bool
+    fresh_start: bool
     new_incarnation: str
-    lost_machines: int
-    lost_places: int = 0
+    max_lost_machines: int
+    max_lost_zones: int = 0
 
 
 class DiskContents(msgspec.Struct, frozen=True):
@@ -72,22 +72,22 @@
     def __init__(self, environment: Environment, settings: StoreSettings, disk: DiskContents) -> None:
         self.replica = replica = recover(environment, settings, disk)
         self.chain = chain = Chain(replica, self)
-        self.fence = fence = Fence(replica)
-        self.membership = membership = Membership(replica, chain, fence, settings.seeds)
-        membership.lost_machines, membership.lost_places = settings.lost_machines, settings.lost_places
+        self.lease_manager = lease_manager = LeaseManager(replica)
+        self.membership = membership = Membership(replica, chain, lease_manager, settings.seeds)
+        membership.lost_machines, membership.lost_places = settings.max_lost_machines, settings.max_lost_zones
         self.frontend = frontend = Frontend(replica, chain)
         self.followers = followers = Followers(replica, chain, membership)
         self.handlers: dict[type, Handler] = {
-            Heartbeat: membership.hello,
-            ViewChange: membership.agreed,
+            Heartbeat: membership.handle_heartbeat,
+            ViewChange: membership.handle_view_change,
             SummaryRequest: chain.predecessor.handle_summary_request,
             Replicate: chain.predecessor.handle_replicate,
             Patch: frontend.handle_patch,
             Read: frontend.handle_read,
             Follow: followers.handle_follow,
             Confirm: frontend.handle_confirm,
-            Prepare: fence.prepare,
-            Accept: fence.accept,
+            Prepare: lease_manager.prepare,
+            Accept: lease_manager.accept,
         }
 
     def start(self) -> None:
@@ -118,7 +118,7 @@
     stored = facts.read(disk.facts, settings.address)
     if stored is not None:
         return Replica(environment, stored, disk.items)
-    is_founder = settings.first_start and settings.address in settings.seeds
+    is_founder = settings.fresh_start and settings.address in settings.seeds
     me = Member(settings.address, FIRST_INCARNATION if is_founder else settings.new_incarnation)
     view = View(0, founders(settings.seeds)) if is_founder else NO_VIEW
     replica = Replica(environment, facts.StoredReplica(me, view, is_founder, 0, 0, AcceptorState()), ())
