--- a/lilacsill/mesh/proxy/attempts.py
+++ b/lilacsill/mesh/proxy/attempts.py
@@ -10,13 +10,13 @@
 class AttemptHistory:
     """The endpoints that a request has been offered to, by what came of it."""
 
-    __slots__ = ("arrivals", "_rejections", "_did_not_run", "_may_have_run")
+    __slots__ = ("arrivals", "_rejections", "_did_not_run", "_failed_at")
 
     def __init__(self) -> None:
         self.arrivals = 0  # at backends; the route bounds them, and the retry budget all beyond the first
         self._rejections = 0
         self._did_not_run: list[EndpointLoad] = []  # by a promise of the endpoint, or since there was no link
-        self._may_have_run: list[EndpointLoad] = []
+        self._failed_at: list[EndpointLoad] = []
 
     def record_rejected(self, entry: EndpointLoad) -> None:
         """The request did not reach the backend."""
@@ -30,7 +30,7 @@
 
     def record_failed(self, entry: EndpointLoad) -> None:
         """The request reached the backend and may have run."""
-        self._may_have_run.append(entry)
+        self._failed_at.append(entry)
         self.arrivals += 1
 
     def choose_next(self, table: EndpointTable, now: int) -> EndpointLoad | None:
@@ -38,5 +38,5 @@
         if self._rejections >= MAX_REJECTIONS:
             return None
         # Where one that failed an earlier attempt is all there is, it is better than none.
-        untried = table.choose(now, [*self._did_not_run, *self._may_have_run])
+        untried = table.choose(now, [*self._did_not_run, *self._failed_at])
         return untried or table.choose(now, self._did_not_run)
--- a/lilacsill/mesh/proxy/retry_budget.py
+++ b/lilacsill/mesh/proxy/retry_budget.py
@@ -63,6 +63,6 @@
         """Clear the steps that have left the window."""
         step = now // self._step_us
         for passed in range(min(STEPS_PER_WINDOW, step - self._step)):
-            place = (step - passed) % STEPS_PER_WINDOW
-            self._requests[place] = self._retries[place] = 0
+            index = (step - passed) % STEPS_PER_WINDOW
+            self._requests[index] = self._retries[place] = 0
         self._step = step
