--- a/lilacsill/mesh/proxy/retry_budget.py
+++ b/lilacsill/mesh/proxy/retry_budget.py
@@ -64,5 +64,5 @@
         step = now // self._step_us
         for passed in range(min(STEPS_PER_WINDOW, step - self._step)):
             index = (step - passed) % STEPS_PER_WINDOW
-            self._requests[index] = self._retries[place] = 0
+            self._requests[index] = self._retries[index] = 0
         self._step = step
