--- /dev/null
+++ b/lilacsill/mesh/store/cluster_monitor.py
@@ -0,0 +1,65 @@
+"""What one member knows of all machines at one moment, as the input to decisions on the next view. No I/O."""
+
+from __future__ import annotations
+
+import msgspec
+
+from lilacsill.mesh.runtime.messages import Member
+
+from .disk_health import requested_departure
+from .failure_detector import SUSPECT_AFTER_US, FailureDetector
+from .reconfiguration import ClusterState, MachineState
+from .replica import Replica
+
+
+class FaultTolerance(msgspec.Struct, frozen=True):
+    """How much may be lost at once without a loss of data or service."""
+
+    machines: int
+    failure_domains: int  # zones or regions
+
+    @property
+    def target_size(self) -> int:
+        """How many members survive the loss of so many machines with a majority."""
+        return 2 * self.machines + 1
+
+
+class ClusterMonitor:
+    """Combines the view, this machine's own state and the heartbeats of the others."""
+
+    def __init__(self, replica: Replica, detector: FailureDetector, tolerance: FaultTolerance) -> None:
+        self._replica, self._detector, self._tolerance = replica, detector, tolerance
+
+    def state(self) -> ClusterState:
+        """Return what is known now."""
+        view = self._replica.view
+        outside = [member for member in self.reachable_outside_chain() if member not in view.members]
+        machines = [self._machine(member) for member in (*view.members, *outside)]
+        if self._tolerance.failure_domains:
+            # All machines are members, so that those of any one failure domain are a minority.
+            target_size = sum(machine.alive for machine in machines)
+        else:
+            target_size = self._tolerance.target_size
+        known_machines = len(self._detector.peers())
+        return ClusterState(view, machines, self._tolerance.machines + 1, target_size, known_machines)
+
+    def reachable_outside_chain(self) -> list[Member]:
+        """Return the machines that replied recently and are not in the chain."""
+        chain = self._replica.view.chain
+        return [member for member in self._detector.recent_senders() if member not in chain]
+
+    def _machine(self, member: Member) -> MachineState:
+        replica, detector = self._replica, self._detector
+        if member == replica.me:
+            return MachineState(member, True, replica.complete, requested_departure(replica))
+        reply = detector.recent_reply(member, SUSPECT_AFTER_US)
+        if reply is None:
+            alive, disk_lost = detector.is_alive(member), detector.has_lost_disk(member)
+            return MachineState(member, alive, None, disk_lost=disk_lost)
+        if reply.view.number != replica.view.number:
+            complete = None  # in this view it has not said
+        elif member in replica.view.chain:
+            complete = reply.complete
+        else:
+            complete = reply.synced
+        return MachineState(member, True, complete, reply.departure)
--- a/lilacsill/mesh/store/draft.py
+++ b/lilacsill/mesh/store/draft.py
@@ -68,9 +68,9 @@
         """
         changed = list(items)
         for item in changed:
-            held = self.item(item.kind, item.name)
-            self._remove_references(item.name, references_of(held))
-            self.size += size_of(item) - (0 if held is None else size_of(held))
+            current = self.item(item.kind, item.name)
+            self._remove_references(item.name, references_of(current))
+            self.size += size_of(item) - (0 if current is None else size_of(current))
         conflicts = []
         for item in changed:
             references = references_of(item)
--- /dev/null
+++ b/lilacsill/mesh/store/heartbeats.py
@@ -0,0 +1,96 @@
+"""Heartbeats among the machines of the store: signs of life, read leases and news of views. No I/O.
+
+Each machine sends a heartbeat to every other one at each interval, unless it still waits for a reply to the last one.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from lilacsill.mesh.runtime.messages import Heartbeat, HeartbeatReply, Message
+
+from .chain import Chain
+from .disk_health import is_disk_fast, requested_departure
+from .failure_detector import RECENT_REPLY_US, FailureDetector
+from .lease_manager import LeaseManager
+from .replica import Replica
+
+HEARTBEAT_TIMEOUT_US = 350_000
+
+
+class Heartbeats:
+    """The heartbeats that one machine sends and answers."""
+
+    def __init__(
+        self,
+        replica: Replica,
+        chain: Chain,
+        lease_manager: LeaseManager,
+        detector: FailureDetector,
+        seeds: list[str],
+    ) -> None:
+        self._replica, self._environment = replica, replica.environment
+        self._chain, self._lease_manager, self._detector = chain, lease_manager, detector
+        self._seeds = [seed for seed in seeds if seed != replica.me.address]
+        self._awaiting_reply: set[str] = set()
+
+    def send(self) -> None:
+        """Send a heartbeat to each known machine that owes no reply."""
+        sent_at = self._environment.now()
+        heartbeat = self._heartbeat()
+        others = {*self._seeds, *self._detector.peers()} - {self._replica.me.address}
+        # Sorted, so that a simulation depends on its seed alone.
+        for address in sorted(others - self._awaiting_reply):
+            self._awaiting_reply.add(address)
+            on_reply = partial(self._on_reply, address, sent_at)
+            self._environment.ask(address, heartbeat, HEARTBEAT_TIMEOUT_US, on_reply)
+
+    def handle_heartbeat(self, heartbeat: Heartbeat, reply: Callable[[Message], None]) -> None:
+        """Answer another machine, with a lease if it may have one."""
+        self._learn_from(heartbeat)
+        own = self._heartbeat()
+        sender_answers = self._detector.recent_reply(heartbeat.sender, RECENT_REPLY_US) is not None
+        lease_us = self._lease_manager.lease_offer_us(heartbeat, sender_answers)
+        reply(
+            HeartbeatReply(
+                sender=own.sender,
+                view=own.view,
+                seq=own.seq,
+                view_pending=own.view_pending,
+                departure=own.departure,
+                synced=own.synced,
+                peers=own.peers,
+                complete=own.complete,
+                lease_us=lease_us,
+            )
+        )
+        self._chain.resync(heartbeat.sender.address, heartbeat.view.number, heartbeat.synced)
+
+    def _heartbeat(self) -> Heartbeat:
+        replica = self._replica
+        return Heartbeat(
+            sender=replica.me,
+            view=replica.view,
+            seq=replica.state.seq,
+            view_pending=replica.view_pending,
+            departure=requested_departure(replica),
+            synced=self._chain.synced,
+            peers=self._detector.peers(),
+            complete=replica.complete,
+            promised=self._lease_manager.promised,
+            requests_lease=is_disk_fast(self._environment),
+        )
+
+    def _on_reply(self, address: str, sent_at: int, reply: Message | None) -> None:
+        self._awaiting_reply.discard(address)
+        if not isinstance(reply, HeartbeatReply):
+            return
+        self._detector.on_reply(reply)
+        self._learn_from(reply)
+        self._lease_manager.on_lease_granted(reply, sent_at)
+        self._chain.resync(reply.sender.address, reply.view.number, reply.synced)
+
+    def _learn_from(self, message: Heartbeat | HeartbeatReply) -> None:
+        self._detector.learn_peers(message)
+        self._replica.adopt_from(message)
--- a/lilacsill/mesh/store/lease_manager.py
+++ b/lilacsill/mesh/store/lease_manager.py
@@ -27,14 +27,19 @@
 
 
 class LeaseManager:
-    """The leases and votes of one member."""
+    """The leases and votes of one member.
 
-    def __init__(self, replica: Replica) -> None:
+    Args:
+        replica: the member.
+        on_release: called when the member has released the leases that it holds, so that it can say so.
+    """
+
+    def __init__(self, replica: Replica, on_release: Callable[[], None]) -> None:
         self._replica, self._environment = replica, replica.environment
         self.grantor = LeaseGrantor(replica.environment.now())
         self.holder = LeaseHolder()
         self.promised: Ballot = replica.acceptor.promised(replica.view)  # the fencing token, as it is on disk
-        self.on_release: Callable[[], None] = lambda: None  # sends a heartbeat, so that grantors need not wait
+        self._on_release = on_release
         self._deferred: list[_DeferredVote] = []
         self._retry: Timer | None = None  # of the deferred votes
         replica.on_view.append(self._on_view_change)
@@ -126,7 +131,7 @@
                 # The order matters: leases that are requested from here on carry the ballot.
                 self.promised = max(answer.ballot, self.promised)
                 self.holder.release_all(self._environment.now())
-                self.on_release()
+                self._on_release()
             reply(answer)
 
         is_for_next_view = request.to == replica.me and request.view_number == view.number + 1
--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -26,6 +26,7 @@
 
 from . import facts
 from .chain import Chain
+from .cluster_monitor import FaultTolerance
 from .environment import Environment, Save, ignore_completion
 from .followers import Followers
 from .frontend import Frontend
@@ -72,9 +73,9 @@
     def __init__(self, environment: Environment, settings: StoreSettings, disk: DiskContents) -> None:
         self.replica = replica = recover(environment, settings, disk)
         self.chain = chain = Chain(replica, self)
-        self.lease_manager = lease_manager = LeaseManager(replica)
-        self.membership = membership = Membership(replica, chain, lease_manager, settings.seeds)
-        membership.lost_machines, membership.lost_places = settings.lost_machines, settings.lost_places
+        self.lease_manager = lease_manager = LeaseManager(replica, self._on_leases_released)
+        tolerance = FaultTolerance(settings.lost_machines, settings.lost_places)
+        self.membership = membership = Membership(replica, chain, lease_manager, settings.seeds, tolerance)
         self.frontend = frontend = Frontend(replica, chain)
         self.followers = followers = Followers(replica, chain, membership)
         self.handlers: dict[type, Handler] = {
@@ -95,6 +96,9 @@
         self.chain.start()
         self.membership.start()
 
+    def _on_leases_released(self) -> None:
+        self.membership.on_leases_released()
+
     # As the observer of the chain
 
     def on_commit(self) -> None:
--- a/lilacsill/mesh/store/rejections.py
+++ b/lilacsill/mesh/store/rejections.py
@@ -132,7 +132,7 @@
     kind: str
     name: str
     version: int  # that was sent
-    held_version: int  # the highest one that was accepted
+    current_version: int  # the highest one that was accepted
 
     @property
     def message(self) -> str:
@@ -151,7 +151,7 @@
     kind: str
     name: str
     version: int  # that was sent
-    held_version: int  # the highest one that was accepted
+    current_version: int  # the highest one that was accepted
 
     @property
     def message(self) -> str:
--- a/lilacsill/mesh/store/route_index.py
+++ b/lilacsill/mesh/store/route_index.py
@@ -86,9 +86,9 @@
         """Return how many routes refer to the service."""
         return self._reference_counts.get(service, 0)
 
-    def replace(self, held: Item | None, item: Item) -> None:
-        """Replace an item by its successor of the same name; `held` None: there was none."""
-        self._remove(held)
+    def replace(self, current: Item | None, item: Item) -> None:
+        """Replace an item by its successor of the same name; `current` None: there was none."""
+        self._remove(current)
         references = references_of(item)
         if references is None:
             return
@@ -96,11 +96,11 @@
         for service in references.services:
             self._reference_counts[service] = self.reference_count(service) + 1
 
-    def _remove(self, held: Item | None) -> None:
-        references = references_of(held)
-        if held is None or references is None:
+    def _remove(self, current: Item | None) -> None:
+        references = references_of(current)
+        if current is None or references is None:
             return
-        if self._routes.get(references.match) == held.name:
+        if self._routes.get(references.match) == current.name:
             del self._routes[references.match]
         for service in references.services:
             self._reference_counts[service] -= 1
--- a/lilacsill/mesh/store/validation.py
+++ b/lilacsill/mesh/store/validation.py
@@ -36,13 +36,13 @@
     newer: Call = []
     superseded: Call = []
     for change in call:
-        held = base.item(change.kind, change.name)
-        held_version = change.version if held is None else held.version
-        kind = classify_change(held, change.version, change.body)
+        current = base.item(change.kind, change.name)
+        current_version = change.version if current is None else current.version
+        kind = classify_change(current, change.version, change.body)
         if kind is ChangeKind.CONFLICT:
-            return Failure(VersionConflict(change.kind, change.name, change.version, held_version))
+            return Failure(VersionConflict(change.kind, change.name, change.version, current_version))
         if kind is ChangeKind.FORGOTTEN:
-            return Failure(VersionForgotten(change.kind, change.name, change.version, held_version))
+            return Failure(VersionForgotten(change.kind, change.name, change.version, current_version))
         if kind is ChangeKind.NEWER:
             newer.append(change)
         elif kind is ChangeKind.SUPERSEDED:
@@ -60,8 +60,8 @@
     items = []
     for seq, change in enumerate(newer, draft.seq + 1):
         body = None if change.body is None else msgspec.json.encode(change.body)
-        held = draft.item(change.kind, change.name)
-        items.append(with_new_version(held, change.kind, change.name, change.version, seq, body))
+        current = draft.item(change.kind, change.name)
+        items.append(with_new_version(current, change.kind, change.name, change.version, seq, body))
     for conflict in draft.put(items):
         return MatchTaken(conflict.taken_by, conflict.route)
     for change in newer:
@@ -101,9 +101,9 @@
 def _record_superseded(base: Base, draft: Draft, superseded: Call) -> None:
     """Record their contents: no later call may use the same version for another content."""
     for change in superseded:
-        held = base.item(change.kind, change.name)
-        assert held is not None
-        draft.put([with_recorded_version(held, change.version, change.body, draft.seq + 1)])
+        current = base.item(change.kind, change.name)
+        assert current is not None
+        draft.put([with_recorded_version(current, change.version, change.body, draft.seq + 1)])
 
 
 def _exists(item: Item | None) -> bool:
--- /dev/null
+++ b/lilacsill/mesh/store/view_proposer.py
@@ -0,0 +1,103 @@
+"""Proposals of the next view. No I/O.
+
+Any member of the chain may propose. So that few do at once, each waits for the time that its place among the living
+members gives it: the first proposes immediately, and the others only if nothing comes of that.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from functools import partial
+
+from lilacsill.mesh.runtime.log_ring import log
+from lilacsill.mesh.runtime.messages import Ballot, Member, Message, View, ViewChange
+
+from .cluster_monitor import ClusterMonitor
+from .failure_detector import FailureDetector
+from .paxos import Proposal, ProposalCallbacks
+from .reconfiguration import next_view
+from .replica import Replica
+
+PROPOSER_DELAY_US = 150_000  # each member waits so much longer than the one before it
+VOTE_TIMEOUT_US = 500_000  # for the answer of one voter in one phase
+PROPOSAL_TIMEOUT_US = 2 * VOTE_TIMEOUT_US  # both phases
+
+
+class ViewProposer:
+    """The proposals of one member."""
+
+    def __init__(self, replica: Replica, detector: FailureDetector, monitor: ClusterMonitor) -> None:
+        self._replica, self._environment = replica, replica.environment
+        self._detector, self._monitor = detector, monitor
+        self._wanted: View | None = None
+        self._wanted_since_us = 0
+        self._proposal: Proposal | None = None
+        self._round = 0  # the highest ballot number used or heard of in this incarnation
+        replica.on_view.append(self._on_view_change)
+
+    def check(self) -> None:
+        """Propose the next view, if another one is wanted and it is this member's turn."""
+        replica, now = self._replica, self._environment.now()
+        if not replica.in_chain or self._proposal is not None:
+            return
+        wanted = self.next_view() or self._pending_view()
+        if wanted is None:
+            self._wanted = None
+            return
+        if self._wanted is None or not _has_same_members(wanted, self._wanted):
+            self._wanted, self._wanted_since_us = wanted, now
+        living = [member for member in replica.view.chain if self._detector.is_alive(member)]
+        if now - self._wanted_since_us >= living.index(replica.me) * PROPOSER_DELAY_US:
+            self._propose(wanted)
+
+    def next_view(self) -> View | None:
+        """Return the view that should follow; None: the present one is right, or nothing can be done."""
+        return next_view(self._monitor.state())
+
+    def _pending_view(self) -> View | None:
+        """A view that this member has accepted, proposed by any member, and that it does not know to be chosen."""
+        return self._replica.acceptor.state.accepted_view if self._replica.view_pending else None
+
+    def _on_view_change(self) -> None:
+        self._wanted = self._proposal = None
+
+    def _propose(self, wanted: View) -> None:
+        replica = self._replica
+        self._round += 1
+        ballot = Ballot(max(self._round, replica.acceptor.state.promised.number + 1), replica.me.address)
+        log.info("proposes view %d: %s", wanted.number, wanted)
+        callbacks = ProposalCallbacks(self._ask_voter, partial(self._on_chosen, replica.view), self._on_failed)
+        self._proposal = proposal = Proposal(replica.view, wanted, ballot, callbacks)
+        self._environment.after(PROPOSAL_TIMEOUT_US, self._on_timeout, proposal)
+        proposal.begin()
+
+    def _ask_voter(self, voter: Member, request: Message, on_answer: Callable[[Message | None], None]) -> None:
+        self._environment.ask(voter.address, request, VOTE_TIMEOUT_US, on_answer)
+
+    def _on_chosen(self, previous: View, view: View) -> None:
+        addresses = {member.address for member in (*previous.members, *view.members)} - {self._replica.me.address}
+        self._replica.adopt(view)
+        for address in addresses:
+            self._environment.ask(address, ViewChange(view), VOTE_TIMEOUT_US, _ignore_answer)
+
+    def _on_failed(self, later_view: View | None, ballot_to_exceed: Ballot) -> None:
+        self._round = max(self._round, ballot_to_exceed.number)
+        proposal, self._proposal = self._proposal, None
+        if later_view is not None:
+            self._replica.adopt(later_view)
+        elif proposal is not None:
+            # Two members propose at once: each waits again for the time of its place.
+            self._wanted_since_us = self._environment.now() + PROPOSER_DELAY_US
+
+    def _on_timeout(self, proposal: Proposal) -> None:
+        if self._proposal is proposal and not proposal.is_finished:
+            proposal.cancel()
+            self._proposal = None
+
+
+def _has_same_members(one: View, other: View) -> bool:
+    return one.number == other.number and one.members == other.members
+
+
+def _ignore_answer(answer: Message | None) -> None:
+    """A member that misses the announcement learns of the view with the next heartbeat."""
--- a/tests/control/test_point_1_leases.py
+++ b/tests/control/test_point_1_leases.py
@@ -14,8 +14,8 @@
 from lilacsill.mesh.runtime.messages import Ballot, Departure, Freshness, Member, View
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.store_fleet import Operator, RuleBroken, put, route
+from lilacsill.mesh.store.failure_detector import SUSPECT_AFTER_US
 from lilacsill.mesh.store.leases import LEASE_US, LeaseGrantor, LeaseHolder
-from lilacsill.mesh.store.membership import SUSPECT_AFTER_US
 from lilacsill.mesh.store.paxos import NO_BALLOT
 
 from .control_plane import CALL_US, ControlPlane
--- a/tests/control/test_point_3_membership.py
+++ b/tests/control/test_point_3_membership.py
@@ -13,7 +13,7 @@
 from lilacsill.mesh.simulation.store_fleet import Fleet, Operator, begun, put, route
 from lilacsill.mesh.store import reconfiguration
 from lilacsill.mesh.store.facts import StoredReplica
-from lilacsill.mesh.store.membership import SUSPECT_AFTER_US
+from lilacsill.mesh.store.failure_detector import SUSPECT_AFTER_US
 from lilacsill.mesh.store.paxos import AcceptorState
 from lilacsill.mesh.store.reconfiguration import ClusterState, MachineState
 from lilacsill.mesh.store.replica import Replica
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -33,6 +33,7 @@
 from lilacsill.mesh.store.predecessor import PredecessorLink
 from lilacsill.mesh.store.replica import Replica
 from lilacsill.mesh.store.state import ConfigState
+from lilacsill.mesh.store.view_proposer import ViewProposer
 from lilacsill.mesh.store.successor import SuccessorLink
 
 Replier = Callable[[Message], None]
@@ -143,15 +144,15 @@
 
 
 def newcomers_come_first(patch: Patch) -> None:
-    def wanted(self: Membership, now: int) -> View | None:
-        view = real(self, now)
+    def next_view(self: ViewProposer) -> View | None:
+        view = real(self)
         if view is None:
             return None
         old = [m for m in view.members if m in self._replica.view.members]
         return View(view.number, (*(m for m in view.members if m not in old), *old))
 
-    real = Membership.wanted
-    patch.setattr(Membership, "wanted", wanted)
+    real = ViewProposer.next_view
+    patch.setattr(ViewProposer, "next_view", next_view)
 
 
 def a_lost_disk_keeps_its_seat(patch: Patch) -> None:
