--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from ..records import Ballot, Departure, Endpoint, Freshness, Item, Load, Member, View
+from ..records import Ballot, Departure, Endpoint, EndpointState, Freshness, Item, Load, Member, SuspicionReport, View
 from .base import Headers, Message
 from .configuration import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply, Status, StatusReply
 from .consensus import (
@@ -96,6 +96,7 @@
     "Confirmed",
     "Departure",
     "Endpoint",
+    "EndpointState",
     "Follow",
     "FollowReply",
     "Freshness",
@@ -128,6 +129,7 @@
     "StatusReply",
     "Summary",
     "SummaryRequest",
+    "SuspicionReport",
     "View",
     "ViewChange",
     "ViewChangeReply",
--- a/lilacsill/mesh/store/leases.py
+++ b/lilacsill/mesh/store/leases.py
@@ -19,7 +19,7 @@
 from collections.abc import Iterable, Mapping
 from typing import NamedTuple
 
-from lilacsill.mesh.runtime.freshness import longest, shortest
+from lilacsill.mesh.runtime.freshness import max_elapsed_us, min_elapsed_us
 from lilacsill.mesh.runtime.messages import Ballot, Member, View
 
 LEASE_US = 450_000  # shorter than the silence after which a member is suspected
@@ -37,7 +37,7 @@
 
     def __init__(self, started_at: int) -> None:
         # What the previous incarnation of this process granted is not known.
-        self._unknown_until_us = started_at + longest(LEASE_US)
+        self._unknown_until_us = started_at + max_elapsed_us(LEASE_US)
         self._grants: dict[Member, Grant] = {}
         self._suspended_until_us = 0
 
@@ -89,7 +89,7 @@
         """Add the lease that answers a request sent at `asked_at`."""
         if self._released_at_us is not None and asked_at <= self._released_at_us:
             return
-        end_us = asked_at + shortest(lease_us)
+        end_us = asked_at + min_elapsed_us(lease_us)
         self._ends[grantor] = max(end_us, self._ends.get(grantor, end_us))
 
     def release_all(self, now: int) -> None:
--- a/lilacsill/mesh/store/local_environment.py
+++ b/lilacsill/mesh/store/local_environment.py
@@ -8,7 +8,7 @@
 from lilacsill.address import parse_address
 from lilacsill.mesh.runtime.messages import Message
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Handler, Peers
+from lilacsill.mesh.runtime.rpc import RequestHandler, RpcClientPool
 from lilacsill.timers import Timer
 
 from .disk import Disk
@@ -24,8 +24,8 @@
 
     def __init__(self, reactor: Reactor, disk: Disk, address: str) -> None:
         self._reactor, self._disk, self._address = reactor, disk, address
-        self._peers = Peers(reactor)
-        self.handlers: dict[type, Handler] = {}
+        self._peers = RpcClientPool(reactor)
+        self.handlers: dict[type, RequestHandler] = {}
 
     def now(self) -> int:
         """Return the time of the event loop in microseconds."""
@@ -44,7 +44,7 @@
         if address == self._address:
             self._ask_self(message, timeout_us, answered)
         else:
-            self._peers.to(parse_address(address)).ask(message, timeout_us, answered)
+            self._peers.client(parse_address(address)).request(message, timeout_us, answered)
 
     def _ask_self(self, message: Message, timeout_us: int, answered: Answered) -> None:
         """Handle a request to this process like one to another machine: with a time-out, and answered later."""
--- a/lilacsill/mesh/store/process.py
+++ b/lilacsill/mesh/store/process.py
@@ -12,7 +12,7 @@
 from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import Message, Status, StatusReply
 from lilacsill.mesh.runtime.reactor import Reactor
-from lilacsill.mesh.runtime.rpc import Handler, RpcServer
+from lilacsill.mesh.runtime.rpc import RequestHandler, RpcServer
 from lilacsill.mesh.runtime.settings import Settings
 
 from .disk import Disk
@@ -26,7 +26,6 @@
     8  # the state may take this part of the disk: the file, its log and a file that was moved away must all fit
 )
 INCARNATION_BYTES = 6
-DEFAULT_GRACE_MS = 6000
 
 
 class Process:
@@ -39,26 +38,26 @@
             OSError: The disk cannot be used, or the address is taken.
         """
         self._settings, self._reactor = settings, reactor
-        port = settings.ports[0] + CONTROL_PORT
+        port = settings.internal_ports[0] + CONTROL_PORT
         address = f"{settings.ip}:{port}"
-        disk = Disk(reactor, settings.data)
+        disk = Disk(reactor, settings.data_dir)
         environment = LocalEnvironment(reactor, disk, address)
         self._store = store = Store(
             environment,
             StoreSettings(
                 address,
                 [f"{seed.host}:{port}" for seed in settings.seeds],
-                settings.fresh,
+                settings.fresh_start,
                 urandom(INCARNATION_BYTES).hex(),
-                settings.lost_machines,
-                settings.lost_places,
+                settings.max_lost_machines,
+                settings.max_lost_zones,
             ),
             DiskContents(disk.items, disk.facts),
         )
         disk.items = []
         if settings.disk_mb:
             store.frontend.max_state_bytes = (settings.disk_mb << 20) // DISK_SHARE
-        handlers: dict[type, Handler] = {**store.handlers, Status: self._handle_status}
+        handlers: dict[type, RequestHandler] = {**store.handlers, Status: self._handle_status}
         environment.handlers = handlers
         self._server = RpcServer(reactor, Address(settings.ip, port), handlers)
         self._leaving: Leaving | None = None
@@ -68,7 +67,7 @@
 
     def _on_terminate(self) -> None:
         if self._leaving is None:
-            grace_us = self._settings.bound_us("GracePeriodS", DEFAULT_GRACE_MS)
+            grace_us = self._settings.timing.grace_period_us
             self._leaving = Leaving(self._store.replica, self._store.membership, grace_us, self._reactor.stop)
 
     def _handle_status(self, request: Message, reply: Callable[[Message], None]) -> None:
