--- a/lilacsill/mesh/credit/allowance.py
+++ b/lilacsill/mesh/credit/allowance.py
@@ -1,51 +1,118 @@
 """A proxy's leases on its callers' credit: most requests are paid for without a round trip. No I/O.
 
-A lease is renewed before it is used up, so that a caller that is busy here finds credit here. A caller that has gone
-quiet keeps a little of it for a while, since it may come back. Where a lease is too small and the home node is not
-known to be out of credit, a request waits for the answer that is due. A node that hears from no home node spends its
-lease, and then the floor: its own part of a reserve that is set aside for that.
+A lease is renewed before it is used up, so that a caller that is busy here finds credit here. A caller that has become
+idle keeps a small lease for some time, since it may return. If a lease is too small and the home node is not known to
+be out of credit, a request waits for the pending answer. A node that gets no answer from the home node spends its
+lease, and then its floor: its own share of a reserve that is set aside for that.
 """
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from enum import Enum, auto
+from typing import NamedTuple
 
-from .account import TINY
+import msgspec
+
+from .account import ROUNDING, US_PER_S
 from .contract import Tier
-from .messages import Grant, Refused, Want
+from .messages import LeaseGrant, LeaseRejection, LeaseRequest
 
 LEASE_US = 2_000_000  # length of a lease
-AHEAD_S = 1.2  # seconds of spending that are asked for: a round trip between regions, and the copy's
-AGAIN_US = 100_000  # between two questions for one caller
+RENEWAL_US = LEASE_US // 3  # a lease with less time than this is renewed
+PREFETCH_S = 1.2  # seconds of spending to ask for: a round trip between regions, and one to the replica
+RETRY_US = 100_000  # between two requests for one caller
 FADE_US = 1_000_000  # time constant of the smoothed spending rate
 REPORT_US = 250_000  # between two reports of what was spent
-LATE_US = 1_000_000  # after which a question counts as unanswered
-WAIT_US = 700_000  # the longest that a request waits for an answer
-STAY_US, STAY_PART = 8_000_000, 1 / 32  # how long, and how much of the burst, stays where a caller was
-DRY_US = 300_000  # how long no request waits for a home node that could not give all
-WAIT = -1  # verdict of `spend`: an answer is due
+REQUEST_TIMEOUT_US = 1_000_000  # after it a request counts as unanswered
+MAX_WAIT_US = 700_000  # for which a caller's request waits for an answer of the home node
+IDLE_US = 8_000_000  # for this time a caller that has become idle keeps a lease
+IDLE_SHARE = 1 / 32  # of the burst, in that lease
+EXHAUSTED_US = 300_000  # for which no request waits after the home node could not lend all that was wanted
+LOW_SHARE = 0.6  # a lease with less than this share of what is wanted is renewed
+EXPIRY_US = 10 * LEASE_US  # an unused lease is forgotten after this
+
+
+class Payment(Enum):
+    """What became of an attempt to pay."""
+
+    PAID = auto()
+    PENDING = auto()  # an answer of the home node is due, after which to try again
+    REJECTED = auto()
+
 
+class PaymentResult(NamedTuple):
+    """Whether a request is paid for."""
 
-@dataclass(slots=True)
-class Lease:
-    """The lease on one caller's credit. Totals count from the beginning of this holder's life."""
+    payment: Payment
+    retry_us: int = 0  # of a rejected one: until there will be credit
+
+
+PAID = PaymentResult(Payment.PAID)
+PENDING = PaymentResult(Payment.PENDING)
+
+
+class CallerLease(msgspec.Struct):
+    """The lease on one caller's credit. Totals count from the start of this incarnation of the holder."""
 
     tier: Tier
+    floor_updated_at_us: int  # the time for which `floor` is right
+    rate_updated_at_us: int  # the time for which `spending_rate` is right
     spent: float = 0.0  # in total, on leases
     limit: float = 0.0  # of that total
-    ends_at: int = 0
-    floor: float = 0.0  # credit of this node's own part of the reserve
-    floor_at: int = 0  # as of when that is
-    pace: float = 0.0  # credits spent a second, smoothed
-    paced_at: int = 0  # as of when that is
-    lacked: float = 0.0  # what a request could not be paid with
-    number: int = 0  # of the last question
-    asked_at: int = 0
-    out: bool = False  # the last question has no answer yet
-    dry_until: int = 0  # the home node was out of credit, and will have some then
-    heard_at: int = -1  # when the last answer came
-    used_at: int = 0
-    told: float = 0.0  # the total spent that was reported last
+    ends_at_us: int = 0
+    floor: float = 0.0  # credit of this node's own share of the reserve
+    spending_rate: float = 0.0  # credits a second, smoothed
+    shortfall: float = 0.0  # the largest cost that could not be paid
+    number: int = 0  # of the last request
+    asked_at_us: int = 0
+    is_pending: bool = False  # the last request has no answer yet
+    exhausted_until_us: int = 0  # the home node was out of credit, and will have some then
+    used_at_us: int = 0
+    reported: float = 0.0  # the total spent that was reported last
+
+    @property
+    def remaining(self) -> float:
+        """Credit that may still be spent."""
+        return self.limit - self.spent
+
+    def advance(self, now: int) -> None:
+        """Bring the lease up to this time: end it if it is over, and add to the floor what was earned."""
+        if now >= self.ends_at_us:
+            self.limit = self.spent
+        earned = self.tier.floor_rate * (now - self.floor_updated_at_us) / US_PER_S
+        self.floor = min(self.tier.floor_burst, self.floor + earned)
+        self.floor_updated_at_us = now
+
+    def record_demand(self, cost: float, now: int) -> None:
+        """Count a request into the smoothed spending rate, whether it is paid for or not."""
+        self.spending_rate = self._faded_rate(now) + cost * US_PER_S / FADE_US
+        self.rate_updated_at_us = now
+
+    def wanted(self, now: int) -> float:
+        """Return the credit that should be here."""
+        for_idle = self.tier.home_burst * IDLE_SHARE if now - self.used_at_us < IDLE_US else 0.0
+        return max(self._faded_rate(now) * PREFETCH_S, self.shortfall, for_idle)
+
+    def _faded_rate(self, now: int) -> float:
+        passed_us = max(0, now - self.rate_updated_at_us)
+        return self.spending_rate * max(0.0, 1 - passed_us / FADE_US)
+
+    def has_excess(self, wanted: float, now: int) -> bool:
+        """Return whether credit should be returned."""
+        return self.remaining > 2 * wanted + 1 and now - self.used_at_us > REPORT_US
+
+    def needs_request(self, wanted: float, now: int) -> bool:
+        """Return whether to ask for credit or to report."""
+        since_request_us = now - self.asked_at_us
+        is_low = wanted > 0 and self.remaining < max(LOW_SHARE * wanted, self.shortfall)
+        is_ending = wanted > 0 and self.ends_at_us - now < RENEWAL_US
+        if (is_low or is_ending) and since_request_us >= RETRY_US:
+            return True
+        return self.spent > self.reported and since_request_us >= REPORT_US
+
+    def is_expired(self, now: int) -> bool:
+        """Return whether the lease has ended and its caller has been idle for long."""
+        return now - self.used_at_us > EXPIRY_US and now >= self.ends_at_us
 
 
 class Allowance:
@@ -53,87 +120,71 @@
 
     def __init__(self, holder: str) -> None:
         self._holder = holder
-        self.leases: dict[str, Lease] = {}
+        self.leases: dict[str, CallerLease] = {}
 
-    def spend(self, caller: str, tier: Tier, cost: float, now: int) -> int:
-        """Pay for a request. Returns 0 where it is paid for; WAIT where an answer is due, after which to call again;
-        else the microseconds until there will be credit."""
+    def spend(self, caller: str, tier: Tier, cost: float, now: int) -> PaymentResult:
+        """Pay for a request, if there is credit here."""
         lease = self._lease(caller, tier, now)
-        lease.used_at = now
-        self._pace(lease, cost, now)
-        self._turn(lease, now)
-        if lease.spent + cost <= lease.limit + TINY:
+        lease.used_at_us = now
+        lease.record_demand(cost, now)
+        lease.advance(now)
+        if lease.spent + cost <= lease.limit + ROUNDING:
             lease.spent += cost
-            return 0
-        lease.lacked = max(lease.lacked, cost)
-        if now < lease.dry_until:
-            return max(lease.dry_until - now, AGAIN_US)
-        if not lease.out or now - lease.asked_at < WAIT_US:
-            return WAIT
-        # The home node does not answer: the floor is left.
-        if cost <= lease.floor + TINY:
+            return PAID
+        lease.shortfall = max(lease.shortfall, cost)
+        if now < lease.exhausted_until_us:
+            return PaymentResult(Payment.REJECTED, max(lease.exhausted_until_us - now, RETRY_US))
+        if not lease.is_pending or now - lease.asked_at_us < MAX_WAIT_US:
+            return PENDING
+        # The home node does not answer.
+        if cost <= lease.floor + ROUNDING:
             lease.floor -= cost
-            return 0
-        return int(max(AGAIN_US, 1e6 * cost / tier.rate))
+            return PAID
+        return PaymentResult(Payment.REJECTED, int(max(RETRY_US, US_PER_S * cost / tier.rate)))
 
-    def _lease(self, caller: str, tier: Tier, now: int) -> Lease:
+    def _lease(self, caller: str, tier: Tier, now: int) -> CallerLease:
         lease = self.leases.get(caller)
         if lease is None:
-            lease = self.leases[caller] = Lease(tier, floor=0.0, floor_at=now, paced_at=now)
+            lease = self.leases[caller] = CallerLease(tier, now, now)
         elif lease.tier != tier:
             lease.tier = tier
             lease.floor = min(lease.floor, tier.floor_burst)
         return lease
 
-    @staticmethod
-    def _pace(lease: Lease, cost: float, now: int) -> None:
-        passed = max(0, now - lease.paced_at)
-        lease.pace = lease.pace * max(0.0, 1 - passed / FADE_US) + cost * 1e6 / FADE_US
-        lease.paced_at = now
-
-    @staticmethod
-    def _turn(lease: Lease, now: int) -> None:
-        if now >= lease.ends_at:
-            lease.limit = lease.spent  # it is over: what is left is given up
-        earned = lease.tier.floor_rate * (now - lease.floor_at) / 1e6
-        lease.floor, lease.floor_at = min(lease.tier.floor_burst, lease.floor + earned), now
-
-    def questions(self, now: int) -> list[Want]:
-        """The questions to send now. To be called several times a second, and after a refusal."""
-        wants = []
+    def due_requests(self, now: int) -> list[LeaseRequest]:
+        """Return the requests to send now. To be called several times a second, and after a rejection."""
+        requests = []
         for caller, lease in list(self.leases.items()):
-            self._turn(lease, now)
-            if lease.out and now - lease.asked_at < LATE_US:
-                continue
-            lease.out = False
-            stay = lease.tier.home_burst * STAY_PART if now - lease.used_at < STAY_US else 0.0
-            wish = max(lease.pace * max(0.0, 1 - (now - lease.paced_at) / FADE_US) * AHEAD_S, lease.lacked, stay)
-            left = lease.limit - lease.spent
-            low = wish > 0 and left < max(0.6 * wish, lease.lacked) and now - lease.asked_at >= AGAIN_US
-            tells = lease.spent > lease.told and now - lease.asked_at >= REPORT_US
-            over = left > 2 * wish + 1 and now - lease.used_at > REPORT_US  # it gives back what it does not need
-            ends = wish > 0 and lease.ends_at - now < LEASE_US // 3 and now - lease.asked_at >= AGAIN_US
-            if not (low or tells or over or ends):
-                if now - lease.used_at > 10 * LEASE_US and now >= lease.ends_at:
-                    del self.leases[caller]  # unused and ended
+            lease.advance(now)
+            if lease.is_pending and now - lease.asked_at_us < REQUEST_TIMEOUT_US:
                 continue
-            if over:
-                # No more than is kept is spent from now on, whether the home node hears of it or not.
-                lease.limit = lease.spent + wish
-            lease.number += 1
-            lease.asked_at, lease.out, lease.told = now, True, lease.spent
-            wants.append(Want(caller, lease.tier.name, self._holder, lease.number, lease.spent, wish, over))
-        return wants
-
-    def answered(self, caller: str, answer: Grant | Refused, now: int) -> None:
-        """Take the answer to the last question; an answer to an older one is ignored."""
+            lease.is_pending = False
+            wanted = lease.wanted(now)
+            has_excess = lease.has_excess(wanted, now)
+            if has_excess or lease.needs_request(wanted, now):
+                requests.append(self._request(caller, lease, wanted, has_excess, now))
+            elif lease.is_expired(now):
+                del self.leases[caller]
+        return requests
+
+    def _request(self, caller: str, lease: CallerLease, wanted: float, has_excess: bool, now: int) -> LeaseRequest:
+        if has_excess:
+            # The rest is not spent from now on, whether the home node receives the request or not.
+            lease.limit = lease.spent + wanted
+        lease.number += 1
+        lease.asked_at_us, lease.is_pending, lease.reported = now, True, lease.spent
+        return LeaseRequest(caller, lease.tier.name, self._holder, lease.number, lease.spent, wanted, has_excess)
+
+    def on_answer(self, caller: str, answer: LeaseGrant | LeaseRejection, now: int) -> None:
+        """Take the answer to the last request; an answer to an older one is ignored."""
         lease = self.leases.get(caller)
-        if lease is None or not lease.out or answer.number != lease.number:
+        if lease is None or not lease.is_pending or answer.number != lease.number:
             return
-        lease.out, lease.heard_at = False, now
-        if isinstance(answer, Refused):
+        lease.is_pending = False
+        if isinstance(answer, LeaseRejection):
             return
-        lease.dry_until = now + max(answer.back_us, DRY_US) if answer.back_us else 0
-        if lease.asked_at + answer.for_us <= now:
+        lease.exhausted_until_us = now + max(answer.retry_us, EXHAUSTED_US) if answer.retry_us else 0
+        ends_at_us = lease.asked_at_us + answer.valid_us
+        if ends_at_us <= now:
             return
-        lease.limit, lease.ends_at, lease.lacked = answer.limit, lease.asked_at + answer.for_us, 0.0
+        lease.limit, lease.ends_at_us, lease.shortfall = answer.limit, ends_at_us, 0.0
--- a/lilacsill/mesh/credit/home.py
+++ b/lilacsill/mesh/credit/home.py
@@ -1,280 +1,328 @@
-"""Home nodes: each account has one, named by rendezvous hashing over the nodes of the epoch, and a copy in another
-region. No I/O; clock and messages come from outside.
-
-A grant goes out only when the copy holds it. A new home node asks the pair (home and copy) of each earlier epoch that
-may have granted credit. It knows the account when one node of each pair has answered that was up throughout that epoch:
-one is enough, since a grant needs both, and a node that has answered grants and copies nothing more for older epochs.
-Where a whole pair is silent, the new home node waits until older home nodes have lost the right to grant (they need a
-recent confirmation of their epoch by a majority) and all their leases have ended, and begins with no credit.
+"""The home nodes of accounts: they grant leases, and take accounts over from earlier epochs. No I/O.
+
+Rendezvous hashing over the nodes of the epoch names one home node for each account, and a replica in another region.
+The clock and the messages come from outside.
+
+A grant is sent only when the replica has it. A new home node asks the home and the replica of each earlier epoch that
+may have granted credit. It knows the account when, of each such pair, one node has answered that was up throughout that
+epoch. One is enough: a grant needs both, and a node that has answered grants and copies nothing more for older epochs.
+If neither node of a pair answers, the new home node waits until older home nodes have lost the right to grant (they
+need a recent confirmation of their epoch by a majority) and all their leases have ended. It then begins without credit.
 """
 
 from __future__ import annotations
 
 from collections.abc import Callable
-from dataclasses import dataclass, field
 from functools import partial
-from typing import Any, Protocol
+from typing import Any, NamedTuple, Protocol
 
 import msgspec
 
-from lilacsill.mesh.runtime.hashing import rendezvous_select
-
-from .account import Account, of_state
+from .account import US_PER_S, Account, account_from_state
 from .allowance import LEASE_US
-from .contract import Contracts
-from .messages import Grant, Message, Mirror, Mirrored, Refused, State, Want, Yield, Yielded
-
-SURE_US = 1_000_000  # a node may grant for so long after its epoch was confirmed
-MARGIN_US = 200_000  # for clocks that run at different speeds, and messages on their way
-ASK_US = 300_000  # the longest wait for another node's answer
-AGAIN_US = 150_000  # after which a holder that was refused may ask again
-SETTLE_US = SURE_US + LEASE_US + MARGIN_US  # after which no grant of an older epoch is left
-ENOUGH = 0.9  # a holder that gets a smaller part of what it wants is told when there will be more
-BACK = 1.0  # credits, namely so many more
-PAST = 8  # earlier epochs that a roster tells of
-MOST = 100_000  # accounts at one node, after which full ones are forgotten
-MOST_WAITING = 64  # questions that wait until one account is known
+from .contract import Contracts, Tier
+from .messages import (
+    AccountState,
+    Handover,
+    HandoverReply,
+    LeaseGrant,
+    LeaseRejection,
+    LeaseRequest,
+    Message,
+    Mirror,
+    Mirrored,
+)
+from .roster import Placement, Roster, place
+
+CONFIRMATION_US = 1_000_000  # for which a node may grant after its epoch was confirmed
+MARGIN_US = 200_000  # for clocks that run at different speeds, and messages in flight
+NODE_TIMEOUT_US = 300_000  # for another node's answer
+RETRY_US = 150_000  # after which a holder that was rejected may ask once more
+RECOVERY_US = CONFIRMATION_US + LEASE_US + MARGIN_US  # after which no grant of an older epoch is left
+SUFFICIENT_SHARE = 0.9  # a holder that gets a smaller share of what it wants is told when there will be more
+RETRY_CREDIT = 1.0  # there will be more when there is so much
+MAX_ACCOUNTS = 100_000  # at one node, after which full ones are forgotten
+MAX_WAITING_REQUESTS = 64  # for one account to become known
+
+Replier = Callable[[Message], None]
 
 
 class Environment(Protocol):
-    """What a home node needs of its process: a monotonic clock in microseconds, timers, and the other nodes."""
+    """What a home node needs of its process: a monotonic clock, timers, and the other nodes."""
 
-    def now(self) -> int: ...
+    def now(self) -> int:
+        """Return the time in microseconds."""
+        ...
 
-    def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> object: ...
+    def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> object:
+        """Call once after the delay."""
+        ...
 
-    def ask(self, node: str, message: Message, timeout_us: int, answered: Callable[[Message | None], None]) -> None: ...
+    def ask(self, node: str, message: Message, timeout_us: int, answered: Callable[[Message | None], None]) -> None:
+        """Send a request; `answered` gets None if no answer comes in time."""
+        ...
 
 
-class Roster(msgspec.Struct, frozen=True):
-    """The nodes that keep accounts in an epoch, with the region of each. `past` has the epochs before, the latest last;
-    `cut` says that there were more."""
+class _WaitingRequest(NamedTuple):
+    """A request that waits until the account is known."""
 
-    epoch: int
-    nodes: dict[str, str]
-    past: tuple[tuple[int, dict[str, str]], ...] = ()
-    cut: bool = False
+    request: LeaseRequest
+    reply: Replier
 
-    def pair(self, caller: str) -> tuple[str, str]:
-        """Home node and copy of a caller's account."""
-        return pair_of(self.nodes, caller)
 
-    def next(self, nodes: dict[str, str]) -> Roster:
-        """The roster of the next epoch."""
-        past = (*self.past, (self.epoch, self.nodes))
-        return Roster(self.epoch + 1, nodes, past[-PAST:], self.cut or len(past) > PAST)
+class AccountSlot(msgspec.Struct):
+    """One account at its home node."""
 
+    account: Account | None = None  # None: not known yet
+    tier: str = ""
+    is_recovering: bool = False  # other nodes have been asked for it
+    waiting: list[_WaitingRequest] = []
 
-def pair_of(nodes: dict[str, str], caller: str) -> tuple[str, str]:
-    """Home node and copy, which is in another region where there is one; empty if there is no other node."""
-    home = rendezvous_select(caller, nodes, 1)[0]
-    away = [node for node, region in nodes.items() if region != nodes[home]]
-    others = away or [node for node in nodes if node != home]
-    return home, next(iter(rendezvous_select(caller, others, 1)), "")
+    def take_waiting(self) -> list[_WaitingRequest]:
+        """Remove and return the requests that wait."""
+        waiting, self.waiting = self.waiting, []
+        return waiting
 
 
-@dataclass(slots=True)
-class Seat:
-    """One account at its home node."""
+class _Recovery(msgspec.Struct):
+    """The search for an account at the nodes that may know it."""
 
-    account: Account | None = None  # None: not known yet
-    tier: str = ""
-    asked: bool = False  # other nodes have been asked about it
-    waiting: list[tuple[Want, Callable[[Message], None]]] = field(default_factory=list)
+    caller: str
+    slot: AccountSlot
+    epoch: int  # in which it began
+    placements: dict[int, Placement]  # by epoch
+    open_epochs: set[int]  # in which credit may have been granted that no answer has accounted for
+    states: list[AccountState]  # found so far
+    outstanding: int = 0  # answers
 
 
-class Home:
-    """The accounts and copies of one node."""
+class HomeNode:
+    """The accounts and replicas of one node.
+
+    Args:
+        environment: clock, timers and other nodes.
+        me: the name of this node.
+        contracts: the tiers of all callers.
+        roster: the nodes of the present epoch.
+        is_first_start: whether the deployment starts for the first time, so that its epoch begins with this node.
+    """
 
     def __init__(
-        self, environment: Environment, me: str, contracts: Contracts, roster: Roster, first: bool = False
+        self, environment: Environment, me: str, contracts: Contracts, roster: Roster, is_first_start: bool = False
     ) -> None:
-        """`first`: this is the first start of the deployment, so the epoch begins with it."""
         self._environment, self.me, self.contracts, self.roster = environment, me, contracts, roster
-        self._began = environment.now()
-        self._sure_at = -SURE_US
-        self._lives_since = (
-            roster.epoch if first else roster.epoch + 1
-        )  # the first epoch that began in this node's life
-        self._heard = dict.fromkeys((*(e for e, _ in roster.past), roster.epoch), self._began)
-        self.seats: dict[str, Seat] = {}
-        self.copies: dict[str, State] = {}
-        self.fenced: dict[str, int] = {}  # by caller: nothing is granted or copied for epochs before this one
+        self._epoch_began_at_us = environment.now()
+        self._confirmed_at_us = -CONFIRMATION_US
+        # The first epoch that began in this incarnation: of it and of later ones this node knows all.
+        self._known_since_epoch = roster.epoch if is_first_start else roster.epoch + 1
+        self._epoch_known_at_us = dict.fromkeys(roster.all_epochs(), self._epoch_began_at_us)
+        self.slots: dict[str, AccountSlot] = {}  # by caller
+        self.replicas: dict[str, AccountState] = {}  # by caller
+        self.fences: dict[str, int] = {}  # by caller: nothing is granted or copied for epochs before this one
 
     # Epochs
 
-    def confirmed(self, epoch: int, asked_at: int) -> None:
-        """A majority confirmed that epoch, as of when it was asked."""
+    def on_epoch_confirmed(self, epoch: int, asked_at: int) -> None:
+        """Note that a majority has confirmed the epoch, as of the time when it was asked."""
         if epoch == self.roster.epoch:
-            self._sure_at = max(self._sure_at, asked_at)
+            self._confirmed_at_us = max(self._confirmed_at_us, asked_at)
 
-    def enters(self, roster: Roster) -> None:
-        """Enter a later epoch. Accounts that stay here go on; others are kept as copies until they are asked for."""
+    def enter_epoch(self, roster: Roster) -> None:
+        """Enter a later epoch. Accounts that stay here go on; others are kept as replicas until they are asked for."""
         if roster.epoch <= self.roster.epoch:
             return
         now = self._environment.now()
-        between = [nodes for epoch, nodes in roster.past if epoch > self.roster.epoch]
-        missed = roster.epoch - self.roster.epoch - 1 > len(between)
-        for caller, seat in list(self.seats.items()):
-            for want, reply in seat.waiting:
-                reply(Refused(want.number, AGAIN_US))
-            seat.waiting.clear()
-            pair = self.roster.pair(caller)
-            stays = not missed and all(pair_of(nodes, caller) == pair for nodes in (*between, roster.nodes))
-            if not stays and seat.account is not None:
+        between = [past.nodes for past in roster.past if past.epoch > self.roster.epoch]
+        has_missed_epochs = roster.epoch - self.roster.epoch - 1 > len(between)
+        for caller, slot in list(self.slots.items()):
+            self._reject_waiting(slot)
+            placement = self.roster.place(caller)
+            stays = not has_missed_epochs and all(
+                place(nodes, caller) == placement for nodes in (*between, roster.nodes)
+            )
+            if not stays and slot.account is not None:
                 # The new home node will ask for it.
-                self.copies[caller] = seat.account.state(self.roster.epoch, seat.tier, now)
-            if not stays or seat.account is None:
-                del self.seats[caller]
-        self.roster, self._began, self._sure_at = roster, now, -SURE_US
-        for epoch in (*(e for e, _ in roster.past), roster.epoch):
-            self._heard.setdefault(epoch, now)
+                self.replicas[caller] = slot.account.to_state(self.roster.epoch, slot.tier, now)
+            if not stays or slot.account is None:
+                del self.slots[caller]
+        self.roster, self._epoch_began_at_us, self._confirmed_at_us = roster, now, -CONFIRMATION_US
+        for epoch in roster.all_epochs():
+            self._epoch_known_at_us.setdefault(epoch, now)
 
     @property
-    def sure(self) -> bool:
+    def may_grant(self) -> bool:
         """Whether the epoch was confirmed recently enough to grant credit."""
-        return self._environment.now() - self._sure_at < SURE_US
+        return self._environment.now() - self._confirmed_at_us < CONFIRMATION_US
 
     # Holders
 
-    def want(self, want: Want, reply: Callable[[Message], None]) -> None:
-        """Answer a holder's question, at once or when the account is known."""
-        home, copy = self.roster.pair(want.caller)
-        if home != self.me or not self.sure or self.fenced.get(want.caller, -1) > self.roster.epoch:
-            return reply(Refused(want.number, AGAIN_US))
-        seat = self.seats.get(want.caller)
-        if seat is None:
-            self._room()
-            seat = self.seats[want.caller] = Seat()
-        if seat.account is None:
-            if len(seat.waiting) < MOST_WAITING:
-                seat.waiting.append((want, reply))
-            else:
-                reply(Refused(want.number, AGAIN_US))
-            return self._settle(want.caller, seat)
-        self._grant(want, seat, copy, reply)
+    def handle_lease_request(self, request: LeaseRequest, reply: Replier) -> None:
+        """Answer a holder, at once or when the account is known."""
+        caller = request.caller
+        placement = self.roster.place(caller)
+        if placement.home != self.me or not self.may_grant or self.fences.get(caller, -1) > self.roster.epoch:
+            reply(LeaseRejection(request.number, RETRY_US))
+            return
+        slot = self.slots.get(caller)
+        if slot is None:
+            self._evict_full_accounts()
+            slot = self.slots[caller] = AccountSlot()
+        if slot.account is not None:
+            self._grant(request, slot, placement.replica, reply)
+            return
+        if len(slot.waiting) < MAX_WAITING_REQUESTS:
+            slot.waiting.append(_WaitingRequest(request, reply))
+        else:
+            reply(LeaseRejection(request.number, RETRY_US))
+        self._recover(caller, slot)
 
-    def _grant(self, want: Want, seat: Seat, copy: str, reply: Callable[[Message], None]) -> None:
-        account, now = seat.account, self._environment.now()
+    def _grant(self, request: LeaseRequest, slot: AccountSlot, replica: str, reply: Replier) -> None:
+        account, now = slot.account, self._environment.now()
         assert account is not None
-        tier = self.contracts.tier(want.caller)
-        if tier.name != seat.tier:
-            account.changed(tier.home_rate, tier.home_burst, now)
-            seat.tier = tier.name
-        limit = account.want(want.holder, want.spent, want.want, want.back, LEASE_US, now)
-        back_us = max(1, account.back_us(BACK)) if limit - want.spent < ENOUGH * want.want else 0
-        grant = Grant(want.number, limit, LEASE_US - MARGIN_US, back_us)
+        tier = self.contracts.tier(request.caller)
+        if tier.name != slot.tier:
+            account.change_tier(tier.home_rate, tier.home_burst, now)
+            slot.tier = tier.name
+        limit = account.lend(request.holder, request.spent, request.wanted, request.returns_excess, LEASE_US, now)
+        is_sufficient = limit - request.spent >= SUFFICIENT_SHARE * request.wanted
+        retry_us = 0 if is_sufficient else max(1, account.time_until_us(RETRY_CREDIT))
+        grant = LeaseGrant(request.number, limit, LEASE_US - MARGIN_US, retry_us)
+        if not replica:
+            reply(grant)
+            return
         epoch = self.roster.epoch
-        if not copy:
-            return reply(grant)
 
-        def copied(answer: Message | None) -> None:
+        def on_mirrored(answer: Message | None) -> None:
             # If this epoch may be over the grant is dropped: its credit is lost, but none is created.
-            if isinstance(answer, Mirrored) and answer.ok and epoch == self.roster.epoch and self.sure:
-                return reply(grant)
-            reply(Refused(want.number, AGAIN_US))
+            if isinstance(answer, Mirrored) and answer.ok and epoch == self.roster.epoch and self.may_grant:
+                reply(grant)
+            else:
+                reply(LeaseRejection(request.number, RETRY_US))
 
-        mirror = Mirror(epoch, want.caller, account.state(epoch, seat.tier, now))
-        self._environment.ask(copy, mirror, ASK_US, copied)
+        mirror = Mirror(epoch, request.caller, account.to_state(epoch, slot.tier, now))
+        self._environment.ask(replica, mirror, NODE_TIMEOUT_US, on_mirrored)
 
-    def _room(self) -> None:
+    def _reject_waiting(self, slot: AccountSlot) -> None:
+        for waiting in slot.take_waiting():
+            waiting.reply(LeaseRejection(waiting.request.number, RETRY_US))
+
+    def _evict_full_accounts(self) -> None:
         """Forget full accounts when there are too many: a caller that comes back begins with as much."""
-        if len(self.seats) < MOST:
+        if len(self.slots) < MAX_ACCOUNTS:
             return
         now = self._environment.now()
-        for caller, seat in list(self.seats.items()):
-            if seat.account is not None:
-                seat.account.turn(now)
-                if seat.account.full():
-                    del self.seats[caller]
-                    self.copies.pop(caller, None)
+        for caller, slot in list(self.slots.items()):
+            if slot.account is None:
+                continue
+            slot.account.advance(now)
+            if slot.account.is_full():
+                del self.slots[caller]
+                self.replicas.pop(caller, None)
 
     # Accounts that are not known yet
 
-    def _settle(self, caller: str, seat: Seat) -> None:
-        if seat.asked:
+    def _recover(self, caller: str, slot: AccountSlot) -> None:
+        """Ask the nodes that may know the account for it."""
+        if slot.is_recovering:
             return
-        seat.asked = True
-        epochs = {
-            epoch: pair_of(nodes, caller)
-            for epoch, nodes in (*self.roster.past, (self.roster.epoch, self.roster.nodes))
+        slot.is_recovering = True
+        placements = {epoch: place(nodes, caller) for epoch, nodes in self.roster.all_epochs().items()}
+        open_epochs = {
+            epoch
+            for epoch, placement in placements.items()
+            if self.me not in placement or epoch < self._known_since_epoch
         }
-        # Epochs in which others may have granted credit: in its own life this node knows of all grants of its pairs.
-        open_epochs = {epoch for epoch, pair in epochs.items() if self.me not in pair or epoch < self._lives_since}
-        states = [self.copies[caller]] if caller in self.copies else []
-        self.fenced[caller] = self.roster.epoch
-        pairs = {node for pair in epochs.values() for node in pair if node}
-        others = sorted(pairs - {self.me}) if open_epochs else []
-        left = len(others)
-        epoch_now = self.roster.epoch
-
-        def answered(node: str, answer: Message | None) -> None:
-            nonlocal left
-            left -= 1
-            if self.seats.get(caller) is not seat or seat.account is not None or self.roster.epoch != epoch_now:
-                return
-            if isinstance(answer, Yielded) and answer.ok:
-                known = {epoch for epoch in open_epochs if node in epochs[epoch] and epoch >= answer.since}
-                open_epochs.difference_update(known)
-                if answer.state is not None:
-                    states.append(answer.state)
-            if left <= 0:
-                seat.asked = False
-                self._looked(caller, seat, states, bool(open_epochs))
-
+        states = [self.replicas[caller]] if caller in self.replicas else []
+        self.fences[caller] = self.roster.epoch
+        nodes = {node for placement in placements.values() for node in placement if node}
+        others = sorted(nodes - {self.me}) if open_epochs else []
+        recovery = _Recovery(caller, slot, self.roster.epoch, placements, open_epochs, states, len(others))
         if not others:
-            seat.asked = False
-            return self._looked(caller, seat, states, bool(open_epochs))
+            self._end_recovery(recovery)
+            return
         for node in others:
-            self._environment.ask(node, Yield(self.roster.epoch, caller), ASK_US, partial(answered, node))
+            on_answer = partial(self._on_handover_reply, recovery, node)
+            self._environment.ask(node, Handover(self.roster.epoch, caller), NODE_TIMEOUT_US, on_answer)
+
+    def _on_handover_reply(self, recovery: _Recovery, node: str, answer: Message | None) -> None:
+        recovery.outstanding -= 1
+        slot = recovery.slot
+        is_abandoned = self.slots.get(recovery.caller) is not slot or self.roster.epoch != recovery.epoch
+        if is_abandoned or slot.account is not None:
+            return
+        if isinstance(answer, HandoverReply) and answer.ok:
+            recovery.open_epochs -= {
+                epoch
+                for epoch in recovery.open_epochs
+                if node in recovery.placements[epoch] and epoch >= answer.known_since_epoch
+            }
+            if answer.state is not None:
+                recovery.states.append(answer.state)
+        if recovery.outstanding <= 0:
+            self._end_recovery(recovery)
+
+    def _end_recovery(self, recovery: _Recovery) -> None:
+        recovery.slot.is_recovering = False
+        self._on_recovered(recovery.caller, recovery.slot, recovery.states, bool(recovery.open_epochs))
+
+    def _on_recovered(self, caller: str, slot: AccountSlot, states: list[AccountState], is_unknown: bool) -> None:
+        """Open the account, or let holders ask later.
+
+        Args:
+            caller: whose account it is.
+            slot: its place here.
+            states: what other nodes had of it.
+            is_unknown: whether for some epoch no node has answered that would know.
+        """
+        if is_unknown and self._environment.now() - self._epoch_began_at_us <= RECOVERY_US:
+            self._reject_waiting(slot)
+            return
+        tier = self.contracts.tier(caller)
+        slot.account = self._recovered_account(tier, states, is_unknown)
+        slot.tier = tier.name
+        replica = self.roster.place(caller).replica
+        for waiting in slot.take_waiting():
+            self._grant(waiting.request, slot, replica, waiting.reply)
 
-    def _looked(self, caller: str, seat: Seat, states: list[State], unknown: bool) -> None:
-        """All other nodes have been asked. `unknown`: for some epoch nobody has answered who would know."""
+    def _recovered_account(self, tier: Tier, states: list[AccountState], is_unknown: bool) -> Account:
         now = self._environment.now()
-        tier = self.contracts.tier(caller)
-        if unknown and now - self._began <= SETTLE_US:
-            waiting, seat.waiting = seat.waiting, []
-            for want, reply in waiting:
-                reply(Refused(want.number, AGAIN_US))
-            return
-        latest = max(states, key=lambda state: (state.epoch, state.number), default=None)
-        if unknown:
+        if is_unknown:
             # All leases of older epochs have ended. Saved credit is lost, but none is created.
-            seat.account = Account(tier.home_rate, tier.home_burst, 0.0, now)
-        elif latest is not None:
-            seat.account = of_state(latest, tier.home_rate, tier.home_burst, now)
-            seat.account.changed(tier.home_rate, tier.home_burst, now)
-        else:
-            # Nothing was granted in any epoch that the roster tells of: the caller has been quiet since.
-            quiet_us = now - self._heard[min(self._heard)]
-            earned = tier.home_rate * quiet_us / 1e6 if self.roster.cut else tier.home_burst
-            seat.account = Account(tier.home_rate, tier.home_burst, min(tier.home_burst, earned), now)
-        seat.tier = tier.name
-        waiting, seat.waiting = seat.waiting, []
-        copy = self.roster.pair(caller)[1]
-        for want, reply in waiting:
-            self._grant(want, seat, copy, reply)
+            return Account(tier.home_rate, tier.home_burst, 0.0, now)
+        latest = max(states, key=lambda state: (state.epoch, state.number), default=None)
+        if latest is not None:
+            account = account_from_state(latest, tier.home_rate, tier.home_burst, now)
+            account.change_tier(tier.home_rate, tier.home_burst, now)
+            return account
+        # Nothing was granted in any epoch that the roster lists: the caller has been idle since.
+        idle_us = now - self._epoch_known_at_us[min(self._epoch_known_at_us)]
+        earned = tier.home_rate * idle_us / US_PER_S if self.roster.is_truncated else tier.home_burst
+        return Account(tier.home_rate, tier.home_burst, min(tier.home_burst, earned), now)
 
     # Other nodes
 
-    def mirror(self, mirror: Mirror, reply: Callable[[Message], None]) -> None:
-        """Hold the home node's state as its copy, unless a later epoch has asked for the account."""
-        if mirror.epoch < max(self.roster.epoch, self.fenced.get(mirror.caller, -1)):
-            return reply(Mirrored(False))
-        held, state = self.copies.get(mirror.caller), mirror.state
-        if held is None or (held.epoch, held.number) <= (state.epoch, state.number):
-            self.copies[mirror.caller] = state
+    def handle_mirror(self, mirror: Mirror, reply: Replier) -> None:
+        """Keep the home node's state as its replica, unless a later epoch has asked for the account."""
+        caller, state = mirror.caller, mirror.state
+        if mirror.epoch < max(self.roster.epoch, self.fences.get(caller, -1)):
+            reply(Mirrored(False))
+            return
+        present = self.replicas.get(caller)
+        if present is None or (present.epoch, present.number) <= (state.epoch, state.number):
+            self.replicas[caller] = state
         reply(Mirrored(True))
 
-    def give_up(self, asked: Yield, reply: Callable[[Message], None]) -> None:
-        """The home node of a later epoch asks: grant and copy nothing more for older epochs, and tell what is held."""
-        caller = asked.caller
-        if asked.epoch < self.roster.epoch or asked.epoch < self.fenced.get(caller, -1):
-            return reply(Yielded(False, self._lives_since, None))
-        self.fenced[caller] = asked.epoch
-        seat = self.seats.get(caller)
-        if seat is not None and asked.epoch > self.roster.epoch:
-            del self.seats[caller]
-            if seat.account is not None:
-                self.copies[caller] = seat.account.state(self.roster.epoch, seat.tier, self._environment.now())
-        reply(Yielded(True, self._lives_since, self.copies.get(caller)))
+    def handle_handover(self, request: Handover, reply: Replier) -> None:
+        """Hand an account over to the home node of a later epoch: grant and copy nothing more for older epochs."""
+        caller = request.caller
+        if request.epoch < self.roster.epoch or request.epoch < self.fences.get(caller, -1):
+            reply(HandoverReply(False, self._known_since_epoch, None))
+            return
+        self.fences[caller] = request.epoch
+        slot = self.slots.get(caller)
+        if slot is not None and request.epoch > self.roster.epoch:
+            del self.slots[caller]
+            if slot.account is not None:
+                now = self._environment.now()
+                self.replicas[caller] = slot.account.to_state(self.roster.epoch, slot.tier, now)
+        reply(HandoverReply(True, self._known_since_epoch, self.replicas.get(caller)))
--- a/lilacsill/mesh/simulation/credit.py
+++ b/lilacsill/mesh/simulation/credit.py
@@ -11,10 +11,11 @@
 from random import Random
 from typing import Any
 
-from lilacsill.mesh.credit.allowance import WAIT, WAIT_US, Allowance
+from lilacsill.mesh.credit.allowance import MAX_WAIT_US, Allowance, Payment
 from lilacsill.mesh.credit.contract import Contracts, Tier
-from lilacsill.mesh.credit.home import Home, Roster
-from lilacsill.mesh.credit.messages import Grant, Message, Mirror, Refused, Want, Yield
+from lilacsill.mesh.credit.home import HomeNode
+from lilacsill.mesh.credit.messages import Handover, LeaseGrant, LeaseRejection, LeaseRequest, Message, Mirror
+from lilacsill.mesh.credit.roster import Roster
 
 from .network import MS, S, Time, once_only
 from .store_fleet import RuleBroken
@@ -32,7 +33,7 @@
         self.street, self.name, self.region = street, name, region
         self.life = 0
         self.frozen_until = 0
-        self.home: Home | None = None
+        self.home: HomeNode | None = None
         self.allowance: Allowance | None = None
         self.waiting: dict[str, list[tuple[float, int]]] = {}  # requests: cost, until when
 
@@ -58,12 +59,12 @@
             home = self.home
             if home is None:
                 return
-            if isinstance(message, Want):
-                home.want(message, reply)
+            if isinstance(message, LeaseRequest):
+                home.handle_lease_request(message, reply)
             elif isinstance(message, Mirror):
-                home.mirror(message, reply)
-            elif isinstance(message, Yield):
-                home.give_up(message, reply)
+                home.handle_mirror(message, reply)
+            elif isinstance(message, Handover):
+                home.handle_handover(message, reply)
 
         self._here(handle)()
 
@@ -82,7 +83,7 @@
     def begins(self, first: bool = False) -> None:
         self.life += 1
         if self.name.startswith("home"):
-            self.home = Home(self, self.name, self.street.contracts, self.street.roster, first)
+            self.home = HomeNode(self, self.name, self.street.contracts, self.street.roster, first)
             self._confirm()
         else:
             self.allowance = Allowance(f"{self.name}/{self.life}")
@@ -101,8 +102,8 @@
         def answered(roster: Roster) -> None:
             assert self.home is not None
             self.home.contracts = self.street.contracts
-            self.home.enters(roster)
-            self.home.confirmed(roster.epoch, asked_at)
+            self.home.enter_epoch(roster)
+            self.home.on_epoch_confirmed(roster.epoch, asked_at)
 
         back = self._here(answered)
         street = self.street
@@ -117,13 +118,13 @@
         allowance, roster = self.allowance, self.street.known.get(self.name, self.street.roster)
         if allowance is None:
             return
-        for want in allowance.questions(self.now()):
-            home = roster.pair(want.caller)[0]
+        for want in allowance.due_requests(self.now()):
+            home = roster.place(want.caller).home
             self.ask(home, want, WANT_US, partial(self._granted, allowance, want.caller))
 
     def _granted(self, allowance: Allowance, caller: str, m: Message | None) -> None:
-        if isinstance(m, Grant | Refused):
-            allowance.answered(caller, m, self.now())
+        if isinstance(m, LeaseGrant | LeaseRejection):
+            allowance.on_answer(caller, m, self.now())
             waiting = self.waiting.pop(caller, [])
             for cost, until in waiting:
                 self.street.spend(caller, self, cost, until)
@@ -172,16 +173,16 @@
         if proxy.allowance is None or self.time.now < proxy.frozen_until:
             return
         tier = self.contracts.tier(caller)
-        verdict = proxy.allowance.spend(caller, tier, cost, self.time.now)
+        result = proxy.allowance.spend(caller, tier, cost, self.time.now)
         counts = self.asked.setdefault(caller, {}).setdefault(proxy.region, [0, 0, 0])
         counts[0] += not until
-        if verdict == 0:
+        if result.payment is Payment.PAID:
             counts[1] += 1
             self.spent.setdefault(caller, []).append((self.time.now, cost))
-        elif verdict == WAIT and (not until or self.time.now < until):
+        elif result.payment is Payment.PENDING and (not until or self.time.now < until):
             counts[2] += not until
-            proxy.waiting.setdefault(caller, []).append((cost, until or self.time.now + WAIT_US))
-        if verdict:
+            proxy.waiting.setdefault(caller, []).append((cost, until or self.time.now + MAX_WAIT_US))
+        if result.payment is not Payment.PAID:
             proxy.look()
 
     def over(self, caller: str, tier: Tier) -> float:
@@ -260,7 +261,7 @@
         elif kind == "freeze":
             rng.choice([*street.homes, *self._used.values()]).frozen_until = time.now + for_us
         elif kind in ("roster", "usurp"):
-            gone = rng.choice([*homes, street.roster.pair("c0")[0], street.roster.pair("c1")[0]])
+            gone = rng.choice([*homes, street.roster.place("c0").home, street.roster.place("c1").home])
             nodes = {n: r for n, r in street.roster.nodes.items() if n != gone}
             if len(nodes) < 2:
                 return
@@ -272,7 +273,7 @@
                     street.known[proxy.name] = street.roster
                     time.after(2 * S, self._hears, proxy.name)
                 time.after(for_us, street.cuts.difference_update, cut)
-            street.roster = street.roster.next(nodes)
+            street.roster = street.roster.successor(nodes)
             time.after(for_us, self._in_again, gone)
         elif kind == "tier" and self.steady:
             # Lowered for another caller: what it had saved must not show up here.
@@ -296,7 +297,7 @@
 
     def _in_again(self, name: str) -> None:
         roster = self.street.roster
-        self.street.roster = roster.next({**roster.nodes, name: self.street.nodes[name].region})
+        self.street.roster = roster.successor({**roster.nodes, name: self.street.nodes[name].region})
 
     def _back(self, node: Node) -> None:
         if node.home is None and node.allowance is None:
--- a/tests/credit/test_credit.py
+++ b/tests/credit/test_credit.py
@@ -10,11 +10,12 @@
 
 from lilacsill.mesh.credit import account as accounts
 from lilacsill.mesh.credit import allowance, contract, home
-from lilacsill.mesh.credit.account import Account, of_state
-from lilacsill.mesh.credit.allowance import WAIT, Allowance
-from lilacsill.mesh.credit.contract import Contracts, Tier, read
-from lilacsill.mesh.credit.home import Home, Roster
-from lilacsill.mesh.credit.messages import Grant, Refused
+from lilacsill.mesh.credit.account import Account, account_from_state
+from lilacsill.mesh.credit.allowance import PAID, PENDING, Allowance, Payment
+from lilacsill.mesh.credit.contract import Contracts, Tier, parse_contracts
+from lilacsill.mesh.credit.home import HomeNode
+from lilacsill.mesh.credit.messages import LeaseGrant, LeaseRejection
+from lilacsill.mesh.credit.roster import Roster
 from lilacsill.mesh.simulation.credit import REGIONS, Day, Street
 from lilacsill.mesh.simulation.network import MS, S
 from lilacsill.mesh.simulation.store_fleet import RuleBroken
@@ -47,54 +48,54 @@
 
 
 def a_grant_does_not_wait_for_its_copy(patch: Patch) -> None:
-    def grant(self: Home, m: Any, seat: Any, copy: str, reply: Callable[[Any], None]) -> None:
-        real(self, m, seat, "", reply)
+    def grant(self: HomeNode, m: Any, slot: Any, copy: str, reply: Callable[[Any], None]) -> None:
+        real(self, m, slot, "", reply)
 
-    real = Home._grant
-    patch.setattr(Home, "_grant", grant)
+    real = HomeNode._grant
+    patch.setattr(HomeNode, "_grant", grant)
 
 
 def an_unsure_home_grants(patch: Patch) -> None:
-    patch.setattr(Home, "sure", property(lambda self: True))
+    patch.setattr(HomeNode, "may_grant", property(lambda self: True))
     a_grant_does_not_wait_for_its_copy(patch)
 
 
 def a_new_home_begins_full(patch: Patch) -> None:
-    def looked(self: Home, caller: str, seat: Any, states: Any, unknown: bool) -> None:
-        real(self, caller, seat, [], False)
+    def on_recovered(self: HomeNode, caller: str, slot: Any, states: Any, unknown: bool) -> None:
+        real(self, caller, slot, [], False)
 
-    real = Home._looked
-    patch.setattr(Home, "_looked", looked)
+    real = HomeNode._on_recovered
+    patch.setattr(HomeNode, "_on_recovered", on_recovered)
 
 
 def a_copy_has_earned_since_ever(patch: Patch) -> None:
-    def of_state(state: Any, rate: float, burst: float, now: int) -> Account:
+    def account_from_state(state: Any, rate: float, burst: float, now: int) -> Account:
         account = real(state, rate, burst, now)
-        account.at = 0
+        account.updated_at_us = 0
         return account
 
-    real = accounts.of_state
-    patch.setattr(home, "of_state", of_state)
+    real = accounts.account_from_state
+    patch.setattr(home, "account_from_state", account_from_state)
 
 
 def what_is_given_back_is_spent(patch: Patch) -> None:
-    def questions(self: Allowance, now: int) -> Any:
-        limits = {c: (lease.limit, lease.ends_at) for c, lease in self.leases.items()}
+    def due_requests(self: Allowance, now: int) -> Any:
+        limits = {c: (lease.limit, lease.ends_at_us) for c, lease in self.leases.items()}
         wants = real(self, now)
         for want in wants:
-            if want.back:
+            if want.returns_excess:
                 self.leases[want.caller].limit = max(limits[want.caller][0], self.leases[want.caller].limit)
         return wants
 
-    def answered(self: Allowance, caller: str, m: Any, now: int) -> None:
+    def on_answer(self: Allowance, caller: str, m: Any, now: int) -> None:
         held = self.leases[caller].limit if caller in self.leases else 0.0
         was(self, caller, m, now)
         if caller in self.leases:
             self.leases[caller].limit = max(held, self.leases[caller].limit)
 
-    real, was = Allowance.questions, Allowance.answered
-    patch.setattr(Allowance, "questions", questions)
-    patch.setattr(Allowance, "answered", answered)
+    real, was = Allowance.due_requests, Allowance.on_answer
+    patch.setattr(Allowance, "due_requests", due_requests)
+    patch.setattr(Allowance, "on_answer", on_answer)
 
 
 def the_floor_is_not_set_aside(patch: Patch) -> None:
@@ -109,15 +110,15 @@
     real = Allowance.__init__
     patch.setattr(Allowance, "__init__", made)
 
-    def want(self: Account, holder: str, spent: float, *rest: Any) -> float:
-        out = self.outs.get(holder)
-        if out is not None and spent < out.reported:
-            self.credit += min(out.reported - spent, max(0.0, self.burst - self.credit - self.lent()))
-            out.granted = out.reported = spent
+    def lend(self: Account, holder: str, spent: float, *rest: Any) -> float:
+        lease = self.leases.get(holder)
+        if lease is not None and spent < lease.reported:
+            self.credit += min(lease.reported - spent, max(0.0, self.burst - self.credit - self.lent()))
+            lease.granted = lease.reported = spent
         return was(self, holder, spent, *rest)
 
-    was = Account.want
-    patch.setattr(Account, "want", want)
+    was = Account.lend
+    patch.setattr(Account, "lend", lend)
 
 
 DEFECTS = [
@@ -176,58 +177,58 @@
         verdicts.append(proxy.allowance.spend("c", TIER, 1.0, time.now))
         proxy.look()
         time.run(time.now + 10 * MS)
-    refused = [v for v in verdicts if v > 0]
-    assert verdicts[0] == WAIT and 0 in verdicts and refused
+    refused = [v.retry_us for v in verdicts if v.payment is Payment.REJECTED]
+    assert verdicts[0] == PENDING and PAID in verdicts and refused
     assert all(MS < v <= 2 * S for v in refused)
 
 
 def test_a_node_that_hears_nothing_goes_on_with_its_lease_and_then_with_its_own_part() -> None:
-    tier, bag = Tier("t", 4096.0, 25600.0, {}), Allowance("p/1")
-    assert bag.spend("c", tier, 1.0, S) == WAIT
-    [want] = bag.questions(S)
-    bag.answered("c", Grant(want.number, 3.0, 2 * S, 0), S + 50 * MS)
-    assert [bag.spend("c", tier, 1.0, S + 60 * MS) for _ in range(3)] == [0, 0, 0]
-    bag.questions(S + 400 * MS)
+    tier, proxy_allowance = Tier("t", 4096.0, 25600.0, {}), Allowance("p/1")
+    assert proxy_allowance.spend("c", tier, 1.0, S) == PENDING
+    [want] = proxy_allowance.due_requests(S)
+    proxy_allowance.on_answer("c", LeaseGrant(want.number, 3.0, 2 * S, 0), S + 50 * MS)
+    assert [proxy_allowance.spend("c", tier, 1.0, S + 60 * MS) for _ in range(3)] == [PAID, PAID, PAID]
+    proxy_allowance.due_requests(S + 400 * MS)
     later = S + 10 * S
-    assert [bag.spend("c", tier, 1.0, later) for _ in range(2)].count(0) == 1  # a part of 1 a burst
-    bag.answered("c", Refused(99, 0), later)  # an answer to no question of its
-    assert bag.leases["c"].out
+    assert [proxy_allowance.spend("c", tier, 1.0, later) for _ in range(2)].count(PAID) == 1  # a part of 1 a burst
+    proxy_allowance.on_answer("c", LeaseRejection(99, 0), later)  # it answers no request that was sent
+    assert proxy_allowance.leases["c"].is_pending
 
 
 def test_a_lower_tier_takes_nothing_that_is_lent_and_a_copy_earns_nothing_on_its_way() -> None:
     account = Account(20.0, 60.0, 60.0, 0)
-    assert account.want("a", 0.0, 40.0, False, 2 * S, 0) == 30.0
-    account.changed(5.0, 10.0, S)
+    assert account.lend("a", 0.0, 40.0, False, 2 * S, 0) == 30.0
+    account.change_tier(5.0, 10.0, S)
     assert account.lent() == 30.0 and account.credit == 0.0
-    other = of_state(account.state(1, "t", S), 5.0, 10.0, 9 * S)
+    other = account_from_state(account.to_state(1, "t", S), 5.0, 10.0, 9 * S)
     assert other.credit == 0.0 and other.lent() == 30.0
-    other.turn(11 * S)
-    other.turn(12 * S)
+    other.advance(11 * S)
+    other.advance(12 * S)
     assert other.lent() == 0.0 and 0 < other.credit <= 10.0
 
 
 def test_a_million_callers_of_whom_few_are_active_are_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(home, "MOST", 50)
+    monkeypatch.setattr(home, "MAX_ACCOUNTS", 50)
     street = Street(5, Contracts(b"", {"t": TIER}, {}, "t"), homes=1)
     time = street.time
     time.run(time.now + S)
     for i in range(400):
         street.spend(f"key{i}", street.proxies[i % 6])
         time.run(time.now + 120 * MS)
-    assert all(h.home is not None and len(h.home.seats) <= 120 for h in street.homes)
+    assert all(h.home is not None and len(h.home.slots) <= 120 for h in street.homes)
 
 
 def test_home_and_copy_are_in_two_regions_and_few_move_when_a_node_goes() -> None:
     street = Street(6, Contracts(b"", {"t": TIER}, {}, "t"))
     roster = street.roster
-    smaller = roster.next({n: r for n, r in roster.nodes.items() if n != "home-one-0"})
+    smaller = roster.successor({n: r for n, r in roster.nodes.items() if n != "home-one-0"})
     moved = 0
     for i in range(300):
-        one, other = roster.pair(f"c{i}")
+        one, other = roster.place(f"c{i}")
         assert roster.nodes[one] != roster.nodes[other]
-        moved += smaller.pair(f"c{i}") != (one, other)
+        moved += smaller.place(f"c{i}") != (one, other)
     assert len(REGIONS) == 3 and 300 / 6 < moved < 300 * 0.55
-    assert smaller.past == ((0, roster.nodes),) and Roster(9, {}, (), True).next({}).cut
+    assert smaller.past == ((0, roster.nodes),) and Roster(9, {}, (), True).successor({}).is_truncated
 
 
 # Contracts
@@ -250,18 +251,20 @@
     ],
 )
 def test_contracts_that_cannot_be_used(body: bytes, wrong: str) -> None:
-    answer = read(body)
+    answer = parse_contracts(body)
     assert isinstance(answer, Failure) and wrong in answer.failure()
 
 
 def test_contracts_and_hostile_keys() -> None:
-    made = read(
+    made = parse_contracts(
         b'{"Header": "Caller-Key", "Tiers": [{"Name": "t", "Rate": 2, "Burst": 500, "LastsS": 60,'
         b'"Costs": {"reserve": 3}}, {"Name": "u", "Rate": 1, "Burst": 5}],'
         b'"Callers": {"yard": "t"}, "Default": "u"}'
     ).unwrap()
     tier = made.tier("yard")
     assert (tier.burst, tier.cost("reserve"), tier.cost("x"), made.tier("other").name) == (120.0, 3.0, 1.0, "u")
-    assert made.caller(b"\xff" * 70_000, "desk") == "\xff" * contract.KEY_MOST and made.caller(b"", "desk") == "desk"
-    assert abs(tier.home_rate + tier.floor_rate * contract.MOST_NODES - tier.rate) < 1e-9
-    assert allowance.LEASE_US < home.SETTLE_US
+    assert (
+        made.caller(b"\xff" * 70_000, "desk") == "\xff" * contract.MAX_KEY_BYTES and made.caller(b"", "desk") == "desk"
+    )
+    assert abs(tier.home_rate + tier.floor_rate * contract.MAX_NODES - tier.rate) < 1e-9
+    assert allowance.LEASE_US < home.RECOVERY_US
