--- a/lilacsill/mesh/credit/home.py
+++ b/lilacsill/mesh/credit/home.py
@@ -32,7 +32,7 @@
     Mirror,
     Mirrored,
 )
-from .roster import Placement, Roster, place
+from .roster import Placement, Roster, place_account
 
 CONFIRMATION_US = 1_000_000  # for which a node may grant after its epoch was confirmed
 MARGIN_US = 200_000  # for clocks that run at different speeds, and messages in flight
@@ -136,9 +136,9 @@
         has_missed_epochs = roster.epoch - self.roster.epoch - 1 > len(between)
         for caller, slot in list(self.slots.items()):
             self._reject_waiting(slot)
-            placement = self.roster.place(caller)
+            placement = self.roster.place_account(caller)
             stays = not has_missed_epochs and all(
-                place(nodes, caller) == placement for nodes in (*between, roster.nodes)
+                place_account(nodes, caller) == placement for nodes in (*between, roster.nodes)
             )
             if not stays and slot.account is not None:
                 # The new home node will ask for it.
@@ -159,7 +159,7 @@
     def handle_lease_request(self, request: LeaseRequest, reply: Replier) -> None:
         """Answer a holder, at once or when the account is known."""
         caller = request.caller
-        placement = self.roster.place(caller)
+        placement = self.roster.place_account(caller)
         if placement.home != self.me or not self.may_grant or self.fences.get(caller, -1) > self.roster.epoch:
             reply(LeaseRejection(request.number, RETRY_US))
             return
@@ -226,7 +226,7 @@
         if slot.is_recovering:
             return
         slot.is_recovering = True
-        placements = {epoch: place(nodes, caller) for epoch, nodes in self.roster.all_epochs().items()}
+        placements = {epoch: place_account(nodes, caller) for epoch, nodes in self.roster.all_epochs().items()}
         open_epochs = {
             epoch
             for epoch, placement in placements.items()
@@ -280,7 +280,7 @@
         tier = self.contracts.tier(caller)
         slot.account = self._recovered_account(tier, states, is_unknown)
         slot.tier = tier.name
-        replica = self.roster.place(caller).replica
+        replica = self.roster.place_account(caller).replica
         for waiting in slot.take_waiting():
             self._grant(waiting.request, slot, replica, waiting.reply)
 
--- a/lilacsill/mesh/credit/roster.py
+++ b/lilacsill/mesh/credit/roster.py
@@ -21,7 +21,7 @@
     replica: str  # in another region where there is one; empty: there is no other node
 
 
-def place(nodes: Regions, caller: str) -> Placement:
+def place_account(nodes: Regions, caller: str) -> Placement:
     """Return the home node of a caller's account and its replica, by rendezvous hashing."""
     home = rendezvous_select(caller, nodes, 1)[0]
     elsewhere = [node for node, region in nodes.items() if region != nodes[home]]
@@ -44,9 +44,9 @@
     past: tuple[PastEpoch, ...] = ()  # the latest last
     is_truncated: bool = False  # there were more
 
-    def place(self, caller: str) -> Placement:
+    def place_account(self, caller: str) -> Placement:
         """Return where a caller's account is in this epoch."""
-        return place(self.nodes, caller)
+        return place_account(self.nodes, caller)
 
     def successor(self, nodes: Regions) -> Roster:
         """Return the roster of the next epoch."""
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -20,17 +20,17 @@
 from .active_config import ActiveConfig
 from .backend_gateway import BackendGateway
 from .backend_lifecycle import BackendLifecycle, EndpointState
+from .client_listener import ClientListener
 from .discovery import DiscoveryClient
 from .failure_detector import FailureDetector
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 from .health_probe import HealthProbe
 from .heartbeat_api import HeartbeatApi
-from .inbound import Clients
 from .known_endpoints import KnownEndpoints
 from .offer_server import OfferServer
 from .retry_budget import RetryBudgetSettings
 from .shutdown_sequence import ShutdownSequence
-from .status_report import status_report
+from .upstreams import Upstreams
 
 
 class Process:
@@ -43,22 +43,26 @@
         self._settings, self._reactor = settings, reactor
         self._lifecycle = BackendLifecycle(settings.timing.drain_us)
         self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
-        self._forwarder = self._create_forwarder()
-        self._endpoints = KnownEndpoints(settings.node_name, self._forwarder)
+        self._config, rng = ActiveConfig(), Random()
+        upstreams = Upstreams(reactor, self._gateway, settings.node_name, self._retry_budget_settings(), rng)
+        self._endpoints = KnownEndpoints(settings.node_name, upstreams)
         self._failure_detector = FailureDetector(
             ReactorEnvironment(reactor), settings.node_name, self._endpoints.peers, self._on_suspect
         )
         self._discovery = DiscoveryClient(
             settings,
             reactor,
-            self._forwarder,
+            self._config,
             self._lifecycle,
             self._endpoints,
             self._failure_detector.suspects,
             self._on_update,
         )
+        self._forwarder = Forwarder(
+            reactor, self._config, upstreams, settings.service, rng, self._discovery.is_config_current
+        )
         self._offer_server = OfferServer(reactor, Address(settings.ip, settings.internal_ports[0]), self._gateway, self)
-        self._clients = Clients(reactor, settings.listen["Outgoing"], self._forwarder)
+        self._clients = ClientListener(reactor, settings.listen["Outgoing"], self._forwarder)
         heartbeats = HeartbeatApi(reactor, self._gateway, self._discovery.announce)
         self._heartbeat_server = ControlServer(reactor, settings.listen["ControlPort"], heartbeats.handle)
         self._readiness_server = ControlServer(reactor, settings.listen["ReadyCheck"], self._on_readiness_check)
@@ -67,7 +71,7 @@
             self._gateway.pool,
             self._lifecycle,
             settings.service,
-            lambda: self._forwarder.config.health_path(settings.service),
+            lambda: self._config.health_path(settings.service),
             self._discovery.announce,
         )
         self._shutdown = ShutdownSequence(
@@ -84,24 +88,11 @@
         self._discovery.start()
         self._failure_detector.start()
 
-    def _create_forwarder(self) -> Forwarder:
-        settings, reactor = self._settings, self._reactor
-        window_us = settings.timing.retry_window_us
-        return Forwarder(
-            reactor,
-            ActiveConfig(),
-            self._gateway,
-            settings.node_name,
-            settings.service,
-            RetryBudgetSettings(
-                settings.timing.retry_ratio,
-                window_us,
-                settings.timing.retry_slack,
-                # A process before this one may have spent the slack; on the first start of all there was none.
-                slack_from=0 if settings.fresh_start else reactor.now() + window_us,
-            ),
-            Random(),
-        )
+    def _retry_budget_settings(self) -> RetryBudgetSettings:
+        timing = self._settings.timing
+        # A process before this one may have spent the slack; on the first start of all there was none.
+        slack_from = 0 if self._settings.fresh_start else self._reactor.now() + timing.retry_window_us
+        return RetryBudgetSettings(timing.retry_ratio, timing.retry_window_us, timing.retry_slack, slack_from)
 
     # Events
 
@@ -112,7 +103,7 @@
     def _on_update(self) -> None:
         """Use what a registry has sent about the own service and the own backend."""
         service = self._lifecycle.service or self._settings.service
-        max_connections = self._forwarder.config.max_connections(service)
+        max_connections = self._config.max_connections(service)
         if max_connections is not None:
             self._gateway.pool.max_connections = max_connections
         if self._is_drain_new():
@@ -141,6 +132,8 @@
 
     def status(self) -> bytes:
         """Return the status report as JSON."""
+        from .status_report import status_report  # no process that nobody asks for its status needs the memory
+
         report = status_report(
             self._settings.node_name,
             self._shutdown.is_started,
--- a/lilacsill/mesh/simulation/credit.py
+++ b/lilacsill/mesh/simulation/credit.py
@@ -119,7 +119,7 @@
         if allowance is None:
             return
         for want in allowance.due_requests(self.now()):
-            home = roster.place(want.caller).home
+            home = roster.place_account(want.caller).home
             self.ask(home, want, WANT_US, partial(self._granted, allowance, want.caller))
 
     def _granted(self, allowance: Allowance, caller: str, m: Message | None) -> None:
@@ -261,7 +261,7 @@
         elif kind == "freeze":
             rng.choice([*street.homes, *self._used.values()]).frozen_until = time.now + for_us
         elif kind in ("roster", "usurp"):
-            gone = rng.choice([*homes, street.roster.place("c0").home, street.roster.place("c1").home])
+            gone = rng.choice([*homes, street.roster.place_account("c0").home, street.roster.place_account("c1").home])
             nodes = {n: r for n, r in street.roster.nodes.items() if n != gone}
             if len(nodes) < 2:
                 return
--- a/tests/credit/test_credit.py
+++ b/tests/credit/test_credit.py
@@ -224,9 +224,9 @@
     smaller = roster.successor({n: r for n, r in roster.nodes.items() if n != "home-one-0"})
     moved = 0
     for i in range(300):
-        one, other = roster.place(f"c{i}")
+        one, other = roster.place_account(f"c{i}")
         assert roster.nodes[one] != roster.nodes[other]
-        moved += smaller.place(f"c{i}") != (one, other)
+        moved += smaller.place_account(f"c{i}") != (one, other)
     assert len(REGIONS) == 3 and 300 / 6 < moved < 300 * 0.55
     assert smaller.past == ((0, roster.nodes),) and Roster(9, {}, (), True).successor({}).is_truncated
 
