--- a/lilacsill/mesh/store/facts.py
+++ b/lilacsill/mesh/store/facts.py
@@ -9,7 +9,7 @@
 
 from lilacsill.mesh.runtime.messages import Member, View
 
-from .paxos import AcceptorState
+from .paxos import STORAGE_KEY, AcceptorState
 
 Facts = dict[str, bytes]
 
@@ -18,7 +18,7 @@
 _COMPLETE = "whole"
 _SEQ = "seq"
 _TOMBSTONE_FLOOR = "floor"
-_ACCEPTOR = "accord"  # written by `lilacsill.mesh.store.paxos`
+_ACCEPTOR = STORAGE_KEY
 
 
 class StoredReplica(msgspec.Struct):
--- a/lilacsill/mesh/store/failure_detector.py
+++ b/lilacsill/mesh/store/failure_detector.py
@@ -1,7 +1,7 @@
 """Which machines of the store exist, and which of them are alive, judged by their replies to heartbeats. No I/O.
 
 Only a reply is a sign of life: a machine that can send but not receive does not reply. A process that was paused itself
-must not suspect the others for the time of its pause, so their silence counts from its end.
+must not suspect the others for the time of its pause, so its time-outs count from the end of the pause.
 """
 
 from __future__ import annotations
--- a/lilacsill/mesh/store/heartbeats.py
+++ b/lilacsill/mesh/store/heartbeats.py
@@ -1,4 +1,4 @@
-"""Heartbeats among the machines of the store: signs of life, read leases and news of views. No I/O.
+"""Heartbeats among the machines of the store: signs of life, read leases and new views. No I/O.
 
 Each machine sends a heartbeat to every other one at each interval, unless it still waits for a reply to the last one.
 """
--- a/lilacsill/mesh/store/leases.py
+++ b/lilacsill/mesh/store/leases.py
@@ -22,7 +22,7 @@
 from lilacsill.mesh.runtime.freshness import max_elapsed_us, min_elapsed_us
 from lilacsill.mesh.runtime.messages import Ballot, Member, View
 
-LEASE_US = 450_000  # shorter than the silence after which a member is suspected
+LEASE_US = 450_000  # shorter than the time without a reply after which a member is suspected
 
 
 class Grant(NamedTuple):
--- a/tests/control/defects_point_1.py
+++ b/tests/control/defects_point_1.py
@@ -21,15 +21,15 @@
 
 
 def voters_do_not_wait_for_leases(patch: Patch) -> None:
-    def accept(self: LeaseManager, m: Accept, reply: Replier) -> None:
-        self._replica.acceptor.accept(self._replica.view, m, reply)
+    def accept(self: LeaseManager, message: Accept, reply: Replier) -> None:
+        self._replica.acceptor.accept(self._replica.view, message, reply)
 
     patch.setattr(LeaseManager, "accept", accept)
 
 
 def a_lease_is_counted_from_the_answer(patch: Patch) -> None:
-    def on_lease_granted(self: LeaseManager, m: HeartbeatReply, asked_at: int) -> None:
-        real(self, m, self._environment.now())
+    def on_lease_granted(self: LeaseManager, message: HeartbeatReply, asked_at: int) -> None:
+        real(self, message, self._environment.now())
 
     real = LeaseManager.on_lease_granted
     patch.setattr(LeaseManager, "on_lease_granted", on_lease_granted)
@@ -63,8 +63,8 @@
     voters_do_not_wait_for_leases(patch)
     a_lease_is_counted_from_the_answer(patch)
 
-    def prepare(self: LeaseManager, m: Prepare, reply: Replier) -> None:
-        self._replica.acceptor.prepare(self._replica.view, m, reply)
+    def prepare(self: LeaseManager, message: Prepare, reply: Replier) -> None:
+        self._replica.acceptor.prepare(self._replica.view, message, reply)
 
     patch.setattr(LeaseManager, "prepare", prepare)
 
--- a/tests/control/defects_point_2.py
+++ b/tests/control/defects_point_2.py
@@ -20,23 +20,25 @@
 
 
 def a_version_that_is_not_higher_is_always_confirmed(patch: Patch) -> None:
-    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
-        return ChangeKind.NEWER if held is None or version > held.version else ChangeKind.ACCEPTED
+    def classify_change(current: Item | None, version: int, content: Any) -> ChangeKind:
+        return ChangeKind.NEWER if current is None or version > current.version else ChangeKind.ACCEPTED
 
     patch.setattr(validation, "classify_change", classify_change)
 
 
 def only_the_number_is_compared_below_the_newest(patch: Patch) -> None:
-    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
-        older = held is not None and version < held.version
-        return ChangeKind.ACCEPTED if older else real(held, version, content)
+    def classify_change(current: Item | None, version: int, content: Any) -> ChangeKind:
+        older = current is not None and version < current.version
+        return ChangeKind.ACCEPTED if older else real(current, version, content)
 
     real = accepted_changes.classify_change
     patch.setattr(validation, "classify_change", classify_change)
 
 
 def a_newer_version_clears_the_record(patch: Patch) -> None:
-    def with_new_version(held: Item | None, kind: str, name: str, version: int, seq: int, body: bytes | None) -> Item:
+    def with_new_version(
+        current: Item | None, kind: str, name: str, version: int, seq: int, body: bytes | None
+    ) -> Item:
         return Item(kind, name, version, seq, body)
 
     patch.setattr(validation, "with_new_version", with_new_version)
@@ -44,13 +46,15 @@
 
 def overtaken_changes_are_not_noted(patch: Patch) -> None:
     patch.setattr(
-        validation, "with_recorded_version", lambda held, version, content, seq: msgspec.structs.replace(held, seq=seq)
+        validation,
+        "with_recorded_version",
+        lambda current, version, content, seq: msgspec.structs.replace(current, seq=seq),
     )
 
 
 def accepted_changes_are_checked_against_todays_state(patch: Patch) -> None:
-    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
-        verdict = real(held, version, content)
+    def classify_change(current: Item | None, version: int, content: Any) -> ChangeKind:
+        verdict = real(current, version, content)
         return ChangeKind.NEWER if verdict is ChangeKind.ACCEPTED else verdict
 
     real = accepted_changes.classify_change
@@ -58,8 +62,8 @@
 
 
 def records_stay_at_the_head(patch: Patch) -> None:
-    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Callable[[Message], None]) -> None:
-        real(self, msgspec.structs.replace(m, items=without_history(m.items)), reply)
+    def handle_replicate(self: PredecessorLink, message: Replicate, reply: Callable[[Message], None]) -> None:
+        real(self, msgspec.structs.replace(message, items=without_history(message.items)), reply)
 
     real = PredecessorLink.handle_replicate
     patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
@@ -74,9 +78,9 @@
 
 
 def a_removal_is_no_content(patch: Patch) -> None:
-    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
-        verdict = real(held, version, content)
-        removal = content is None or (held is not None and held.body is None)
+    def classify_change(current: Item | None, version: int, content: Any) -> ChangeKind:
+        verdict = real(current, version, content)
+        removal = content is None or (current is not None and current.body is None)
         return ChangeKind.ACCEPTED if removal and verdict is ChangeKind.CONFLICT else verdict
 
     real = accepted_changes.classify_change
@@ -99,8 +103,8 @@
 
 
 def forgotten_versions_are_confirmed(patch: Patch) -> None:
-    def classify_change(held: Item | None, version: int, content: Any) -> ChangeKind:
-        verdict = real(held, version, content)
+    def classify_change(current: Item | None, version: int, content: Any) -> ChangeKind:
+        verdict = real(current, version, content)
         return ChangeKind.SUPERSEDED if verdict is ChangeKind.FORGOTTEN else verdict
 
     real = accepted_changes.classify_change
@@ -112,7 +116,7 @@
 
 
 def a_place_is_never_free_again(patch: Patch) -> None:
-    patch.setattr(route_index.RouteIndex, "_remove", lambda self, held: None)
+    patch.setattr(route_index.RouteIndex, "_remove", lambda self, current: None)
     patch.setattr(draft.Draft, "_remove_references", lambda self, name, references: None)
 
 
--- a/tests/credit/test_credit.py
+++ b/tests/credit/test_credit.py
@@ -48,8 +48,8 @@
 
 
 def a_grant_does_not_wait_for_its_copy(patch: Patch) -> None:
-    def grant(self: HomeNode, m: Any, slot: Any, copy: str, reply: Callable[[Any], None]) -> None:
-        real(self, m, slot, "", reply)
+    def grant(self: HomeNode, message: Any, slot: Any, copy: str, reply: Callable[[Any], None]) -> None:
+        real(self, message, slot, "", reply)
 
     real = HomeNode._grant
     patch.setattr(HomeNode, "_grant", grant)
@@ -87,9 +87,9 @@
                 self.leases[want.caller].limit = max(limits[want.caller][0], self.leases[want.caller].limit)
         return wants
 
-    def on_answer(self: Allowance, caller: str, m: Any, now: int) -> None:
+    def on_answer(self: Allowance, caller: str, message: Any, now: int) -> None:
         held = self.leases[caller].limit if caller in self.leases else 0.0
-        was(self, caller, m, now)
+        was(self, caller, message, now)
         if caller in self.leases:
             self.leases[caller].limit = max(held, self.leases[caller].limit)
 
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -53,27 +53,27 @@
 
 
 def a_member_acknowledges_for_its_successors(patch: Patch) -> None:
-    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
+    def handle_replicate(self: PredecessorLink, message: Replicate, reply: Replier) -> None:
         def at_once(answer: Message) -> None:
             reply(answer)
 
-        if m.view_number == self._replica.view.number:
-            at_once(ReplicateReply(True, m.seq))
-        real(self, m, lambda answer: None)
+        if message.view_number == self._replica.view.number:
+            at_once(ReplicateReply(True, message.seq))
+        real(self, message, lambda answer: None)
 
     real = PredecessorLink.handle_replicate
     patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
 
 
 def reads_need_no_majority(patch: Patch) -> None:
-    def read(self: Frontend, m: object, reply: Replier) -> None:
+    def read(self: Frontend, message: object, reply: Replier) -> None:
         reply(Reply(200, self._replica.state.to_json()))
 
     patch.setattr(Frontend, "handle_read", read)
 
 
 def every_member_confirms_every_view(patch: Patch) -> None:
-    def confirm(self: Frontend, m: object, reply: Replier) -> None:
+    def confirm(self: Frontend, message: object, reply: Replier) -> None:
         reply(Confirmed(True))
 
     patch.setattr(Frontend, "handle_confirm", confirm)
@@ -88,9 +88,9 @@
     def same(self: Replica) -> int:
         return next((i for i, m in enumerate(self.view.members) if m.address == self.me.address), -1)
 
-    def prepare(self: Acceptor, view: View, m: Any, reply: Replier) -> None:
-        self.me = m.to
-        real(self, view, m, reply)
+    def prepare(self: Acceptor, view: View, message: Any, reply: Replier) -> None:
+        self.me = message.to
+        real(self, view, message, reply)
 
     real = Acceptor.prepare
     patch.setattr(Acceptor, "prepare", prepare)
@@ -134,10 +134,10 @@
 
 
 def every_member_accepts_calls(patch: Patch) -> None:
-    def taken(self: Frontend, m: Any, reply: Replier) -> None:
+    def taken(self: Frontend, message: Any, reply: Replier) -> None:
         if not self._replica.is_head and self._replica.is_member:
             return reply(Reply(200, b"{}"))
-        real(self, m, reply)
+        real(self, message, reply)
 
     real = Frontend.handle_patch
     patch.setattr(Frontend, "handle_patch", taken)
@@ -178,7 +178,7 @@
 
 
 def older_versions_overwrite_newer_ones(patch: Patch) -> None:
-    patch.setattr(validation, "classify_change", lambda held, version, content: ChangeKind.NEWER)
+    patch.setattr(validation, "classify_change", lambda current, version, content: ChangeKind.NEWER)
 
 
 def votes_before_sync(patch: Patch) -> None:
@@ -194,27 +194,27 @@
 
 
 def earlier_votes_are_ignored(patch: Patch) -> None:
-    def on_promise(self: Proposal, m: Any) -> None:
-        if isinstance(m, Promise):
-            m = Promise(m.ok, m.ballot, None, None, m.view)
-        real(self, m)
+    def on_promise(self: Proposal, message: Any) -> None:
+        if isinstance(message, Promise):
+            message = Promise(message.ok, message.ballot, None, None, message.view)
+        real(self, message)
 
     real = Proposal._on_promise
     patch.setattr(Proposal, "_on_promise", on_promise)
 
 
 def any_ballot_is_accepted(patch: Patch) -> None:
-    def accept(self: Acceptor, view: View, m: Any, reply: Replier) -> None:
-        self._state_of(m.view.number).promised = NO_BALLOT
-        real(self, view, m, reply)
+    def accept(self: Acceptor, view: View, message: Any, reply: Replier) -> None:
+        self._state_of(message.view.number).promised = NO_BALLOT
+        real(self, view, message, reply)
 
     real = Acceptor.accept
     patch.setattr(Acceptor, "accept", accept)
 
 
 def batches_of_an_older_view_are_accepted(patch: Patch) -> None:
-    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
-        real(self, msgspec.structs.replace(m, view_number=self._replica.view.number), reply)
+    def handle_replicate(self: PredecessorLink, message: Replicate, reply: Replier) -> None:
+        real(self, msgspec.structs.replace(message, view_number=self._replica.view.number), reply)
 
     real = PredecessorLink.handle_replicate
     patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
