--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -163,7 +163,7 @@
     patch.setattr(AdmissionController, "admit", admit)
 
 
-def a_question_takes_every_answer(patch: Patch) -> None:
+def a_request_takes_every_reply(patch: Patch) -> None:
     def complete(self: RpcClient, number: int, reply: Message | None) -> None:
         pending = self._pending.get(number)
         if pending is not None:
--- a/tests/control/test_point_5_answers.py
+++ b/tests/control/test_point_5_answers.py
@@ -178,31 +178,37 @@
             assert not backend.ran and not s.gateways["one"].requests
 
 
-def test_answers_to_questions_count_on_their_own_link_once_and_nothing_is_asked_twice() -> None:
+def test_replies_count_on_the_link_of_their_request_once_and_no_request_is_sent_twice() -> None:
     with stage() as s:
-        asked: list[int] = []
+        received: list[int] = []
         links: list[Link] = []
 
-        def message(link: Link, number: int, message: Message) -> None:
-            asked.append(number)
-            if len(asked) == 1:
-                return link.close()  # the process ends between question and answer
-            link.send(IndirectPingReply(True), number - 1)  # late, and another's
+        def on_message(link: Link, number: int, message: Message) -> None:
+            received.append(number)
+            if len(received) == 1:
+                link.close()  # the process ends between request and reply
+                return
+            link.send(IndirectPingReply(True), number - 1)  # late, and of another request
             link.send(IndirectPingReply(False), number)
             link.send(IndirectPingReply(True), number)  # extra
 
-        listener = Listener(
-            s.reactor, Address(LOOPBACK, 0), lambda sock: links.append(Link(sock, message, lambda link: None))
-        )
-        peer, answers = RpcClient(s.reactor, Address(LOOPBACK, listener.port)), list[tuple[str, Message | None]]()
-        peer.request(Ping(), S, lambda m: answers.append(("first", m)))
-        s.until(lambda: len(answers) == 1, "the first question's end")
-        for name in ("second", "third"):
-            peer.request(Ping(), S, lambda m, name=name: answers.append((name, m)))  # type: ignore[misc]
-        s.until(lambda: len(answers) >= 3, "the others' ends")
+        def on_accept(sock: socket.socket) -> None:
+            links.append(Link(sock, on_message, lambda link: None))
+
+        listener = Listener(s.reactor, Address(LOOPBACK, 0), on_accept)
+        client, replies = RpcClient(s.reactor, Address(LOOPBACK, listener.port)), list[tuple[str, Message | None]]()
+
+        def request_as(name: str) -> None:
+            client.request(Ping(), S, lambda reply: replies.append((name, reply)))
+
+        request_as("first")
+        s.until(lambda: len(replies) == 1, "the end of the first request")
+        request_as("second")
+        request_as("third")
+        s.until(lambda: len(replies) >= 3, "the ends of the others")
         s.settle()
-        assert answers == [("first", None), ("second", IndirectPingReply(False)), ("third", IndirectPingReply(False))]
-        assert asked == sorted(set(asked)) and len(asked) == 3
+        assert replies == [("first", None), ("second", IndirectPingReply(False)), ("third", IndirectPingReply(False))]
+        assert received == sorted(set(received)) and len(received) == 3
 
 
 # Failures with a seal, cut answers
--- a/tests/control/test_point_5_defects.py
+++ b/tests/control/test_point_5_defects.py
@@ -35,7 +35,8 @@
     ),
     broken(defects.paused_links_are_given_back_paused, answers.test_a_link_that_was_held_up_serves_the_next_exchange),
     broken(
-        defects.links_to_a_process_that_is_over_are_kept, callers.test_idle_links_to_a_process_that_is_over_are_not_used
+        defects.links_to_a_process_that_is_over_are_kept,
+        callers.test_idle_links_to_a_process_that_has_ended_are_not_used,
     ),
     broken(
         defects.the_first_part_of_a_failure_passes_for_all_of_it,
@@ -85,40 +86,40 @@
         answers.test_a_route_that_was_added_later_is_served_as_the_first,
     ),
     broken(
-        defects.a_question_takes_every_answer,
-        answers.test_answers_to_questions_count_on_their_own_link_once_and_nothing_is_asked_twice,
+        defects.a_request_takes_every_reply,
+        answers.test_replies_count_on_the_link_of_their_request_once_and_no_request_is_sent_twice,
     ),
     broken(
         defects.what_was_sent_on_a_lost_link_is_sent_on_the_next,
-        answers.test_answers_to_questions_count_on_their_own_link_once_and_nothing_is_asked_twice,
+        answers.test_replies_count_on_the_link_of_their_request_once_and_no_request_is_sent_twice,
     ),
     broken(
         defects.a_call_under_way_counts_as_rest,
-        callers.test_a_call_under_way_is_not_cut_by_the_time_that_a_caller_may_rest,
+        callers.test_the_idle_time_out_does_not_end_a_call_under_way,
         PATCH,
     ),
     broken(
         defects.followers_that_were_answered_still_wait,
-        callers.test_no_question_to_a_store_gets_two_answers_while_machines_are_cut_and_killed,
+        callers.test_no_request_to_a_store_gets_two_replies_while_machines_are_partitioned_and_killed,
         0,
     ),
     broken(
         defects.a_call_is_answered_by_time_and_by_the_chain,
-        callers.test_no_question_to_a_store_gets_two_answers_while_machines_are_cut_and_killed,
+        callers.test_no_request_to_a_store_gets_two_replies_while_machines_are_partitioned_and_killed,
         0,
     ),
     broken(
         defects.nobody_raises_its_incarnation,
-        callers.test_a_proxy_whose_clock_went_back_outlives_its_earlier_run_on_all_registries,
+        callers.test_a_proxy_whose_clock_went_back_replaces_its_earlier_run_on_all_registries,
         PATCH,
     ),
     broken(
         defects.a_lower_incarnation_is_dropped_in_silence,
-        callers.test_a_registry_that_holds_a_later_run_tells_it_anew_to_who_passes_on_an_earlier_one,
+        callers.test_a_registry_announces_a_later_run_anew_to_whoever_passes_on_an_earlier_one,
     ),
     broken(
         defects.hearsay_of_a_lower_incarnation_is_believed,
-        callers.test_a_proxy_whose_clock_went_back_outlives_its_earlier_run_on_all_registries,
+        callers.test_a_proxy_whose_clock_went_back_replaces_its_earlier_run_on_all_registries,
         PATCH,
     ),
 ]
