--- a/lilacsill/mesh/proxy/shutdown_sequence.py
+++ b/lilacsill/mesh/proxy/shutdown_sequence.py
@@ -12,10 +12,10 @@
 from lilacsill.mesh.runtime.reactor import Reactor
 
 from .backend_gateway import BackendGateway
+from .client_listener import ClientListener
 from .discovery import DiscoveryClient
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 from .graceful_shutdown import GracefulShutdown
-from .inbound import Clients
 from .offer_server import OfferServer
 
 CHECK_US = 50_000
@@ -31,7 +31,7 @@
         reactor: Reactor,
         grace_us: int,
         forwarder: Forwarder,
-        clients: Clients,
+        clients: ClientListener,
         gateway: BackendGateway,
         offer_server: OfferServer,
         discovery: DiscoveryClient,
@@ -55,22 +55,21 @@
         now = self._started_at = self._reactor.now()
         take_all_us = min(NOTICE_US, self._grace_us // 2)
         self._forwarder.shutdown = GracefulShutdown(now + take_all_us, now + self._grace_us - KILL_MARGIN_US)
-        self._discovery.leaving = True
-        self._clients.leave()
-        self._discovery.announce()
+        self._clients.start_draining()
+        self._discovery.announce_leaving()
         self._drain(now)
 
     @property
     def _is_busy(self) -> bool:
-        return bool(self._forwarder.in_hand or self._gateway.requests)
+        return bool(self._forwarder.in_flight or self._gateway.requests)
 
     def _drain(self, started_at: int) -> None:
         elapsed_us = self._reactor.now() - started_at
         is_late = elapsed_us > self._grace_us - KILL_MARGIN_US
         if is_late:
             # The backend may still be at work on these. Answers that wait behind them on their connections are sent.
-            for forwarding in list(self._forwarder.in_hand):
-                forwarding.break_off()
+            for request in list(self._forwarder.in_flight):
+                request.break_off()
         if is_late or (elapsed_us > NOTICE_US and not self._is_busy):
             self._clients.listener.close()
             self._offer_server.close()
--- a/lilacsill/mesh/proxy/status_report.py
+++ b/lilacsill/mesh/proxy/status_report.py
@@ -11,7 +11,7 @@
 from .discovery import DiscoveryClient
 from .endpoint_table import EndpointLoad
 from .failure_detector import FailureDetector
-from .forwarding import Forwarder
+from .forwarder import Forwarder
 
 
 class BackendStatus(msgspec.Struct):
@@ -78,14 +78,14 @@
         unsure_reason=discovery.evidence.stale_reason(now),
         age_ms=discovery.evidence.age_ms(now),
         leaving=leaving,
-        requests=len(forwarder.in_hand),
+        requests=len(forwarder.in_flight),
         backend=_backend_status(gateway),
         registry_versions=discovery.registry_versions,
         monitors=failure_detector.monitored(),
         suspects=sorted(failure_detector.suspects),
         tables={
             service: [_endpoint_status(entry, now) for entry in table.entries.values()]
-            for service, table in forwarder.tables.items()
+            for service, table in forwarder.upstreams.tables.items()
         },
         log=log.tail(),
     )
--- a/tests/control/test_point_5_callers.py
+++ b/tests/control/test_point_5_callers.py
@@ -147,10 +147,8 @@
 
 def discovery_client(mesh: Stage) -> DiscoveryClient:
     """The client of the proxy `me`, which updates the forwarder of the stage."""
-    endpoints = KnownEndpoints("me", mesh.forwarder)
-    return DiscoveryClient(
-        settings(), mesh.reactor, mesh.forwarder, BackendLifecycle(S), endpoints, set(), lambda: None
-    )
+    config, endpoints = mesh.forwarder.config, KnownEndpoints("me", mesh.forwarder.upstreams)
+    return DiscoveryClient(settings(), mesh.reactor, config, BackendLifecycle(S), endpoints, set(), lambda: None)
 
 
 def test_a_proxy_whose_clock_went_back_replaces_its_earlier_run_on_all_registries(
