--- a/lilacsill/mesh/registry/process.py
+++ b/lilacsill/mesh/registry/process.py
@@ -1,10 +1,9 @@
-"""The process: its parts and how they are connected, periodic checks, graceful shutdown, status."""
+"""The process: its parts and how they are connected, periodic checks, graceful shutdown."""
 
 from __future__ import annotations
 
 import os
 import signal
-from typing import Any
 
 import msgspec
 
@@ -19,12 +18,13 @@
 
 from .config_follower import ConfigFollower
 from .core_hosts import CoreHosts
-from .directory import Directory, Entry
+from .directory import Directory
 from .gossip_client import GossipClient
 from .gossip_server import GossipServer
 from .local_config import LocalConfig
 from .operator_api import OperatorApi
 from .poll_server import PollServer
+from .status_report import status_report
 
 STORE_PORT_OFFSET = 1  # the store's port, from the first of the internal ports
 CHECK_INTERVAL_US = 250_000  # between two searches for failed nodes and new core machines
@@ -97,28 +97,7 @@
         self._reactor.after(SHUTDOWN_DELAY_US, self._reactor.stop)
 
     def _handle_status(self, _request: Message, send_reply: SendReply) -> None:
-        send_reply(StatusReply(msgspec.json.encode(self._status())))
-
-    def _status(self) -> dict[str, Any]:
-        now = self._reactor.now()
-        freshness = self._config.freshness
-        return {
-            "incarnation": self._directory.incarnation,
-            "directory_version": self._directory.version,
-            "config_seq": self._config.cache.seq,
-            "sure": self._config.is_current,
-            "why_unsure": freshness.stale_reason(now),
-            "age_ms": freshness.age_ms(now),
-            "core_hosts": sorted(self._core_hosts.all),
-            "gossip_positions": self._gossip_client.positions,
-            "endpoints": [_entry_status(entry, now) for entry in self._directory.entries.values()],
-            "log": log.tail(),
-        }
-
-
-def _entry_status(entry: Entry, now: int) -> dict[str, Any]:
-    return {
-        "endpoint": entry.endpoint,
-        "heard_ms": (now - entry.last_heard_at) // 1000,
-        "reporters": sorted(entry.reports),
-    }
+        status = status_report(
+            self._directory, self._config, self._core_hosts, self._gossip_client, self._reactor.now()
+        )
+        send_reply(StatusReply(msgspec.json.encode(status)))
