--- a/lilacsill/balancing/logic/context.py
+++ b/lilacsill/balancing/logic/context.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from ..interface import Action, Log, Settings, SetTimer, TimerFired
+from ..interface import Action, Log, SetTimer, Settings, TimerFired
 from ..mechanisms.deadline_queue import DeadlineQueue
 
 HEARTBEAT_US = 10_000  # while attempts are in flight a timer is due at least this often
