--- a/lilacsill/balancing/logic/records.py
+++ b/lilacsill/balancing/logic/records.py
@@ -63,6 +63,41 @@
         peer_health: What other balancers report about its health.
     """
 
+    __slots__ = (
+        "abandoned",
+        "answered_at",
+        "capacity_fraction",
+        "capacity_hint",
+        "cell",
+        "consecutive_failures",
+        "ejected_until",
+        "ejection_us",
+        "ended_at",
+        "failure_rate",
+        "id",
+        "immediate_failures",
+        "in_flight",
+        "in_maintenance",
+        "mean_latency_us",
+        "mean_load",
+        "other_load",
+        "peer_health",
+        "probe_sent_at",
+        "probe_waiters",
+        "reported_at",
+        "reported_service_ms",
+        "returned_at",
+        "sample_count",
+        "sent_at",
+        "service_time_us",
+        "started_at",
+        "state",
+        "tag",
+        "trial_limit",
+        "updated_at",
+        "zone",
+    )
+
     def __init__(self, listed: Backend, now: int) -> None:
         self.id, self.tag = listed.id, crc32(backend_name(listed.id).encode())
         self.in_flight: dict[AttemptKey, int] = {}
@@ -128,6 +163,8 @@
         deadline: Clock time at which the client gives up.
         target_at: Clock time until which a response earns the full value.
         queue_until: Clock time until which it may be queued without any attempt.
+        is_idempotent: It may be repeated at will.
+        is_repeatable: It may run more than once under some conditions.
         low_priority: It gives way to other requests.
         is_answered: Its final answer is given, or no longer owed.
         uniform_draw: Uniform number in 0..1. It is drawn once, so that a queued request does not draw again and
@@ -144,6 +181,29 @@
         max_pairs: Bound of `pairs_drawn` before the request is queued or rejected.
     """
 
+    __slots__ = (
+        "affinity_key",
+        "attempt_count",
+        "awaiting_report",
+        "deadline",
+        "id",
+        "in_flight",
+        "is_answered",
+        "is_idempotent",
+        "is_repeatable",
+        "low_priority",
+        "max_pairs",
+        "may_have_run",
+        "pairs_drawn",
+        "queue_until",
+        "relative_cost",
+        "request_class",
+        "sampled_pair",
+        "target_at",
+        "tried",
+        "uniform_draw",
+    )
+
     def __init__(
         self,
         event: RequestArrived,
@@ -157,6 +217,8 @@
         self.target_at = min(now + target_us, self.deadline)
         # A rejection after half of the client's time without an attempt costs the client more than an early one.
         self.queue_until = min(self.target_at, now + event.timeout_us // 2)
+        self.is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
+        self.is_repeatable = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
         self.low_priority = self.is_answered = False
         self.uniform_draw = uniform_draw
         self.affinity_key = event.affinity_key
@@ -169,16 +231,6 @@
         self.awaiting_report: list[BackendRecord] = []
         self.pairs_drawn, self.max_pairs = 0, PAIRS_PER_ROUND
 
-    @property
-    def is_idempotent(self) -> bool:
-        """Whether it may be repeated at will."""
-        return self.request_class.idempotency is Idempotency.IDEMPOTENT
-
-    @property
-    def is_repeatable(self) -> bool:
-        """Whether it may run more than once under some conditions."""
-        return self.request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
-
     def may_reject(self) -> bool:
         """Return whether a rejection is truthful: it promises that a retry by the client is harmless."""
         request_class = self.request_class
