--- a/lilacsill/mesh/proxy/backend_request.py
+++ b/lilacsill/mesh/proxy/backend_request.py
@@ -139,7 +139,7 @@
         left_us = self._deadline - now
         reason = self._rejection_reason(now)
         if reason is None and left_us < MIN_TIME_LEFT_US:
-            reason = RejectionReason.LATE
+            reason = RejectionReason.OUT_OF_TIME
         if reason is not None or self.is_over:
             self._gateway.pool.release(connection)
             if reason is not None:
@@ -213,12 +213,12 @@
         else:
             failure = self._failure_reason(response)
             if failure is not None:
-                return self.on_lost(failure)
+                self.on_lost(failure)
+                return
             self._streaming = True
             message = self._response_head(response)
         if self._sink.send(message) > MAX_BUFFERED_BYTES:
             self.pause()
-        return None
 
     def _response_head(self, response: HttpMessage) -> Response:
         length = UNKNOWN_LENGTH if response.length is None else response.length
--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -8,7 +8,19 @@
 
 import msgspec
 
-from ..records import Departure, Endpoint, Freshness, Item, Load, Member, View
+from ..records import (
+    Ballot,
+    Departure,
+    Endpoint,
+    EndpointState,
+    Freshness,
+    Item,
+    Load,
+    Member,
+    Suspect,
+    SuspicionReport,
+    View,
+)
 from .base import Headers, Message
 from .configuration import ConfigUpdate, Follow, FollowReply, Patch, Read, Reply, Status, StatusReply
 from .consensus import (
@@ -89,12 +101,14 @@
     "Accepted",
     "AnyMessage",
     "BadMessage",
+    "Ballot",
     "BodyChunk",
     "ConfigUpdate",
     "Confirm",
     "Confirmed",
     "Departure",
     "Endpoint",
+    "EndpointState",
     "Follow",
     "FollowReply",
     "Freshness",
@@ -127,6 +141,8 @@
     "StatusReply",
     "Summary",
     "SummaryRequest",
+    "Suspect",
+    "SuspicionReport",
     "View",
     "ViewChange",
     "ViewChangeReply",
--- a/lilacsill/mesh/runtime/records.py
+++ b/lilacsill/mesh/runtime/records.py
@@ -5,7 +5,8 @@
 
 from __future__ import annotations
 
-from enum import IntEnum
+from enum import IntEnum, StrEnum
+from typing import NamedTuple
 
 import msgspec
 
@@ -19,6 +20,16 @@
     failure_rate: float  # smoothed share of outcomes that failed, fading with time
 
 
+class EndpointState(StrEnum):
+    """The states of an endpoint, as they are on the wire. A later version may announce others."""
+
+    READY = "ready"
+    DRAINING = "draining"  # the backend has said that it ends
+    GONE = "gone"  # the backend has ended
+    LEAVING = "leaving"  # the proxy ends
+    WAITING = "waiting"  # the proxy has not heard of its backend yet
+
+
 class Endpoint(msgspec.Struct, array_like=True, gc=False):
     """One proxy and the backend beside it, as the proxy announces them."""
 
@@ -30,11 +41,26 @@
     zone: str
     service: str
     server: str  # identity of the backend; empty: the proxy has not heard of it yet
-    state: str  # ready, draining, gone, leaving (the proxy), waiting (for its backend)
+    state: str  # an `EndpointState`; a text, so that states of later versions can be decoded and passed on
     slots: int
     warmup_left_ms: int  # how much longer the backend is slow after its start, when it was announced
 
 
+class Suspect(NamedTuple):
+    """A node that neither the sender nor its helpers reach."""
+
+    node: str
+    incarnation: int  # of the node
+
+
+class SuspicionReport(NamedTuple):
+    """One node's report that neither it nor its helpers reach another one."""
+
+    node: str
+    incarnation: int  # of the node that is not reached
+    reporter: str  # the node that reports it
+
+
 class Item(msgspec.Struct, array_like=True, gc=False):
     """One named item of the configuration, or its tombstone."""
 
@@ -53,7 +79,7 @@
     """
 
     age_ms: int  # since the moment for which a holder of a read lease made the statement
-    pending_ms: int  # for how long the responder kept the question before it answered
+    pending_ms: int  # for how long the request was pending at the responder
 
 
 class Member(msgspec.Struct, array_like=True, gc=False, frozen=True):
@@ -63,6 +89,13 @@
     incarnation: str
 
 
+class Ballot(NamedTuple):
+    """A proposal number of Paxos: ballots are ordered by number, and of equal numbers by proposer."""
+
+    number: int
+    proposer: str  # address of the member that proposes
+
+
 class View(msgspec.Struct, array_like=True, gc=False, frozen=True):
     """The voters and the chain, head first. A majority of the members of view n - 1 agrees on view n.
 
