--- a/lilacsill/balancing/logic/concurrency_window.py
+++ b/lilacsill/balancing/logic/concurrency_window.py
@@ -43,12 +43,12 @@
             typical_latency_us: Mean latency of responses, microseconds; 0 if unknown.
             resumed_at: Silence before this clock time was the caller's own.
         """
-        silence_us = now - max(self.answered_at, resumed_at)
+        unanswered_us = now - max(self.answered_at, resumed_at)
         if (
             not self.answers_needed
             and typical_latency_us
             and self.in_flight >= self._initial_limit(backend_count)
-            and silence_us > STALLED_LATENCIES * typical_latency_us
+            and unanswered_us > STALLED_LATENCIES * typical_latency_us
         ):
             self.restart(now, backend_count)
         return not self.answers_needed or self.in_flight < self.limit
--- a/lilacsill/balancing/logic/eligibility.py
+++ b/lilacsill/balancing/logic/eligibility.py
@@ -16,7 +16,7 @@
 GUESS_SHARE = 0.75  # of the time to the target that a prediction may take which rests on the mean of the table
 RETRY_UNKNOWN_US = 250_000  # a backend that cannot be probed and has no attempt of ours is tried again after this
 MAX_DRAW_PEER_UNHEALTHY = 0.5  # share of requests that may sample a backend which one other balancer reports unhealthy
-SILENCE_FACTOR = 2  # times the age of the median information: a backend silent for longer may hang
+UNREPORTED_FACTOR = 2  # times the age of the median information: a backend silent for longer may hang
 
 
 class Eligibility:
@@ -164,5 +164,5 @@
         """
         now = self._context.now
         fraction = self._warm_up.capacity_fraction(backend, now)
-        silence_us = (now - backend.updated_at) * request.uniform_draw * fraction
-        return silence_us > SILENCE_FACTOR * max(FRESH_US, now - self._table.median_updated_at)
+        unreported_us = (now - backend.updated_at) * request.uniform_draw * fraction
+        return unreported_us > UNREPORTED_FACTOR * max(FRESH_US, now - self._table.median_updated_at)
--- a/lilacsill/balancing/logic/load_table.py
+++ b/lilacsill/balancing/logic/load_table.py
@@ -12,7 +12,7 @@
 SERVICE_TIME_GAIN = 0.3  # weight of a new reported service time, which the backend has smoothed already
 PRIOR_SAMPLES = 4  # a learned service time counts half after this many samples
 FORGET_US = 5 * SECOND_US  # a service time not confirmed for this long counts half: an avoided backend gets retried
-DECAY_LATENCIES, MAX_HALF_LIFE_US = 10, SECOND_US  # half-life of failed attempts in typical latencies, and its bound
+DECAY_LATENCIES, MAX_HALVING_US = 10, SECOND_US  # half-life of failed attempts in typical latencies, and its bound
 MAX_SLOWDOWN = 1.25  # of a restored service time while backends may be warming up
 MAX_LATENCIES = 5  # a latency above this many typical ones is a stall, not the fleet's service time
 LOAD_FIELDS = ("inflight", "queue")  # fields of a report that hold the load, the preferred one first
@@ -174,12 +174,12 @@
             backend.immediate_failures.clear()
             if is_timed:
                 self._record_fleet_latency(now, backend, event.latency_us, load_at_send)
-        half_life_us = min(MAX_HALF_LIFE_US, int(DECAY_LATENCIES * self.typical_latency_us) or MAX_HALF_LIFE_US)
+        halving_us = min(MAX_HALVING_US, int(DECAY_LATENCIES * self.typical_latency_us) or MAX_HALVING_US)
         if event.outcome in MAY_STILL_RUN:
-            backend.abandoned.add(now, half_life_us)
+            backend.abandoned.add(now, halving_us)
         if event.outcome in FAILED_IMMEDIATELY:
             # A backend that ends attempts at once must not look idle for it, whatever it reports.
-            backend.immediate_failures.add(now, half_life_us)
+            backend.immediate_failures.add(now, halving_us)
 
     def _record_attached_load(self, now: int, backend: BackendRecord, load: float) -> None:
         # The report includes our own attempts: what remains without them is the others' load.
--- a/lilacsill/balancing/logic/membership.py
+++ b/lilacsill/balancing/logic/membership.py
@@ -76,11 +76,11 @@
 
     def _rebuild_indexes(self) -> None:
         """Forget backends that are gone, since identities are not reused; those with pending work stay until then."""
-        kept = [
+        remaining = [
             backend
             for backend in self.backends.values()
             if backend.state is not BackendState.GONE or backend.in_flight or backend.probe_waiters
         ]
-        self.backends = {backend.id: backend for backend in kept}
-        self.ready = [backend for backend in kept if backend.accepts_work]
-        self.by_tag = {backend.tag: backend for backend in kept}
+        self.backends = {backend.id: backend for backend in remaining}
+        self.ready = [backend for backend in remaining if backend.accepts_work]
+        self.by_tag = {backend.tag: backend for backend in remaining}
--- a/lilacsill/balancing/logic/warm_up_budget.py
+++ b/lilacsill/balancing/logic/warm_up_budget.py
@@ -66,9 +66,9 @@
         warming = [fraction for fraction in fractions if fraction < 1.0]
         self.credit = self._credit_at(now) if self.fleet_rate else self.rng.random()
         overload_rate = self.overload_multiple * sum(warming) / (service_time_us or self.assumed_service_time_us)
-        held_back = self.balancer_count / self.overload_window_us  # each balancer may hold one credit back
+        unspent_rate = self.balancer_count / self.overload_window_us  # each balancer may hold one credit back
         self.fleet_rate = max(
-            MIN_FLEET_SHARE * overload_rate, min(FLEET_SHARE * overload_rate, overload_rate - held_back)
+            MIN_FLEET_SHARE * overload_rate, min(FLEET_SHARE * overload_rate, overload_rate - unspent_rate)
         )
         self.credited_at = now
         self.warmest_fraction = max(warming, default=1.0)
--- a/lilacsill/balancing/mechanisms/bands.py
+++ b/lilacsill/balancing/mechanisms/bands.py
@@ -29,15 +29,15 @@
     return [ordered[rank - 1] for rank in cutoff_ranks(len(loads))]
 
 
-def lower_band(rng: Random | None, cuts: list[float], load_i: float, load_j: float) -> bool:
+def lower_band(rng: Random | None, band_cutoffs: list[float], load_i: float, load_j: float) -> bool:
     """Return whether the first of two samples takes the request: it lies in the lower band, or wins the tie.
 
     Args:
         rng: Draws the winner of a tie; None if the order of the samples is random already: the first wins.
-        cuts: Cutoffs of the bands.
+        band_cutoffs: Cutoffs of the bands.
         load_i: Load of the first sample.
         load_j: Load of the second sample.
     """
-    band_i = sum(load_i >= cut for cut in cuts)
-    band_j = sum(load_j >= cut for cut in cuts)
+    band_i = sum(load_i >= cutoff for cutoff in band_cutoffs)
+    band_j = sum(load_j >= cutoff for cutoff in band_cutoffs)
     return band_i < band_j or (band_i == band_j and (rng is None or rng.random() < 0.5))
--- a/tests/oracle.py
+++ b/tests/oracle.py
@@ -17,23 +17,48 @@
 from pathlib import Path
 from random import Random
 
-from lilacsill.balancing import interface as q
+from lilacsill.balancing.interface import (
+    AttemptEnded,
+    Backend,
+    BackendState,
+    BackendsChanged,
+    ClientDisconnected,
+    DedupScope,
+    DiscoveryMode,
+    Event,
+    Idempotency,
+    ListKind,
+    Outcome,
+    PeerMessageReceived,
+    Prices,
+    Probe,
+    ProbeEnded,
+    RequestArrived,
+    RequestClass,
+    Send,
+    SetTimer,
+    Settings,
+    StreamStarted,
+    Tenant,
+    TimerFired,
+    Watch,
+)
 from lilacsill.balancing.logic import Balancer
 
 SEEDS = 300
 MS, SECOND = 1_000, 1_000_000
-ENDS = [o for o in q.Outcome if o is not q.Outcome.OK]
+ENDS = [o for o in Outcome if o is not Outcome.OK]
 
 
-def draw_settings(rng: Random) -> q.Settings:
-    def cls(name: str) -> q.RequestClass:
+def draw_settings(rng: Random) -> Settings:
+    def cls(name: str) -> RequestClass:
         aim = rng.choice((80, 300, 1000)) * MS
-        return q.RequestClass(
+        return RequestClass(
             name,
             aim,
             aim * rng.choice((1, 3)),
-            rng.choice(list(q.Idempotency)),
-            rng.choice(list(q.DedupScope)),
+            rng.choice(list(Idempotency)),
+            rng.choice(list(DedupScope)),
             rng.choice((0, SECOND, 15 * SECOND)),
             rng.choice((1.0, 10.0)),
             rng.choice((0.0, 0.0, 0.5)),
@@ -41,15 +66,15 @@
         )
 
     siblings = rng.choice((1, 2, 20, 100))
-    return q.Settings(
+    return Settings(
         classes=(cls("a"), cls("b")),
-        tenants=(q.Tenant("t", rng.choice((0.0, 50.0))), q.Tenant("u", 20.0)),
+        tenants=(Tenant("t", rng.choice((0.0, 50.0))), Tenant("u", 20.0)),
         balancer_count=siblings,
         balancer_index=rng.randrange(siblings),
         can_message_peers=rng.random() < 0.3,
         can_probe=rng.random() < 0.7,
         report_fields=rng.choice(((), ("inflight", "queue", "util"), ("queue", "latency_ms"))),
-        discovery=rng.choice(list(q.DiscoveryMode)),
+        discovery=rng.choice(list(DiscoveryMode)),
         can_cancel=rng.random() < 0.7,
         can_hedge=rng.random() < 0.4,
         max_attempts=rng.choice((1, 5)),
@@ -59,7 +84,7 @@
         warm_up_start_fraction=0.13,
         warm_up_us=24 * SECOND,
         overload_multiple=2.5,
-        prices=q.Prices(probe=rng.choice((0.0, 0.002, 0.5)), peer=rng.choice((0.0, 0.01))),
+        prices=Prices(probe=rng.choice((0.0, 0.002, 0.5)), peer=rng.choice((0.0, 0.01))),
     )
 
 
@@ -71,7 +96,7 @@
         self.settings = draw_settings(self.rng)
         self.balancer = Balancer(self.settings, seed)
         self.now, self.steps, self.order, self.requests = SECOND, steps, 0, 0
-        self.due: list[tuple[int, int, q.Event]] = []
+        self.due: list[tuple[int, int, Event]] = []
         self.attempts: dict[int, int] = {}
         self.over: set[int] = set()
         self.digest = sha256()
@@ -79,10 +104,10 @@
         self.rough = self.rng.choice((0.02, 0.2, 0.7))
         self.pace = self.rng.choice((5, 40)) * MS
 
-    def _server(self, i: int) -> q.Backend:
+    def _server(self, i: int) -> Backend:
         rng = self.rng
         started = rng.choice((0, 0, self.now))
-        return q.Backend(
+        return Backend(
             f"s{i}",
             zone=rng.randrange(2),
             cell=rng.randrange(3),
@@ -90,7 +115,7 @@
             started_at=started,
         )
 
-    def _at(self, after: int, event: q.Event) -> None:
+    def _at(self, after: int, event: Event) -> None:
         self.order += 1
         heappush(self.due, (self.now + after, self.order, event))
 
@@ -99,7 +124,7 @@
         return tuple(self.rng.uniform(0, 9) for _ in fields)
 
     def play(self) -> str:
-        self._give(q.BackendsChanged(q.ListKind.CACHED, list(self.servers)))
+        self._give(BackendsChanged(ListKind.CACHED, list(self.servers)))
         for _ in range(self.steps):
             if self.due and self.rng.random() < 0.7:
                 self.now, _, event = heappop(self.due)
@@ -112,13 +137,13 @@
                 self._give(self._happens())
         return self.digest.hexdigest()[:16]
 
-    def _happens(self) -> q.Event:
+    def _happens(self) -> Event:
         rng = self.rng
         kind = rng.random()
         if kind < 0.9:
             self.requests += 1
             cls = rng.randrange(2)
-            return q.RequestArrived(
+            return RequestArrived(
                 self.requests,
                 cls,
                 self.settings.classes[cls].deadline_us,
@@ -128,55 +153,55 @@
             )
         if kind < 0.93 and self.requests:
             self.over.add(gone := rng.randint(1, self.requests))
-            return q.ClientDisconnected(gone)
+            return ClientDisconnected(gone)
         if kind < 0.95:
-            return q.PeerMessageReceived(0, rng.randbytes(rng.choice((0, 8))))
+            return PeerMessageReceived(0, rng.randbytes(rng.choice((0, 8))))
         if kind < 0.96:
-            return q.BackendsChanged(q.ListKind.FAILED, [])
+            return BackendsChanged(ListKind.FAILED, [])
         i = rng.randrange(len(self.servers))
         self.servers[i] = (
             self._server(i)
             if rng.random() < 0.5
-            else q.Backend(self.servers[i].id, rng.choice(list(q.BackendState)), self.servers[i].zone)
+            else Backend(self.servers[i].id, rng.choice(list(BackendState)), self.servers[i].zone)
         )
         whole = rng.random() < 0.5
-        return q.BackendsChanged(
-            q.ListKind.FULL if whole else q.ListKind.DELTA, list(self.servers) if whole else [self.servers[i]]
+        return BackendsChanged(
+            ListKind.FULL if whole else ListKind.DELTA, list(self.servers) if whole else [self.servers[i]]
         )
 
-    def _give(self, event: q.Event) -> None:
+    def _give(self, event: Event) -> None:
         actions = self.balancer.handle(self.now, event)
         self.digest.update(f"{self.now} {actions!r}\n".encode())
         rng = self.rng
         for a in actions:
-            if isinstance(a, q.SetTimer):
-                self._at(a.delay_us, q.TimerFired(a.token))
-            elif isinstance(a, q.Probe):
+            if isinstance(a, SetTimer):
+                self._at(a.delay_us, TimerFired(a.token))
+            elif isinstance(a, Probe):
                 took = rng.choice((1, 3, 60)) * MS
                 fine = rng.random() > self.rough
                 self._at(
                     took,
-                    q.ProbeEnded(
+                    ProbeEnded(
                         a.backend,
-                        q.Outcome.OK if fine else rng.choice(ENDS),
+                        Outcome.OK if fine else rng.choice(ENDS),
                         took,
                         self._report() if fine else (),
                     ),
                 )
-            elif isinstance(a, q.Send):
+            elif isinstance(a, Send):
                 n = self.attempts[a.request] = self.attempts.get(a.request, -1) + 1
-                outcome = q.Outcome.OK if rng.random() > self.rough else rng.choice(ENDS)
+                outcome = Outcome.OK if rng.random() > self.rough else rng.choice(ENDS)
                 took = (
                     a.timeout_us
-                    if outcome is q.Outcome.TIMEOUT
+                    if outcome is Outcome.TIMEOUT
                     else min(a.timeout_us, int(rng.expovariate(1 / (20 * MS))))
                 )
-                done = outcome is q.Outcome.OK and a.request not in self.over
-                self._at(took, q.AttemptEnded(a.request, n, a.backend, outcome, took, done, self._report()))
-                if outcome is q.Outcome.OK and rng.random() < 0.05:
-                    self._at(took // 2, q.StreamStarted(a.request, n))
-            elif isinstance(a, q.Watch):
-                self._at(rng.choice((10, 900)) * MS, q.BackendsChanged(q.ListKind.DELTA, []))
+                done = outcome is Outcome.OK and a.request not in self.over
+                self._at(took, AttemptEnded(a.request, n, a.backend, outcome, took, done, self._report()))
+                if outcome is Outcome.OK and rng.random() < 0.05:
+                    self._at(took // 2, StreamStarted(a.request, n))
+            elif isinstance(a, Watch):
+                self._at(rng.choice((10, 900)) * MS, BackendsChanged(ListKind.DELTA, []))
 
 
 def digests(seeds: int = SEEDS) -> dict[str, str]:
