--- a/lilacsill/hosted/worker/pools.py
+++ b/lilacsill/hosted/worker/pools.py
@@ -14,7 +14,8 @@
 from lilacsill.agent.inbound.validation import RequestValidator
 from lilacsill.agent.outbound.backends import Backends
 from lilacsill.agent.outbound.pool import Pool as Connections
-from lilacsill.balancing import interface as q
+from lilacsill.balancing.interface import DiscoveryMode
+from lilacsill.balancing.interface import Tenant as TenantQuota
 from lilacsill.balancing.logic import Balancer
 from lilacsill.balancing.settings_parser import parse_settings
 
@@ -61,7 +62,7 @@
             parser,
             0,
             allowed["connectTimeoutUs"] / 1e6,
-            settings.discovery is q.DiscoveryMode.PUSH,
+            settings.discovery is DiscoveryMode.PUSH,
             seed,
         )
         self._discovery.descriptors_exhausted = short
@@ -84,7 +85,7 @@
         self._weights[tenant.uid] = tenant.spec.weight
         if self._quotas.get(tenant.uid) != quota:
             self._quotas[tenant.uid] = quota
-            self.agent.tenant_changed(tenant.uid, q.Tenant(tenant.name, quota))
+            self.agent.tenant_changed(tenant.uid, TenantQuota(tenant.name, quota))
 
     def forget(self, uid: int) -> None:
         self._weights.pop(uid, None)
