--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -33,6 +33,7 @@
 from lilacsill.mesh.store.predecessor import PredecessorLink
 from lilacsill.mesh.store.replica import Replica
 from lilacsill.mesh.store.state import ConfigState
+from lilacsill.mesh.store.view_proposer import ViewProposer
 from lilacsill.mesh.store.successor import SuccessorLink
 
 Replier = Callable[[Message], None]
@@ -52,27 +53,27 @@
 
 
 def a_member_acknowledges_for_its_successors(patch: Patch) -> None:
-    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
+    def handle_replicate(self: PredecessorLink, message: Replicate, reply: Replier) -> None:
         def at_once(answer: Message) -> None:
             reply(answer)
 
-        if m.view_number == self._replica.view.number:
-            at_once(ReplicateReply(True, m.seq))
-        real(self, m, lambda answer: None)
+        if message.view_number == self._replica.view.number:
+            at_once(ReplicateReply(True, message.seq))
+        real(self, message, lambda answer: None)
 
     real = PredecessorLink.handle_replicate
     patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
 
 
 def reads_need_no_majority(patch: Patch) -> None:
-    def read(self: Frontend, m: object, reply: Replier) -> None:
+    def read(self: Frontend, message: object, reply: Replier) -> None:
         reply(Reply(200, self._replica.state.to_json()))
 
     patch.setattr(Frontend, "handle_read", read)
 
 
 def every_member_confirms_every_view(patch: Patch) -> None:
-    def confirm(self: Frontend, m: object, reply: Replier) -> None:
+    def confirm(self: Frontend, message: object, reply: Replier) -> None:
         reply(Confirmed(True))
 
     patch.setattr(Frontend, "handle_confirm", confirm)
@@ -87,9 +88,9 @@
     def same(self: Replica) -> int:
         return next((i for i, m in enumerate(self.view.members) if m.address == self.me.address), -1)
 
-    def prepare(self: Acceptor, view: View, m: Any, reply: Replier) -> None:
-        self.me = m.to
-        real(self, view, m, reply)
+    def prepare(self: Acceptor, view: View, message: Any, reply: Replier) -> None:
+        self.me = message.to
+        real(self, view, message, reply)
 
     real = Acceptor.prepare
     patch.setattr(Acceptor, "prepare", prepare)
@@ -133,25 +134,25 @@
 
 
 def every_member_accepts_calls(patch: Patch) -> None:
-    def taken(self: Frontend, m: Any, reply: Replier) -> None:
+    def taken(self: Frontend, message: Any, reply: Replier) -> None:
         if not self._replica.is_head and self._replica.is_member:
             return reply(Reply(200, b"{}"))
-        real(self, m, reply)
+        real(self, message, reply)
 
     real = Frontend.handle_patch
     patch.setattr(Frontend, "handle_patch", taken)
 
 
 def new_members_become_the_head(patch: Patch) -> None:
-    def wanted(self: Membership, now: int) -> View | None:
-        view = real(self, now)
+    def next_view(self: ViewProposer) -> View | None:
+        view = real(self)
         if view is None:
             return None
         old = [m for m in view.members if m in self._replica.view.members]
         return View(view.number, (*(m for m in view.members if m not in old), *old))
 
-    real = Membership.wanted
-    patch.setattr(Membership, "wanted", wanted)
+    real = ViewProposer.next_view
+    patch.setattr(ViewProposer, "next_view", next_view)
 
 
 def a_lost_disk_keeps_its_membership(patch: Patch) -> None:
@@ -177,7 +178,7 @@
 
 
 def older_versions_overwrite_newer_ones(patch: Patch) -> None:
-    patch.setattr(validation, "classify_change", lambda held, version, content: ChangeKind.NEWER)
+    patch.setattr(validation, "classify_change", lambda current, version, content: ChangeKind.NEWER)
 
 
 def votes_before_sync(patch: Patch) -> None:
@@ -193,27 +194,27 @@
 
 
 def earlier_votes_are_ignored(patch: Patch) -> None:
-    def on_promise(self: Proposal, m: Any) -> None:
-        if isinstance(m, Promise):
-            m = Promise(m.ok, m.ballot, None, None, m.view)
-        real(self, m)
+    def on_promise(self: Proposal, message: Any) -> None:
+        if isinstance(message, Promise):
+            message = Promise(message.ok, message.ballot, None, None, message.view)
+        real(self, message)
 
     real = Proposal._on_promise
     patch.setattr(Proposal, "_on_promise", on_promise)
 
 
 def any_ballot_is_accepted(patch: Patch) -> None:
-    def accept(self: Acceptor, view: View, m: Any, reply: Replier) -> None:
-        self._state_of(m.view.number).promised = NO_BALLOT
-        real(self, view, m, reply)
+    def accept(self: Acceptor, view: View, message: Any, reply: Replier) -> None:
+        self._state_of(message.view.number).promised = NO_BALLOT
+        real(self, view, message, reply)
 
     real = Acceptor.accept
     patch.setattr(Acceptor, "accept", accept)
 
 
 def batches_of_an_older_view_are_accepted(patch: Patch) -> None:
-    def handle_replicate(self: PredecessorLink, m: Replicate, reply: Replier) -> None:
-        real(self, msgspec.structs.replace(m, view_number=self._replica.view.number), reply)
+    def handle_replicate(self: PredecessorLink, message: Replicate, reply: Replier) -> None:
+        real(self, msgspec.structs.replace(message, view_number=self._replica.view.number), reply)
 
     real = PredecessorLink.handle_replicate
     patch.setattr(PredecessorLink, "handle_replicate", handle_replicate)
