--- a/lilacsill/mesh/simulation/replacement_day.py
+++ b/lilacsill/mesh/simulation/replacement_day.py
@@ -171,7 +171,7 @@
 
         if moment == "view":
             for address in self._stores_up():
-                self.fleet.stores[address].replica.on_view.append(strike)
+                self.fleet.stores[address].replica.view_listeners.append(strike)
         elif moment == "fill":
             self._when_filled(strike, self._time.now + MOMENT_US)
         elif moment == "end":
--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -58,7 +58,7 @@
         self._recent_refusals = RecentRefusals()
         self.max_state_bytes = DEFAULT_MAX_STATE_BYTES
         self.rejections: list[str] = []
-        replica.on_view.append(self._on_view)
+        replica.view_listeners.append(self._on_view)
 
     # Changes
 
--- a/lilacsill/mesh/store/lease_manager.py
+++ b/lilacsill/mesh/store/lease_manager.py
@@ -37,7 +37,7 @@
         self.on_release: Callable[[], None] = lambda: None  # sends a heartbeat, so that grantors need not wait
         self._deferred: list[_DeferredVote] = []
         self._retry: Timer | None = None  # of the deferred votes
-        replica.on_view.append(self._on_view_change)
+        replica.view_listeners.append(self._on_view_change)
 
     def _on_view_change(self) -> None:
         self.grantor.clear()
--- a/lilacsill/mesh/store/membership.py
+++ b/lilacsill/mesh/store/membership.py
@@ -71,7 +71,7 @@
         self.lost_places = 0
         self.lease_manager = lease_manager
         lease_manager.on_release = lambda: self._ask_all(replica.environment.now())
-        replica.on_view.append(self._entered)
+        replica.view_listeners.append(self._entered)
 
     def start(self) -> None:
         self._beat()
