--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -42,7 +42,7 @@
         self._replica, self._environment = replica, replica.environment
         self._chain, self._membership = chain, membership
         self._polls: list[Poll] = []
-        replica.on_view.append(self._on_view)
+        replica.view_listeners.append(self._on_view)
 
     def handle_follow(self, request: Follow, reply: Replier) -> None:
         """Answer at once with changes, or without any if this member may not answer; else wait for changes."""
--- a/lilacsill/mesh/store/replica.py
+++ b/lilacsill/mesh/store/replica.py
@@ -32,7 +32,7 @@
         acceptor: This machine's vote on the next view.
         departure: Whether this machine asks to be removed from the chain, and why.
         learner: The machine that this member, if it is the tail, brings up to date.
-        on_view: Called in order after each adoption of a view.
+        view_listeners: Called in order after each adoption of a view.
     """
 
     def __init__(self, environment: Environment, stored: facts.StoredReplica, items: Iterable[Item]) -> None:
@@ -44,7 +44,7 @@
         self.acceptor = Acceptor(self.me, stored.acceptor_state, self)
         self.departure = Departure.NONE
         self.learner: Member | None = None
-        self.on_view: list[Callable[[], None]] = []
+        self.view_listeners: list[Callable[[], None]] = []
 
     # The place in the view
 
@@ -120,7 +120,7 @@
         self.complete = self.complete and self._stays_complete(before, was_in_chain)
         # Separate from the saves of items, of which one may be pending.
         self.environment.save(Save(facts=self.view_facts()), ignore_completion)
-        for callback in self.on_view:
+        for callback in self.view_listeners:
             callback()
         return True
 
