--- a/benchmarks/store_size.py
+++ b/benchmarks/store_size.py
@@ -63,9 +63,9 @@
             disk.close()
 
             def start() -> None:
-                again = Disk(reactor, folder)
-                ConfigState().apply(again.items, len(again.items))
-                again.close()
+                reopened = Disk(reactor, folder)
+                ConfigState().apply(reopened.items, len(reopened.items))
+                reopened.close()
 
             return processor_us(start, 5)
     finally:
@@ -73,7 +73,7 @@
 
 
 def fill_ms(routes: int, seed: int = 3) -> int:
-    """Virtual milliseconds from the return of a member with an empty disk until all copies are whole and the same."""
+    """Virtual milliseconds from the return of a member with an empty disk until all copies are complete and equal."""
     fleet, operator = begun(seed, [route(f"r{i}", 1, f"/r{i}/") for i in range(routes)])
     clock = fleet.net.time
     lost = next(iter(fleet.stores.values())).replica.view.members[seed % 3].address
--- a/lilacsill/mesh/store/failure_detector.py
+++ b/lilacsill/mesh/store/failure_detector.py
@@ -34,7 +34,7 @@
         self._last_replies: dict[str, ReceivedReply] = {}  # by address
         self._peer_seen_at_us: dict[str, int] = {}  # by address: heard from, or first mentioned by another machine
         self._last_tick_at_us = self._timeouts_count_from_us = replica.environment.now()
-        replica.on_view.append(self._on_view_change)
+        replica.view_listeners.append(self._on_view_change)
 
     # Events
 
--- a/lilacsill/mesh/store/view_proposer.py
+++ b/lilacsill/mesh/store/view_proposer.py
@@ -33,7 +33,7 @@
         self._wanted_since_us = 0
         self._proposal: Proposal | None = None
         self._round = 0  # the highest ballot number used or heard of in this incarnation
-        replica.on_view.append(self._on_view_change)
+        replica.view_listeners.append(self._on_view_change)
 
     def check(self) -> None:
         """Propose the next view, if another one is wanted and it is this member's turn."""
