--- a/tests/admin/test_calls.py
+++ b/tests/admin/test_calls.py
@@ -42,7 +42,7 @@
         ("POST", "/-/backends/%ff/enable", 400),
     ],
 )
-def test_what_is_no_call(method: str, target: str, status: int) -> None:
+def test_targets_that_are_no_call(method: str, target: str, status: int) -> None:
     with pytest.raises(CallRejected) as e:
         parse_call(method, target)
     assert e.value.status == status
--- a/tests/admin/test_operations_state.py
+++ b/tests/admin/test_operations_state.py
@@ -23,7 +23,7 @@
 
 
 @given(STATES)
-def test_what_is_written_is_read_and_nothing_shorter(state: OperationsState) -> None:
+def test_a_state_is_read_as_written_and_no_prefix_of_it_is(state: OperationsState) -> None:
     data = state.encode()
     assert decode(data) == state
     for cut in range(len(data)):
@@ -45,13 +45,13 @@
         b'{"version": 1, "out": [], "draining": false, "serving": true}\n',
     ],
 )
-def test_what_is_foreign_is_not_read(data: bytes) -> None:
+def test_foreign_contents_are_rejected(data: bytes) -> None:
     with pytest.raises(ValueError):
         decode(data)
 
 
 @given(st.lists(st.tuples(st.sampled_from("abc"), st.booleans(), st.booleans()), max_size=12))
-def test_calls_to_either_of_two_add_up_as_in_one(calls: list[tuple[str, bool, bool]]) -> None:
+def test_calls_to_either_of_two_processes_add_up(calls: list[tuple[str, bool, bool]]) -> None:
     from tempfile import TemporaryDirectory
 
     plain: set[str] = set()
@@ -66,7 +66,7 @@
         assert len(os.listdir(folder)) <= 2  # the file and its lock
 
 
-def test_a_file_torn_anywhere_changes_nothing_and_the_next_call_writes_it_anew(
+def test_a_truncated_file_changes_nothing_and_the_next_call_replaces_it(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     data = OperationsState(frozenset(["s1"]), True, 7).encode()
@@ -85,7 +85,7 @@
         assert not file.reload() and file.state.disabled_backends == {"s2"}
 
 
-def test_what_cannot_be_written_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_failed_write_changes_nothing(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     with pytest.raises(OSError):
         OperationsFile(str(tmp_path / "missing")).update(lambda s: s.disable("s1"))
     file = OperationsFile(str(tmp_path))
--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -63,7 +63,7 @@
     asyncio.run(run())
 
 
-def test_callers_that_never_finish_hold_nobody_up(tmp_path: Path) -> None:
+def test_callers_that_never_finish_do_not_block_others(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path) as w, opened(w) as port:
             silent = [await connect(port) for _ in range(2 * MAX_CALLERS)]
@@ -77,7 +77,7 @@
     asyncio.run(run())
 
 
-def test_a_caller_has_its_time_and_no_more(tmp_path: Path) -> None:
+def test_a_caller_that_is_too_slow_times_out(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path) as w, opened(w) as port:
             caller = await connect(port)
@@ -118,7 +118,7 @@
     asyncio.run(run())
 
 
-def test_a_request_in_hand_outlasts_the_closing_of_idle_connections(tmp_path: Path) -> None:
+def test_a_request_in_flight_outlasts_the_closing_of_idle_connections(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path) as w, opened(w) as port:
             asking = await w.ask(post())
@@ -132,7 +132,7 @@
     asyncio.run(run())
 
 
-def test_resume_has_no_say_in_a_stop(tmp_path: Path) -> None:
+def test_resume_does_not_end_a_stop(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path) as w, opened(w) as port:
             assert await call(port, "POST /-/resume") == 200  # without a drain nothing changes
@@ -143,7 +143,7 @@
     asyncio.run(run())
 
 
-def test_a_backend_that_is_out_gets_nothing_until_the_call_back(tmp_path: Path) -> None:
+def test_a_disabled_backend_gets_nothing_until_it_is_enabled(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=2) as w, opened(w, str(tmp_path)) as port:
             assert await call(port, "POST /-/backends/s9/disable") == 404
@@ -164,7 +164,7 @@
     asyncio.run(run())
 
 
-def test_an_attempt_on_its_way_is_not_sent_to_one_that_is_out(tmp_path: Path) -> None:
+def test_an_attempt_that_connects_is_not_sent_to_a_backend_disabled_meanwhile(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path) as w, opened(w) as port:
             asking = await w.ask(post())
@@ -177,7 +177,7 @@
     asyncio.run(run())
 
 
-def test_a_call_to_one_process_binds_the_other_and_one_that_starts_later(tmp_path: Path) -> None:
+def test_a_call_to_one_process_applies_to_the_other_and_to_a_later_one(tmp_path: Path) -> None:
     async def run() -> None:
         folder = str(tmp_path)
         async with world(tmp_path) as w, opened(w, folder) as port, world(tmp_path) as other:
@@ -196,7 +196,7 @@
     asyncio.run(run())
 
 
-def test_a_promise_that_cannot_be_kept_is_a_no(tmp_path: Path) -> None:
+def test_a_call_whose_change_cannot_be_kept_is_rejected(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path) as w, opened(w, str(tmp_path / "missing")) as port:
             assert await call(port, "POST /-/backends/s0/disable") == 503
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -120,7 +120,7 @@
             assert client.getpeername() == listener.getsockname()
 
 
-def test_what_is_no_listener_is_named_and_left_alone() -> None:
+def test_a_descriptor_that_is_no_listener_is_reported_and_left_alone() -> None:
     one, other = socket.socketpair()
     with one, other:
         try:
@@ -145,7 +145,7 @@
     assert limit() == 50
 
 
-def test_a_file_of_a_process_that_is_gone_holds_nobody_up(tmp_path: Path) -> None:
+def test_a_file_of_a_process_that_has_ended_blocks_nobody(tmp_path: Path) -> None:
     async def run() -> None:
         discovery = await Peer().start()
         (tmp_path / "lilacsill-operations.json").write_text(
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -76,7 +76,7 @@
 
 @settings(deadline=None, max_examples=60)
 @given(st.integers(0, 2**32))
-def test_any_history_comes_to_the_plain_sum(seed: int) -> None:
+def test_any_history_converges_to_the_plain_sum(seed: int) -> None:
     walk(Random(seed))
 
 
@@ -135,7 +135,7 @@
     assert c.total(1) == (2**32 + 5, 2**32, 2**40, 2**62)
 
 
-def test_lives_that_are_over_are_carried_by_the_present_one_and_not_counted_again() -> None:
+def test_earlier_incarnations_are_carried_by_the_present_one_and_counted_once() -> None:
     old = [CountRow(0, life, 0, 0, (10, 0, 0, 0)) for life in range(1, MAX_OWN_INCARNATIONS + 2)]
     c, other = Counts(0, 100), Counts(1, 1)
     for row in old:
@@ -179,7 +179,7 @@
         assert all(w.sent[k][0] - before[k] < 100 for k in before)  # and finding each other again is no storm
 
 
-def test_counts_are_exact_two_seconds_after_a_cut_heals() -> None:
+def test_counts_are_exact_two_seconds_after_a_partition_heals() -> None:
     exact_after_a_cut()
     with pytest.raises(AssertionError):
         exact_after_a_cut(TellsNobodyThatCameBack)
--- a/tests/peers/test_datagram.py
+++ b/tests/peers/test_datagram.py
@@ -31,14 +31,14 @@
     return g.encode(to, stamp, [encode(Ping(7, 4))])
 
 
-def test_a_datagram_goes_through_once() -> None:
+def test_a_datagram_is_accepted_once() -> None:
     a, b = gates(secrets=(OLD,))
     data = ping(a)
     assert b.decode(data, 0) == Datagram(0, 1 << 16, [Ping(7, 4)])
     assert b.decode(data, 0) is DropReason.REPEATED
 
 
-def test_what_is_dropped_and_why() -> None:
+def test_reasons_to_drop_a_datagram() -> None:
     a, b = gates(secrets=(OLD,))
     data = ping(a)
     other_fleet = DatagramCodec(0, fleet_id("other"), 4, (OLD,))
@@ -74,7 +74,7 @@
     assert b.decode(ping(a), 0) is DropReason.UNSIGNED
 
 
-def test_the_process_before_is_told_from_the_present_one() -> None:
+def test_an_earlier_incarnation_is_recognised() -> None:
     a, b = gates()
     late = ping(a, 1 << 16)
     assert isinstance(b.decode(ping(DatagramCodec(0, 5, 4), 9 << 16), 0), Datagram)
@@ -85,7 +85,7 @@
 
 
 @given(st.lists(st.integers(0, 3 * WINDOW), min_size=1, max_size=60))
-def test_each_sequence_is_taken_once_in_any_order(order: list[int]) -> None:
+def test_each_sequence_number_is_accepted_once_in_any_order(order: list[int]) -> None:
     a, b = gates()
     sent = [ping(a) for _ in range(max(order) + 1)]
     taken: set[int] = set()
@@ -107,7 +107,7 @@
 
 
 @given(st.data())
-def test_a_flipped_bit_is_never_taken_where_a_secret_is_set(data: st.DataObject) -> None:
+def test_a_flipped_bit_is_never_accepted_where_a_secret_is_set(data: st.DataObject) -> None:
     a, b = gates(secrets=(OLD,))
     sent = bytearray(ping(a))
     bit = data.draw(st.integers(0, 8 * len(sent) - 1))
--- a/tests/peers/test_escrow.py
+++ b/tests/peers/test_escrow.py
@@ -129,7 +129,7 @@
 
 @settings(deadline=None, max_examples=60)
 @given(st.integers(0, 2**32))
-def test_no_history_spends_more_than_the_whole(seed: int) -> None:
+def test_no_history_spends_more_than_the_budget(seed: int) -> None:
     walk(Random(seed), make)
 
 
@@ -270,7 +270,7 @@
 
 
 @pytest.mark.parametrize("planted, found_by", [(AsksOutliveARelease, late_grant), (AnyReleaseCounts, late_release)])
-def test_what_comes_late_neither_brings_a_lease_to_life_nor_ends_another(
+def test_late_records_neither_revive_a_lease_nor_end_another(
     planted: type[Escrow], found_by: Callable[[Make], None]
 ) -> None:
     found_by(make)
@@ -278,7 +278,7 @@
         found_by(lambda now: planted(now, LEASE))
 
 
-def test_a_grant_to_the_process_before_is_not_taken() -> None:
+def test_a_grant_to_an_earlier_incarnation_is_ignored() -> None:
     f = Fleet(FleetSettings(0, 2, 2), 0, incarnation=5)
     f.escrows[0].need = 2 * SHARE_UNITS
     assert f.escrows[0].open_request(10, 1, 7)
@@ -303,7 +303,7 @@
     assert lender.right(LEASE // 2).amount == NEVER_LENT and lender.right(2 * LEASE).amount == SHARE_UNITS
 
 
-def test_a_grant_that_comes_after_its_lease_is_none() -> None:
+def test_a_grant_that_arrives_after_the_end_of_its_lease_is_ignored() -> None:
     borrower = Escrow(0, LEASE, no_earlier_leases=True)
     borrower.need = 3 * SHARE_UNITS
     assert borrower.open_request(0, 1, 1) == 2 * SHARE_UNITS
@@ -312,13 +312,13 @@
     assert borrower.right(LEASE).amount == SHARE_UNITS
 
 
-def test_of_a_doubled_number_nobody_spends() -> None:
+def test_processes_with_a_duplicate_number_spend_nothing() -> None:
     e = Escrow(0, LEASE, no_earlier_leases=True)
     e.has_duplicate = True
     assert e.right(0).amount == 0 and e.handle_request(0, 1, 1, 1, SHARE_UNITS) == 0
 
 
-def test_a_lease_that_is_asked_for_anew_goes_on_without_a_gap() -> None:
+def test_a_renewed_lease_has_no_gap() -> None:
     lender, borrower = Escrow(0, LEASE, no_earlier_leases=True), Escrow(0, LEASE, no_earlier_leases=True)
     lender.need, borrower.need = 0, 2 * SHARE_UNITS
     now, nonce, rng = 0, 0, Random(1)
@@ -360,7 +360,7 @@
     assert died >= 5
 
 
-def test_one_that_is_killed_while_it_grants_does_not_spend_it_in_its_next_life(
+def test_a_lender_killed_after_a_grant_does_not_spend_it_in_its_next_incarnation(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     killed_while_it_grants()
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -76,7 +76,7 @@
         assert not deaths
 
 
-def test_half_cut_from_half_for_twenty_seconds_and_healed() -> None:
+def test_a_partition_in_halves_for_twenty_seconds_heals() -> None:
     w = world()
     w.links.rules = [Rule(w.now, w.now + 20 * SECOND, HALF, ALL - HALF, cut=True)]
     w.run(w.now + 19 * SECOND)
@@ -88,7 +88,7 @@
     assert all(p.fleet.size.number == N for p in w.running())  # a cut makes nobody bold
 
 
-def test_one_way_loss_condemns_nobody_for_good() -> None:
+def test_one_way_loss_holds_nobody_dead_for_good() -> None:
     """What agent 0 sends reaches nobody, while it hears all: others must reach it through the others, and cannot."""
     w = world()
     w.links.rules = [Rule(w.now, w.now + 20 * SECOND, frozenset({0}), ALL - {0}, both=False, cut=True)]
@@ -99,7 +99,7 @@
     until(w, lambda: settled(w), 5)
 
 
-def test_one_link_that_is_cut_is_gone_round() -> None:
+def test_indirect_probes_get_round_one_broken_link() -> None:
     w = world()
     w.links.rules = [Rule(0, 2**62, frozenset({0}), frozenset({1}), cut=True)]
     w.run(w.now + 30 * SECOND)
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("for_s", [0.5, 5, 30])
-def test_a_process_that_stood_still_doubts_itself_and_condemns_nobody(for_s: float) -> None:
+def test_a_process_that_stalled_lowers_its_own_health_and_suspects_nobody(for_s: float) -> None:
     for seed in range(5):
         w = world(seed=seed)
         w.links.rules = [Rule(0, 2**62, ALL, ALL, delay_us=(50_000, 90_000))]  # a probe is out for part of the time
@@ -158,7 +158,7 @@
     until(w, lambda: set(state(w, 2).values()) == {MemberState.LEFT}, 2)
 
 
-def test_two_processes_with_one_number_end_by_standing_back() -> None:
+def test_two_processes_with_one_number_notice_it() -> None:
     """A mistake in deployment: what the second sends comes from the address of the first."""
     w = world(4)
     first = w.processes[1]
@@ -171,7 +171,7 @@
     assert min(spent) == 0
 
 
-def test_lives_are_not_driven_up_for_ever() -> None:
+def test_incarnations_are_not_driven_up_for_ever() -> None:
     m = Membership(0, 3, PERIOD, 5, Random(1), lambda to, r: None, lambda r: None, lambda: (0, 1))
     for i in range(MAX_NEW_INCARNATIONS + 3):
         m.on_record(1, MemberUpdate(0, m.stamp + (1 << 16), MemberState.ALIVE, 1, (1, i)), 0)
@@ -273,10 +273,10 @@
     "planted, found_by",
     [
         (IgnoresIncarnation, test_restarted_three_times_in_a_second_and_with_a_clock_that_went_back),
-        (NeverRefutes, test_half_cut_from_half_for_twenty_seconds_and_healed),
-        (ForgetsItsStall, lambda: test_a_process_that_stood_still_doubts_itself_and_condemns_nobody(30)),
-        (NoIndirectProbes, test_one_link_that_is_cut_is_gone_round),
-        (NeverKnocks, test_half_cut_from_half_for_twenty_seconds_and_healed),
+        (NeverRefutes, test_a_partition_in_halves_for_twenty_seconds_heals),
+        (ForgetsItsStall, lambda: test_a_process_that_stalled_lowers_its_own_health_and_suspects_nobody(30)),
+        (NoIndirectProbes, test_indirect_probes_get_round_one_broken_link),
+        (NeverKnocks, test_a_partition_in_halves_for_twenty_seconds_heals),
         (SaysDeadAtOnce, test_nobody_is_falsely_dead_at_a_fifth_lost_with_some_that_stall),
         (SuspectsNobody, test_a_killed_agent_is_known_within_three_periods_and_the_time_of_suspicion),
     ],
@@ -289,7 +289,7 @@
         found_by()
 
 
-def test_a_fleet_of_one_spends_the_whole_at_once() -> None:
+def test_a_fleet_of_one_spends_the_budget_at_once() -> None:
     f = Fleet(FleetSettings(0, 1, 1), 0, 1)
     f.start(0)
     f.tick(1)
--- a/tests/peers/test_peer_health.py
+++ b/tests/peers/test_peer_health.py
@@ -43,7 +43,7 @@
     return HealthReport(backend_tag(name), verdict, witness, life, round_, age_ms, left_ms, (witness, 1))
 
 
-def test_one_witness_makes_careful_and_three_exclude() -> None:
+def test_one_witness_lowers_the_weight_and_three_eject() -> None:
     j = room()
     for witness in range(1, EJECTION_WITNESSES + 1):
         assert j.on_report(claim(witness, "s3"), 1000) is not None
@@ -58,7 +58,7 @@
     assert not j.verdicts(1000)[0].ejected and j.on_report(claim(1, "s3", 1), 1000) is None
 
 
-def test_one_that_condemns_all_is_believed_in_nothing() -> None:
+def test_a_witness_that_condemns_all_backends_does_not_count() -> None:
     j = room()
     for name in NAMES:
         j.on_report(claim(1, name), 1000)
@@ -66,7 +66,7 @@
 
 
 @given(st.integers(0, 2**32))
-def test_liars_leave_out_a_share_at_most_whatever_they_say(seed: int) -> None:
+def test_false_witnesses_eject_a_share_at_most(seed: int) -> None:
     rng, j = Random(seed), room()
     for i in range(300):
         j.on_report(
@@ -86,7 +86,7 @@
     assert j.peer_claims <= 5 * MAX_CLAIMS
 
 
-def test_what_is_older_than_an_own_answer_does_not_count_and_what_is_withdrawn_ends() -> None:
+def test_claims_older_than_an_own_answer_do_not_count_and_withdrawn_ones_end() -> None:
     j = room()
     j.backend_answered("s3", 1_000_000)
     j.on_report(claim(1, "s3", age_ms=500), 1_200_000)
@@ -112,12 +112,12 @@
         assert not j.verdicts(now)
 
 
-def test_one_that_is_cut_off_or_finds_too_many_ill_tells_nothing() -> None:
+def test_an_isolated_witness_or_one_with_too_many_claims_reports_nothing() -> None:
     for ill, cut_off, told in (({"s1"}, False, 1), ({"s1"}, True, 0), (set(NAMES[:5]), False, 0)):
         assert len(room().update_own_claims(ill, 1000, 4_000_000, 1, cut_off, (0, 1))) == told
 
 
-def test_one_that_finds_too_many_ill_takes_back_what_it_told_while_it_found_them() -> None:
+def test_a_witness_that_finds_too_many_unhealthy_withdraws_its_reports() -> None:
     """A zone cut off from its backends finds them one by one; each agent there had condemned the first few for all."""
     teller, hearer = room(), room()
     teller.own_number = 7
@@ -136,7 +136,7 @@
     assert hearer.on_report(again.record(8000), 8000) is not None and hearer.verdicts(8000)[0].backend == "s9"
 
 
-def test_what_enough_say_nobody_more_says_or_passes_on() -> None:
+def test_a_claim_with_enough_witnesses_is_neither_reported_nor_spread() -> None:
     j = room()
     for witness in range(1, SUFFICIENT_WITNESSES + 1):
         c = j.on_report(claim(witness, "s1", left_ms=1000), 1000)
@@ -155,7 +155,7 @@
         max_size=60,
     )
 )
-def test_what_is_remembered_of_the_verdicts_is_what_would_be_found(
+def test_cached_verdicts_equal_computed_ones(
     steps: list[tuple[int, int, int, int]],
 ) -> None:
     j, now = room(), 1000
@@ -175,7 +175,7 @@
         assert remembered == j.verdicts(now)
 
 
-def test_a_judgement_is_renewed_by_its_witness_before_it_ends() -> None:
+def test_a_claim_is_renewed_by_its_witness_before_it_ends() -> None:
     j = room()
     [first] = j.update_own_claims({"s1"}, 0, 4_000_000, 1, False, (0, 1))
     assert not j.update_own_claims({"s1"}, 1_000_000, 4_000_000, 1, False, (0, 2))
@@ -192,7 +192,7 @@
 # FleetSize
 
 
-def test_more_than_told_counts_at_once_and_fewer_only_after_a_calm_by_half() -> None:
+def test_a_greater_fleet_size_counts_at_once_and_a_smaller_one_later_by_half() -> None:
     s = FleetSize(configured=4, listed=40)
     assert s.number == 40
     s = FleetSize(configured=40, listed=4)
@@ -208,7 +208,7 @@
     assert seen == sorted(seen, reverse=True) and 20 in seen and now >= 4 * AGREEMENT_US
 
 
-def test_nobody_gets_bolder_while_one_is_out_of_sight_or_lists_differ() -> None:
+def test_the_fleet_size_stays_while_a_member_is_unheard_or_lists_differ() -> None:
     for odd in ((0, 4), (1, 5)):
         s = FleetSize(configured=40, listed=4)
         for i in range(1, 20):
@@ -221,7 +221,7 @@
 # The module
 
 
-def test_a_backend_that_several_found_ill_gets_nothing_until_it_answers_here_or_the_word_ends() -> None:
+def test_a_backend_ejected_by_peers_gets_nothing_until_it_answers_here_or_the_claims_end() -> None:
     d = Drive(servers=8)
     d.serve(60)
     victim = next(iter(d.balancer.members.backends))
@@ -269,13 +269,13 @@
         assert cold._credit_at(d.now + 3 * SECOND) == expected
 
 
-def test_a_word_that_is_not_renewed_ends_by_itself() -> None:
+def test_a_claim_that_is_not_renewed_ends_by_itself() -> None:
     j = room()
     j.update_own_claims({"s1"}, 0, 4_000_000, 1, False, (0, 1))
     assert not j.update_own_claims(set(), 4_000_000, 4_000_000, 1, False, (0, 2)) and not j.own_claims
 
 
-def test_where_another_found_it_ill_the_first_bad_end_here_decides() -> None:
+def test_after_a_claim_of_a_peer_one_own_failure_ejects() -> None:
     for said in (False, True):
         d = Drive(servers=8)
         d.serve(60)
--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -32,7 +32,7 @@
     return states(told)[other] == state
 
 
-def test_half_cut_from_half_keeps_its_own_part_and_counts_all_once_after(tmp_path: Path) -> None:
+def test_halves_of_a_partition_keep_their_shares_and_counts_merge_after_it(tmp_path: Path) -> None:
     async def run() -> None:
         async with fleet(N, tmp_path, backends=4, started_s=19) as r:
             await r.rules([{"from": sorted(HALF), "to": sorted(REST), "cut": True}])
@@ -79,7 +79,7 @@
     asyncio.run(run())
 
 
-def test_one_that_stands_still_with_a_lease_wakes_without_it(tmp_path: Path) -> None:
+def test_a_process_stalled_past_its_lease_has_nothing_of_it(tmp_path: Path) -> None:
     """All traffic comes to agent 0, so that the others lend it what they may of the cold servers."""
 
     async def run() -> None:
@@ -102,7 +102,7 @@
     asyncio.run(run())
 
 
-def test_several_stand_still_in_turn_while_a_fifth_is_lost(tmp_path: Path) -> None:
+def test_several_processes_stall_in_turn_while_a_fifth_of_datagrams_is_lost(tmp_path: Path) -> None:
     async def run() -> None:
         n = 16
         async with fleet(n, tmp_path) as r:
@@ -132,7 +132,7 @@
     asyncio.run(run())
 
 
-def test_a_backend_that_one_alone_cannot_reach_stays_in_for_the_others(tmp_path: Path) -> None:
+def test_a_backend_unreachable_for_one_agent_stays_in_service_for_the_others(tmp_path: Path) -> None:
     async def run() -> None:
         async with fleet(
             N, tmp_path, backends=6, serve_s=0.05, dead_for=lambda agent, backend: agent == 0 and backend == 0
@@ -149,7 +149,7 @@
     asyncio.run(run())
 
 
-def test_a_backend_that_three_cannot_reach_is_left_out_by_the_others_until_they_are_gone(
+def test_a_backend_unreachable_for_three_agents_is_ejected_by_the_others_until_they_end(
     tmp_path: Path,
 ) -> None:
     async def run() -> None:
@@ -172,7 +172,7 @@
     asyncio.run(run())
 
 
-def test_settings_that_say_eighty_where_there_are_eight_make_nobody_bold_at_once(tmp_path: Path) -> None:
+def test_settings_with_a_too_great_fleet_size_are_corrected_slowly(tmp_path: Path) -> None:
     async def run() -> None:
         async with fleet(N, tmp_path, siblings=10 * N) as r:
             for n in range(N):
@@ -300,7 +300,7 @@
     asyncio.run(run())
 
 
-def test_a_process_that_condemns_every_backend_is_believed_in_none(tmp_path: Path) -> None:
+def test_a_process_that_condemns_every_backend_does_not_count(tmp_path: Path) -> None:
     """It speaks for three members in whose places nobody runs, so that there are witnesses enough for any bound."""
 
     async def run() -> None:
--- a/tests/recovery/test_decisions.py
+++ b/tests/recovery/test_decisions.py
@@ -85,7 +85,7 @@
     assert decode(encode(saved), "f", agent) == saved
 
 
-def test_torn_at_any_byte_or_changed_in_one_it_is_not_believed() -> None:
+def test_a_state_truncated_or_altered_in_any_byte_is_rejected() -> None:
     data = encode(state())
     for cut in range(len(data)):
         with pytest.raises(StateError):
@@ -95,7 +95,7 @@
             decode(data[:at] + bytes([data[at] ^ 1]) + data[at + 1 :], "f", "n0")
 
 
-def test_what_is_foreign_or_later_is_told_apart() -> None:
+def test_a_state_of_another_agent_or_a_later_version_is_rejected() -> None:
     data = encode(state())
     for bad, why in (
         (data.replace(b"state 1 ", b"state 2 ", 1), "version 2"),
@@ -110,7 +110,7 @@
 
 
 @given(MEMBERS)
-def test_the_list_is_saved_in_words_that_mean_the_same_again(members: list[SavedMember]) -> None:
+def test_the_saved_list_is_parsed_to_the_same_members(members: list[SavedMember]) -> None:
     unique = list({m.id: m for m in members}.values())
     told = PARSER.parse(listing_doc(state(members=unique)))
     learned = SavedListing(PARSER.encode)
@@ -157,7 +157,7 @@
     assert age_s(saved, StartTime(10**12, "b1", 5)) is None
 
 
-def test_the_later_list_is_begun_with_and_a_drain_is_not_forgotten() -> None:
+def test_the_later_list_is_used_and_a_drain_is_not_forgotten() -> None:
     now = StartTime(10**12 + 1000, "b2", 0)
     kept = start_of(state(), now)
     assert kept.source is ListSource.SAVED and kept.known.revision == 50
@@ -174,7 +174,7 @@
     ("age", "answers"),
     [(0, MAX_LATENCY_ANSWERS), (LATENCY_HALVING_S, MAX_LATENCY_ANSWERS // 2), (8 * LATENCY_HALVING_S, 0)],
 )
-def test_a_pace_weighs_less_the_older_it_is(age: float, answers: int) -> None:
+def test_saved_latencies_weigh_less_the_older_they_are(age: float, answers: int) -> None:
     start = start_of(state(), StartTime(10**12 + int(age * 1000), "b2", 0))
     assert start.latency_model.answers == answers
     assert (
@@ -183,7 +183,7 @@
     )
 
 
-def test_a_pace_of_unknown_age_is_none_and_nothing_saved_is_the_configuration() -> None:
+def test_latencies_of_unknown_age_do_not_count_and_without_a_state_the_configuration_is_used() -> None:
     assert start_of(state(), StartTime(1, "b2", 0)).latency_model == SavedLatencyModel()
     configured = Listing(1, True, ())
     assert choose_knowledge(configured, None, None, StartTime(1, "", 0)).known is configured
@@ -192,7 +192,7 @@
 # Generations
 
 
-def test_the_newest_that_is_whole_is_used(tmp_path: Path) -> None:
+def test_the_newest_valid_generation_is_used(tmp_path: Path) -> None:
     store = StateStore(str(tmp_path), "f", "n0", 3)
     assert store.load().state is None
     for revision in (1, 2, 3, 4):
@@ -228,7 +228,7 @@
 
 
 @pytest.mark.parametrize("step", range(1, 7))
-def test_killed_at_any_step_of_a_save_it_leaves_a_whole_one(
+def test_a_process_killed_at_any_step_of_a_save_leaves_a_valid_generation(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, step: int
 ) -> None:
     store = StateStore(str(tmp_path), "f", "n0", 3)
@@ -278,7 +278,7 @@
 # PhaseTracker
 
 
-def test_a_return_is_told_by_work_and_not_by_time() -> None:
+def test_phases_depend_on_answers_and_not_on_time() -> None:
     p, now = PhaseTracker(0), 0
 
     def window(good: int, bad: int) -> Phase:
@@ -306,7 +306,7 @@
 # The module
 
 
-def test_a_pace_from_before_counts_until_the_first_answer_and_then_as_so_many() -> None:
+def test_a_restored_latency_model_counts_until_the_first_answer_and_then_by_its_weight() -> None:
     d = Drive(servers=4)
     d.event(LatencyModelRestored(10_000, 12_000, 80))
     assert d.balancer.latency_model() == LatencyModelRestored(10_000, 12_000, 80)
--- a/tests/streams/test_framing.py
+++ b/tests/streams/test_framing.py
@@ -54,7 +54,7 @@
 
 
 @given(st.lists(st.tuples(st.booleans(), st.integers(min_value=0, max_value=8 * MB)), max_size=60))
-def test_bodies_kept_whole_stay_within_their_half(steps: list[tuple[bool, int]]) -> None:
+def test_bodies_kept_complete_stay_within_their_half(steps: list[tuple[bool, int]]) -> None:
     marks, kept = Watermarks(buffer_budget(80, 1)), []
     for keep, size in steps:
         if keep and marks.reserve_body(size):
@@ -68,7 +68,7 @@
     assert marks.reserved == 0
 
 
-def test_an_answer_of_unknown_length_is_not_whole_until_its_connection_ends() -> None:
+def test_an_answer_of_unknown_length_is_complete_when_its_connection_ends() -> None:
     reader = Reader(HttpResponseParser, 1000, until_close=True)
     assert not reader.feed(b"HTTP/1.1 200 X\r\n\r\nabc")
     message = reader.close()
--- a/tests/streams/test_streams.py
+++ b/tests/streams/test_streams.py
@@ -291,7 +291,7 @@
     played(tmp_path, play)
 
 
-def test_a_long_request_that_is_turned_away_gets_one_answer(tmp_path: Path) -> None:
+def test_a_long_request_that_is_rejected_gets_one_answer(tmp_path: Path) -> None:
     # Answered by its head, it was taken once more, and answered again, when the rest of it had come.
     async def play(w: World) -> None:
         await no_leave(w)
--- a/tests/test_accept.py
+++ b/tests/test_accept.py
@@ -124,7 +124,7 @@
     assert len(caplog.records) == 1
 
 
-def test_a_turn_accepts_a_bounded_number_and_leaves_none_in_the_queue() -> None:
+def test_a_bounded_number_is_accepted_at_once_and_none_stays_in_the_queue() -> None:
     async def body(listener: Scripted, seen: Seen, spare: SpareDescriptor) -> None:
         clients = [client(listener) for _ in range(3 * MAX_ACCEPTS)]
         await asyncio.sleep(0)
@@ -177,7 +177,7 @@
     assert "connection failed" in caplog.text
 
 
-def test_the_spare_descriptor_is_lent_and_had_again() -> None:
+def test_the_spare_descriptor_is_released_and_reacquired() -> None:
     spare = SpareDescriptor()
     with spare.released():
         assert not spare.release()
@@ -204,7 +204,7 @@
     asyncio.run(asyncio.wait_for(whole(), 60))
 
 
-def test_where_no_more_may_follow_one_is_accepted_in_a_turn() -> None:
+def test_one_connection_is_accepted_at_once_where_no_more_may_follow() -> None:
     async def whole() -> None:
         listener, seen, spare = Scripted([]), Seen(), SpareDescriptor()
         accepting = loop_on(listener, spare, seen, more=False)
--- a/tests/test_admission_controller.py
+++ b/tests/test_admission_controller.py
@@ -43,7 +43,7 @@
         ({1: 3}, {1: 0.0}, 12, 1),
     ],
 )
-def test_the_crowd_that_holds_most_above_its_part_makes_way(
+def test_the_group_that_exceeds_its_share_most_gives_way_first(
     held: dict[int, int], weights: dict[int, float], capacity: int, over: int | None
 ) -> None:
     groups, addresses = ConnectionGroups(), AddressTable(AdmissionSettings())
@@ -216,7 +216,7 @@
 TestAdmission = Admission.TestCase
 
 
-def test_strangers_are_refused_while_the_loop_is_behind() -> None:
+def test_strangers_are_refused_while_the_event_loop_lags() -> None:
     settings = AdmissionSettings(known=(KNOWN,), busy_ms=3.0)
     controller = AdmissionController(
         DescriptorAccount(DescriptorBudget(limit=128, base=8)), settings, ConnectionTimeouts(), 1, lambda line: None
@@ -236,7 +236,7 @@
     assert not comes("172.16.0.1", 24_000) and comes("172.16.0.1", 200_000)
 
 
-def test_the_oldest_silent_stranger_makes_way_first() -> None:
+def test_the_oldest_silent_stranger_is_evicted_first() -> None:
     account = DescriptorAccount(DescriptorBudget(30, 4, set_apart=2, refusals=2, closing=4))
     controller = AdmissionController(account, SETTINGS[0], ConnectionTimeouts(), 1, lambda line: None)
     records: list[ConnectionRecord] = []
--- a/tests/test_admission_policy.py
+++ b/tests/test_admission_policy.py
@@ -66,7 +66,7 @@
         (replace(FULL, open=12, victim=EvictionRank.READING, known=True), Verdict.REPLACE),
     ],
 )
-def test_what_becomes_of_a_new_connection(arrival: Arrival, verdict: Verdict | RefusalReason) -> None:
+def test_decision_on_a_new_connection(arrival: Arrival, verdict: Verdict | RefusalReason) -> None:
     decided, reason = decide(arrival)
     assert (reason or decided) is verdict
     assert (decided is Verdict.REFUSE) == (reason is not None)
@@ -76,7 +76,7 @@
 @pytest.mark.parametrize("known", [False, True])
 @pytest.mark.parametrize("over_cap", [False, True])
 @pytest.mark.parametrize("long", [False, True])
-def test_who_never_makes_way(state: ConnectionState, known: bool, over_cap: bool, long: bool) -> None:
+def test_connections_that_are_never_evicted(state: ConnectionState, known: bool, over_cap: bool, long: bool) -> None:
     c = ConnectionView(state, known, over_cap, long)
     if state is ConnectionState.IN_FLIGHT:
         assert eviction_rank(c, True) is None and eviction_rank(c, False) is None
@@ -109,7 +109,7 @@
         (replace(STRANGER, known=True, state=ConnectionState.READING, long_in_state=True), None, None),
     ],
 )
-def test_in_which_order_connections_make_way(
+def test_order_of_eviction(
     standing: ConnectionView, for_stranger: EvictionRank | None, for_known: EvictionRank | None
 ) -> None:
     assert (eviction_rank(standing, False), eviction_rank(standing, True)) == (for_stranger, for_known)
@@ -148,7 +148,7 @@
     assert account.unused_reserve == 19 and not account.has_room(Side.UPSTREAM)
 
 
-def test_what_makes_way_is_counted_until_the_kernel_frees_it() -> None:
+def test_an_evicted_connection_counts_until_the_kernel_frees_its_descriptor() -> None:
     account = DescriptorAccount(BUDGET)
     fill(account, Side.DOWNSTREAM)
     for _ in range(BUDGET.closing):
@@ -160,7 +160,7 @@
     assert account.may_close
 
 
-def test_an_exhausted_ledger_counts_on_what_is_held_and_regains_the_rest_in_steps() -> None:
+def test_an_exhausted_account_counts_on_what_is_open_and_recovers_the_rest_in_steps() -> None:
     account = DescriptorAccount(BUDGET)
     for _ in range(10):
         account.acquire(Side.DOWNSTREAM)
@@ -175,7 +175,7 @@
     assert steps > 5 and account.limit == BUDGET.limit
 
 
-def test_a_limit_lowered_below_what_is_held_is_an_overdraft() -> None:
+def test_a_limit_lowered_below_what_is_open_leaves_an_excess() -> None:
     account = DescriptorAccount(BUDGET)
     held = fill(account, Side.DOWNSTREAM)
     account.set_limit(60)
@@ -241,7 +241,7 @@
     return known
 
 
-def test_a_client_is_learned_in_calm_and_forgotten_after_hours() -> None:
+def test_a_client_is_learned_outside_storms_and_forgotten_after_hours() -> None:
     table = AddressTable(LEARNING)
     assert not serve(table, "10.0.0.1", 0)
     assert not serve(table, "10.0.0.1", 4 * SECOND)  # too soon
@@ -251,7 +251,7 @@
     assert not serve(table, "10.0.0.1", 100 * HOUR)
 
 
-def test_nobody_earns_the_standing_of_a_known_client_in_a_storm() -> None:
+def test_no_client_becomes_known_in_a_storm() -> None:
     table = AddressTable(LEARNING)
     serve(table, "10.0.0.1", 0)  # known before
     serve(table, "10.0.0.1", 6 * SECOND)
@@ -265,7 +265,7 @@
     assert serve(table, "10.0.0.1", 59 * SECOND + HOUR)
 
 
-def test_a_flood_of_addresses_neither_grows_the_table_nor_pushes_learned_clients_out() -> None:
+def test_a_flood_of_addresses_neither_grows_the_table_nor_evicts_learned_clients() -> None:
     table = AddressTable(LEARNING)
     serve(table, "10.0.0.1", 0)
     serve(table, "10.0.0.1", 6 * SECOND)
--- a/tests/test_answers.py
+++ b/tests/test_answers.py
@@ -61,7 +61,7 @@
         raise AssertionError("cut short")
 
 
-def test_an_answer_of_400_kb_is_served_whole() -> None:
+def test_an_answer_of_400_kb_is_served_completely() -> None:
     # rate: answers over 64 KiB were taken for spoilt, and a third of all requests was turned away.
     async def run() -> None:
         peer = await Peer().start()
--- a/tests/test_backends.py
+++ b/tests/test_backends.py
@@ -288,7 +288,7 @@
     asyncio.run(asyncio.wait_for(run(), 60))
 
 
-def test_the_longest_idle_connection_makes_way() -> None:
+def test_the_longest_idle_connection_is_closed_for_a_new_one() -> None:
     async def run() -> None:
         peer, other = await Peer().start(), await Peer().start()
         b = backends(peer.port, most=1)
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -17,7 +17,7 @@
 NEVER = ConnectionTimeouts(silent_us=10**12, reading_us=10**12)
 
 
-def test_an_idle_connection_to_a_backend_makes_way_for_a_client(tmp_path: Path) -> None:
+def test_an_idle_connection_to_a_backend_is_closed_for_a_client(tmp_path: Path) -> None:
     async def run() -> None:
         async with world(tmp_path, backends=1, budget=shared(4), times=NEVER) as w:
             ledger = w.server.admission.descriptors
