--- a/benchmarks/capacity/hollow.py
+++ b/benchmarks/capacity/hollow.py
@@ -15,11 +15,12 @@
 from lilacsill.mesh.proxy.offer_server import OfferServer
 from lilacsill.mesh.proxy.discovery import DiscoveryClient
 from lilacsill.mesh.proxy.backend_gateway import BackendGateway
-from lilacsill.mesh.proxy.forwarding import Forwarder
+from lilacsill.mesh.proxy.forwarder import Forwarder
 from lilacsill.mesh.proxy.backend_lifecycle import BackendLifecycle
 from lilacsill.mesh.proxy.failure_detector import FailureDetector
 from lilacsill.mesh.proxy.known_endpoints import KnownEndpoints
 from lilacsill.mesh.proxy.retry_budget import RetryBudgetSettings
+from lilacsill.mesh.proxy.upstreams import Upstreams
 from lilacsill.mesh.proxy.active_config import ActiveConfig
 from lilacsill.mesh.proxy.endpoint_table import EndpointTable
 from lilacsill.mesh.runtime.messages import Endpoint, IndirectPing, Message
@@ -136,25 +137,28 @@
         assert settings.backend_address is not None
         self._lifecycle = BackendLifecycle(1_000_000)
         self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
-        self.forwarder = Forwarder(
-            reactor, ActiveConfig(), self._gateway, settings.node_name, settings.service, RETRY_BUDGET, Random(number)
-        )
+        rng = Random(number)
+        upstreams = Upstreams(reactor, self._gateway, settings.node_name, RETRY_BUDGET, rng)
+        self.config = ActiveConfig()
         if shared is not None:
-            self.forwarder.tables = shared.tables
+            upstreams.tables = shared.tables
         self._links = Links(reactor, self)
-        self.endpoints = SharedEndpoints(settings.node_name, self.forwarder)
+        self.endpoints = SharedEndpoints(settings.node_name, upstreams)
         self.endpoints.shared = shared
         self.failure_detector = FailureDetector(self._links, settings.node_name, self.endpoints.peers, self._on_suspect)
         self.discovery = HollowDiscovery(
             settings,
             reactor,
-            self.forwarder,
+            self.config,
             self._lifecycle,
             self.endpoints,
             self.failure_detector.suspects,
             lambda: on_update(self),
         )
         self.discovery.proxy = self
+        self._forwarder = Forwarder(
+            reactor, self.config, upstreams, settings.service, rng, self.discovery.is_config_current
+        )
         self._listen()
         self._lifecycle.on_health_check(
             f"i-{number:08x}-{self.discovery.endpoint().incarnation}", settings.service, SLOTS
@@ -179,8 +183,7 @@
 
     def leave(self) -> None:
         """As on SIGTERM."""
-        self.discovery.leaving = True
-        self.discovery.announce()
+        self.discovery.announce_leaving()
 
     def lose(self) -> None:
         """Cut off from all others."""
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -13,7 +13,7 @@
 from lilacsill.mesh.runtime.commands import CommandFailed, Commands
 from lilacsill.mesh.runtime.messages import ConfigUpdate, Follow, FollowReply, Item, Patch, Read, Reply
 
-from . import validation
+from . import calls, validation
 from .state import ConfigState
 
 IMPORT_ATTEMPTS, RETRY_DELAY_S = 5, 0.5
@@ -40,12 +40,12 @@
         if against:
             present = configuration(against)
             state.apply(present.items, present.seq)
-        parsed = validation.read(_read_file(path))
+        parsed = calls.parse_call(_read_file(path))
         if isinstance(parsed, Failure):
-            raise CommandFailed(f"{path}: {parsed.failure()}")
-        validated = validation.against(state, parsed.unwrap())
+            raise CommandFailed(f"{path}: {parsed.failure().message}")
+        validated = validation.apply_call(state, parsed.unwrap())
         if isinstance(validated, Failure):
-            raise CommandFailed(f"{path}: {validated.failure().why}")
+            raise CommandFailed(f"{path}: {validated.failure().message}")
         for item in validated.unwrap().items.values():
             print(f"{'drops' if item.body is None else 'sets'} {item.kind} {item.name} r{item.version}")
 
--- a/lilacsill/mesh/store/leaving.py
+++ b/lilacsill/mesh/store/leaving.py
@@ -43,7 +43,7 @@
         if self._membership.is_alone() or now >= self._deadline_us:
             self._stop()
             return
-        if not self._membership.can_be_missed():
+        if not self._membership.is_dispensable():
             self._dispensable_since_us = None
         elif self._dispensable_since_us is None:
             self._dispensable_since_us = now
--- a/lilacsill/mesh/store/replica.py
+++ b/lilacsill/mesh/store/replica.py
@@ -90,7 +90,7 @@
     @property
     def view_pending(self) -> bool:
         """Whether this machine has voted for a next view, which may be in force already."""
-        return self.acceptor.blocked(self.view)
+        return self.acceptor.has_accepted_next(self.view)
 
     # The disk
 
@@ -100,7 +100,7 @@
         self.complete = False
         self.environment.save(Save(facts=self.view_facts()), ignore_completion)
 
-    def keep(self, name: str, value: bytes, done: Callable[[], None]) -> None:
+    def persist(self, name: str, value: bytes, done: Callable[[], None]) -> None:
         """Write one fact to disk."""
         self.environment.save(Save(facts={name: value}), done)
 
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -19,7 +19,7 @@
 from lilacsill.mesh.runtime.sequence import ItemKey, Items, highest_seq, items_after, sorted_by_seq, tombstones_up_to
 
 from .digests import RANGE_COUNT, checksum_of, digest_of, range_of
-from .route_index import LIMITS, ROUTE, SERVICE, Place, RouteIndex
+from .route_index import LIMITS, ROUTE, SERVICE, RouteIndex, RouteMatch
 
 ITEM_OVERHEAD_BYTES = 100  # of an item beyond its body and its record, on disk and in a message
 MAX_TOMBSTONES = 4096  # an older change of a name that was dropped before so many others would be taken as new
@@ -190,13 +190,13 @@
         """Return an item or its tombstone. None: there never was one, or its tombstone is deleted."""
         return self.items.get((kind, name))
 
-    def route_at(self, place: Place) -> str | None:
+    def route_at(self, match: RouteMatch) -> str | None:
         """Return the name of the route with this host and prefix."""
-        return self._routes().route_at(place)
+        return self._routes().route_at(match)
 
-    def uses(self, service: str) -> int:
+    def reference_count(self, service: str) -> int:
         """Return how many routes refer to a service."""
-        return self._routes().uses(service)
+        return self._routes().reference_count(service)
 
     def _routes(self) -> RouteIndex:
         if self._route_index is None:
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -105,13 +105,11 @@
     def proxy(self, ip: str) -> None:
         reactor: Any = Reactor(self._machine(f"{ip}:0"))
         table = SimpleNamespace(remove=lambda node: None, update=lambda endpoint, now: None)
-        links = SimpleNamespace(drop=lambda address: None)
-        forwarder: Any = SimpleNamespace(
-            config=ActiveConfig(), tables={}, table=lambda service: table, proxies=1, links=links
-        )
+        links = SimpleNamespace(close_idle=lambda address: None)
+        upstreams: Any = SimpleNamespace(tables={}, table=lambda service: table, proxies=1, links=links)
         settings = settings_of(ip, self.fleet.seeds)
         self.proxies[ip] = discovery.DiscoveryClient(
-            settings, reactor, forwarder, BackendLifecycle(0), KnownEndpoints(ip, forwarder), set(), lambda: None
+            settings, reactor, ActiveConfig(), BackendLifecycle(0), KnownEndpoints(ip, upstreams), set(), lambda: None
         )
         self.proxies[ip].start()
 
@@ -214,7 +212,7 @@
         """All the time: at whoever is awake and calls its configuration current."""
         self.time.after(LOOK_US, self.look)
         for address, store in self.stores.items():
-            if self._awake(address) and store.replica.is_tail and store.chain.synced and store.membership.sure():
+            if self._awake(address) and store.replica.is_tail and store.chain.synced and store.membership.holds_lease():
                 version = store.replica.state.version("route", "r")
                 self._judge("store", address, -1 if version is None else version)
         for ip, registry in self.registries.items():
@@ -223,7 +221,7 @@
                 self._judge("registry", ip, held["route", "r"].version)
         for ip, proxy in self.proxies.items():
             if self._awake(f"{ip}:0") and proxy.is_config_current():
-                self._judge("proxy", ip, proxy._forwarder.config._versions["route", "r"])
+                self._judge("proxy", ip, proxy._config._versions["route", "r"])
 
     def _awake(self, address: str) -> bool:
         machine = self.net.machines[address]
