--- a/tests/admin/test_server.py
+++ b/tests/admin/test_server.py
@@ -18,8 +18,8 @@
 
 
 @contextlib.asynccontextmanager
-async def opened(w: World, folder: str | None = None) -> AsyncIterator[int]:
-    operations = Operations(w.server, w.agent, OperationsFile(folder))
+async def opened(system: World, folder: str | None = None) -> AsyncIterator[int]:
+    operations = Operations(system.server, system.agent, OperationsFile(folder))
     server = AdminServer(operations.execute, SpareDescriptor(), lambda what: None)
     operations.start()
     operations.mark_serving()
@@ -48,13 +48,13 @@
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-async def health(w: World) -> int:
-    return (await (await w.ask(HEALTH)).read()).status
+async def health(system: World) -> int:
+    return (await (await system.ask(HEALTH)).read()).status
 
 
 def test_answers_and_errors(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w) as port:
+        async with world(tmp_path) as system, opened(system) as port:
             assert await call(port, "GET /-/ready") == 200
             assert await call(port, "POST /-/ready") == 405
             assert await call(port, "GET /nothing") == 404
@@ -65,7 +65,7 @@
 
 def test_callers_that_never_finish_do_not_block_others(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w) as port:
+        async with world(tmp_path) as system, opened(system) as port:
             silent = [await connect(port) for _ in range(2 * MAX_CALLERS)]
             for caller in silent[::2]:
                 await caller.write(b"GET /-/rea")
@@ -79,7 +79,7 @@
 
 def test_a_caller_that_is_too_slow_times_out(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w) as port:
+        async with world(tmp_path) as system, opened(system) as port:
             caller = await connect(port)
             await caller.write(b"GET /-/ready HTTP/1.1\r\n")
             assert (await caller.read()).status == 408
@@ -95,24 +95,24 @@
 
 def test_a_drain_serves_on_and_closes_and_a_resume_ends_it(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w) as port:
-            idle, asking = await w.client(), await w.ask(post())
-            got = await w.request()
-            assert await health(w) == 200
+        async with world(tmp_path) as system, opened(system) as port:
+            idle, asking = await system.client(), await system.ask(post())
+            got = await system.request()
+            assert await health(system) == 200
             for _ in range(2):
                 assert await call(port, "POST /-/drain") == 200
-            assert await health(w) == 503
+            assert await health(system) == 503
             await got.answer()
             answer = await asking.read()
             assert (answer.status, answer.headers["connection"]) == (200, "close")
-            late = await w.ask(post(Request_Id="late"))  # the front has not noticed yet
-            await (await w.request()).answer()
+            late = await system.ask(post(Request_Id="late"))  # the front has not noticed yet
+            await (await system.request()).answer()
             assert (await late.read()).status == 200
             await idle.ended()
             assert await call(port, "POST /-/resume") == 200
-            assert await health(w) == 200
-            kept = await w.ask(post(Request_Id="kept"))
-            await (await w.request()).answer()
+            assert await health(system) == 200
+            kept = await system.ask(post(Request_Id="kept"))
+            await (await system.request()).answer()
             assert "connection" not in (await kept.read()).headers
 
     asyncio.run(run())
@@ -120,10 +120,10 @@
 
 def test_a_request_in_flight_outlasts_the_closing_of_idle_connections(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w) as port:
-            asking = await w.ask(post())
-            got = await w.request()
-            idle = await w.client()
+        async with world(tmp_path) as system, opened(system) as port:
+            asking = await system.ask(post())
+            got = await system.request()
+            idle = await system.client()
             assert await call(port, "POST /-/drain") == 200
             await idle.ended()
             await got.answer()
@@ -134,31 +134,31 @@
 
 def test_resume_does_not_end_a_stop(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w) as port:
+        async with world(tmp_path) as system, opened(system) as port:
             assert await call(port, "POST /-/resume") == 200  # without a drain nothing changes
-            w.server._drain.begin(0.0, final=True)
+            system.server._drain.begin(0.0, final=True)
             assert await call(port, "POST /-/resume") == 200
-            assert await health(w) == 503
+            assert await health(system) == 503
 
     asyncio.run(run())
 
 
 def test_a_disabled_backend_gets_nothing_until_it_is_enabled(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, backends=2) as w, opened(w, str(tmp_path)) as port:
+        async with world(tmp_path, backends=2) as system, opened(system, str(tmp_path)) as port:
             assert await call(port, "POST /-/backends/s9/disable") == 404
             assert await call(port, "POST /-/backends/s0/disable") == 200
             assert await call(port, "POST /-/backends/s0/disable") == 200
             for number in range(8):
-                asking = await w.ask(post(Request_Id=f"r{number}"))
-                await (await w.backends[1].requests.get()).answer()
+                asking = await system.ask(post(Request_Id=f"r{number}"))
+                await (await system.backends[1].requests.get()).answer()
                 assert (await asking.read()).status == 200
-            assert w.backends[0].connections == 0
+            assert system.backends[0].connections == 0
             assert await call(port, "POST /-/backends/s1/disable") == 200
-            assert (await (await w.ask(post())).read()).status == 503  # at once: nobody is left
+            assert (await (await system.ask(post())).read()).status == 503  # at once: nobody is left
             assert await call(port, "POST /-/backends/s0/enable") == 200
-            asking = await w.ask(post())
-            await (await w.backends[0].requests.get()).answer()
+            asking = await system.ask(post())
+            await (await system.backends[0].requests.get()).answer()
             assert (await asking.read()).status == 200
 
     asyncio.run(run())
@@ -166,13 +166,13 @@
 
 def test_an_attempt_that_connects_is_not_sent_to_a_backend_disabled_meanwhile(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w) as port:
-            asking = await w.ask(post())
-            got = await w.request()
+        async with world(tmp_path) as system, opened(system) as port:
+            asking = await system.ask(post())
+            got = await system.request()
             assert await call(port, "POST /-/backends/s0/disable") == 200
             got.peer.reset()  # may have run: a repeat would be allowed, were there anybody
             assert (await asking.read()).status in (502, 503)
-            assert w.nothing_sent()
+            assert system.nothing_sent()
 
     asyncio.run(run())
 
@@ -180,7 +180,7 @@
 def test_a_call_to_one_process_applies_to_the_other_and_to_a_later_one(tmp_path: Path) -> None:
     async def run() -> None:
         folder = str(tmp_path)
-        async with world(tmp_path) as w, opened(w, folder) as port, world(tmp_path) as other:
+        async with world(tmp_path) as system, opened(system, folder) as port, world(tmp_path) as other:
             async with opened(other, folder):
                 assert await call(port, "POST /-/backends/s0/disable") == 200
                 assert await call(port, "POST /-/drain") == 200
@@ -191,17 +191,17 @@
                 assert later.server.is_draining
                 assert (await (await later.ask(post())).read()).status == 503
             assert await call(port, "POST /-/resume") == 200
-            assert not w.server.is_draining
+            assert not system.server.is_draining
 
     asyncio.run(run())
 
 
 def test_a_call_whose_change_cannot_be_kept_is_rejected(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w, opened(w, str(tmp_path / "missing")) as port:
+        async with world(tmp_path) as system, opened(system, str(tmp_path / "missing")) as port:
             assert await call(port, "POST /-/backends/s0/disable") == 503
-            asking = await w.ask(post())
-            await (await w.request()).answer()
+            asking = await system.ask(post())
+            await (await system.request()).answer()
             assert (await asking.read()).status == 200
 
     asyncio.run(run())
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -96,7 +96,7 @@
             await answers.get()
         enough.set()
         await asyncio.gather(*asking)
-        assert not [w for c in clients for w in c.wrong]
+        assert not [system for c in clients for system in c.wrong]
         assert len(seen) == len(set(seen)) == sum(c.served for c in clients)
         assert sum(c.crossed for c in clients) <= 2
         assert banned.requests.empty() and not banned.connections
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -165,18 +165,18 @@
     """Twenty seconds of cut, with counts on both sides all the while; two after it all agents count the same."""
     n, second = 24, 1_000_000
     for seed in range(4):
-        w = World(n, seed=seed, make=make)
-        w.run(5 * second)
+        world = World(n, seed=seed, make=make)
+        world.run(5 * second)
         side = frozenset(range(n // 2))
-        w.links.rules = [Rule(w.now, w.now + 20 * second, side, frozenset(range(n)) - side, cut=True)]
+        world.links.rules = [Rule(world.now, world.now + 20 * second, side, frozenset(range(n)) - side, cut=True)]
         for _ in range(20):
-            for p in w.running():
+            for p in world.running():
                 p.fleet.counts.count(REQUESTS, 0, p.number % 2)
-            w.run(w.now + second)
-        before = {k: v[0] for k, v in w.sent.items()}
-        w.run(w.now + 2 * second)
-        assert {p.fleet.counts.total()[REQUESTS] for p in w.running()} == {20 * n}
-        assert all(w.sent[k][0] - before[k] < 100 for k in before)  # and finding each other again is no storm
+            world.run(world.now + second)
+        before = {k: v[0] for k, v in world.sent.items()}
+        world.run(world.now + 2 * second)
+        assert {p.fleet.counts.total()[REQUESTS] for p in world.running()} == {20 * n}
+        assert all(world.sent[k][0] - before[k] < 100 for k in before)  # and finding each other again is no storm
 
 
 def test_counts_are_exact_two_seconds_after_a_partition_heals() -> None:
--- a/tests/peers/test_escrow.py
+++ b/tests/peers/test_escrow.py
@@ -341,21 +341,21 @@
 def killed_while_it_grants() -> None:
     """A fleet in virtual time: each lender dies as soon as it has lent, and comes back at once."""
     n = 6
-    w = World(n, seed=3)
-    w.run(5 * LEASE)
-    for p in w.running():
+    world = World(n, seed=3)
+    world.run(5 * LEASE)
+    for p in world.running():
         p.fleet.set_need(0, float(n) if p.number == 0 else 0.0)
 
     def watch() -> None:
-        assert w.spendable(0) <= n * SHARE_UNITS
+        assert world.spendable(0) <= n * SHARE_UNITS
 
-    w.watch = watch
+    world.watch = watch
     died = 0
     for _ in range(400):
-        w.run(w.now + LEASE // 50)
-        for p in w.running():
-            if p.number and p.fleet.escrows[0].lent(p.clock(w.now)):
-                w.restart(p.number).fleet.set_need(0, 0.0)
+        world.run(world.now + LEASE // 50)
+        for p in world.running():
+            if p.number and p.fleet.escrows[0].lent(p.clock(world.now)):
+                world.restart(p.number).fleet.set_need(0, 0.0)
                 died += 1
     assert died >= 5
 
--- a/tests/test_admission_storm.py
+++ b/tests/test_admission_storm.py
@@ -90,17 +90,17 @@
 
 def test_a_known_client_gets_in_while_all_strangers_have_requests_in_hand(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, backends=4, budget=TWENTY, admission=LISTED) as w:  # four: nine may go out
+        async with world(tmp_path, backends=4, budget=TWENTY, admission=LISTED) as system:  # four: nine may go out
             held = []
             for source in strangers(20):
-                sock = await connect(w.port, source)
+                sock = await connect(system.port, source)
                 await send(sock, request(UNSAFE))
                 held.append(sock)
             refused = [asyncio.create_task(answer(s)) for s in held]
-            taken = [await w.request() for _ in range(8)]
-            assert w.server.admission.connections.count(ConnectionState.IN_FLIGHT) == 8
-            client = await w.ask(post(Request_Id="known"), KNOWN)
-            await (got := await w.request()).answer()
+            taken = [await system.request() for _ in range(8)]
+            assert system.server.admission.connections.count(ConnectionState.IN_FLIGHT) == 8
+            client = await system.ask(post(Request_Id="known"), KNOWN)
+            await (got := await system.request()).answer()
             assert got.headers["request-id"] == "known" and (await client.read()).status == 200
             # What was taken of the strangers is answered, too; the others were told of their refusal.
             for message in taken:
@@ -115,18 +115,18 @@
 
 def test_half_open_heads_make_way_for_a_known_client_alone(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, budget=TWENTY, times=NEVER, admission=LISTED) as w:
-            table = w.server.admission.connections
-            slow = [await connect(w.port, s) for s in strangers(30)]
+        async with world(tmp_path, budget=TWENTY, times=NEVER, admission=LISTED) as system:
+            table = system.server.admission.connections
+            slow = [await connect(system.port, s) for s in strangers(30)]
             for byte in (b"P", b"O", b"S"):
                 for sock in slow:
                     await send(sock, byte)
             while table.count(ConnectionState.READING) < 8:
                 await asyncio.sleep(0)
-            assert await visit(w.port, strangers(1)[0]) in ("503", "closed")
-            clients = [await w.ask(post(Request_Id=f"k{i}"), KNOWN) for i in range(5)]
+            assert await visit(system.port, strangers(1)[0]) in ("503", "closed")
+            clients = [await system.ask(post(Request_Id=f"k{i}"), KNOWN) for i in range(5)]
             for _ in clients:
-                await (await w.request()).answer()
+                await (await system.request()).answer()
             assert [(await c.read()).status for c in clients] == [200] * 5
             assert table.count(ConnectionState.READING) == 5  # two were let in by the reserve
             for sock in slow:
@@ -137,36 +137,36 @@
 
 def test_a_refusal_says_when_to_come_back_and_that_it_is_one(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, budget=shared(8, refusing=2), admission=ONE_EACH) as w:
-            held = await w.ask(post())
-            got = await w.request()
+        async with world(tmp_path, budget=shared(8, refusing=2), admission=ONE_EACH) as system:
+            held = await system.ask(post())
+            got = await system.request()
             advice = set()
             for _ in range(8):
-                other = await w.client()  # its request comes after it was refused
+                other = await system.client()  # its request comes after it was refused
                 await other.write(post(Request_Id="9b20"))
                 refusal = await other.read()
                 assert refusal.status == 503 and refusal.headers["connection"] == "close"
                 advice.add(float(refusal.headers["retry-after"]))
                 await other.ended()
             assert len(advice) > 4 and all(0.25 <= a <= 1.0 for a in advice)
-            silent = await w.client()
+            silent = await system.client()
             await silent.ended()
             await got.answer()
             assert (await held.read()).status == 200
-            assert w.agent._requests_accepted == 1
+            assert system.agent._requests_accepted == 1
 
     asyncio.run(run())
 
 
 def test_a_refused_storm_holds_few_descriptors(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, budget=shared(8, refusing=3), admission=ONE_EACH) as w:
-            held = await w.ask(post())
-            got = await w.request()
-            others = [await w.client() for _ in range(40)]
+        async with world(tmp_path, budget=shared(8, refusing=3), admission=ONE_EACH) as system:
+            held = await system.ask(post())
+            got = await system.request()
+            others = [await system.client() for _ in range(40)]
             for other in others[:-3]:
                 await other.ended()
-            assert len(w.server.refused) <= 3
+            assert len(system.server.refused) <= 3
             await got.answer()
             assert (await held.read()).status == 200
 
@@ -278,15 +278,15 @@
     async def run() -> None:
         try:
             context = world(tmp_path, host="::", admission=ONE_EACH)
-            w = await context.__aenter__()
+            system = await context.__aenter__()
         except OSError as e:
             pytest.skip(f"no IPv6 here: {e}")
         try:
-            held = await w.ask(post())
-            got = await w.request()
-            (record,) = w.server.connections
+            held = await system.ask(post())
+            got = await system.request()
+            (record,) = system.server.connections
             assert record.address.identity == "127.0.0.1"
-            assert await visit(w.port, "127.0.0.1") == "503"
+            assert await visit(system.port, "127.0.0.1") == "503"
             await got.answer()
             assert (await held.read()).status == 200
         finally:
@@ -299,11 +299,11 @@
     # r9d2941: clients asked once and held on to 128 connections, all that they may hold; four of five
     # requests never arrived.
     async def run() -> None:
-        async with world(tmp_path, admission=AdmissionSettings(keep_alive=2)) as w:
+        async with world(tmp_path, admission=AdmissionSettings(keep_alive=2)) as system:
             answers = []
             for i in range(4):
-                client = await w.ask(post(Request_Id=f"r{i}"))
-                await (await w.request()).answer()
+                client = await system.ask(post(Request_Id=f"r{i}"))
+                await (await system.request()).answer()
                 answers.append(await client.read())
             assert [a.headers.get("connection") for a in answers] == [None, None, "close", "close"]
 
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -90,24 +90,24 @@
     request, status = BAD[name]
 
     async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(request)
+        async with world(tmp_path) as system:
+            client = await system.ask(request)
             assert (await client.read()).status == status
-            assert not w.agent._in_flight and not w.agent._requests_accepted
+            assert not system.agent._in_flight and not system.agent._requests_accepted
             # And the next one is served.
-            client = await w.ask(post(body=b"x" * 65_536))
-            await (await w.request()).answer()
+            client = await system.ask(post(body=b"x" * 65_536))
+            await (await system.request()).answer()
             assert (await client.read()).status == 200
-            assert w.nothing_sent()
+            assert system.nothing_sent()
 
     asyncio.run(run())
 
 
 def test_health_answers_while_serving(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w:
+        async with world(tmp_path) as system:
             for _ in range(2):
-                client = await w.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
+                client = await system.ask(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
                 assert (await client.read()).status == 200
 
     asyncio.run(run())
@@ -115,33 +115,33 @@
 
 def test_what_is_sent_ahead_is_turned_away_behind_the_answer_in_hand(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w:
-            client = await w.ask(post())
-            got = await w.request()
+        async with world(tmp_path) as system:
+            client = await system.ask(post())
+            got = await system.request()
             client.writer.write(post(Request_Id="9b20") + b"x" * 8_000_000)
-            (connection,) = w.server.connections.values()
+            (connection,) = system.server.connections.values()
             while not connection.discarding:
                 await asyncio.sleep(0)
             await got.answer()
             assert (await client.read()).status == 200
             assert (await client.read()).status == 400
-            assert w.agent._requests_accepted == 1 and w.nothing_sent()
+            assert system.agent._requests_accepted == 1 and system.nothing_sent()
 
     asyncio.run(run())
 
 
 def test_an_open_id_is_turned_away_elsewhere_and_its_owner_keeps_its_answer(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w:
-            owner = await w.ask(post())
-            got = await w.request()
-            other = await w.ask(post(body=b"other"))
+        async with world(tmp_path) as system:
+            owner = await system.ask(post())
+            got = await system.request()
+            other = await system.ask(post(body=b"other"))
             assert (await other.read()).status == 409
             await got.answer(200, b"owner's")
             assert (await owner.read()).body == b"owner's"
-            assert w.agent._requests_accepted == 1 and w.nothing_sent()
+            assert system.agent._requests_accepted == 1 and system.nothing_sent()
             await other.write(post())  # the id is free again
-            await (await w.request()).answer()
+            await (await system.request()).answer()
             assert (await other.read()).status == 200
 
     asyncio.run(run())
@@ -149,12 +149,12 @@
 
 def test_a_client_that_asks_first_is_told_to_go_on(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path) as w:
+        async with world(tmp_path) as system:
             head, _, body = post(Expect="100-continue").partition(b"\r\n\r\n")
-            client = await w.ask(head + b"\r\n\r\n")
+            client = await system.ask(head + b"\r\n\r\n")
             assert (await client.read()).status == 100
             await client.write(body)
-            await (await w.request()).answer()
+            await (await system.request()).answer()
             assert (await client.read()).status == 200
 
     asyncio.run(run())
@@ -183,29 +183,29 @@
     times = SOON if status is None else replace(SOON, silent_us=HOUR_US)
 
     async def run() -> None:
-        async with world(tmp_path, times=times, sweep_s=0.005) as w:
-            client = await w.ask(begun)
+        async with world(tmp_path, times=times, sweep_s=0.005) as system:
+            client = await system.ask(begun)
             if status is not None:
                 assert (await client.read()).status == status
             await client.ended()
-            assert not w.agent._requests_accepted
+            assert not system.agent._requests_accepted
 
     asyncio.run(run())
 
 
 def test_a_request_in_hand_and_a_kept_connection_are_not_timed_as_unfinished(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, times=replace(SOON, silent_us=HOUR_US), sweep_s=0.005) as w:
-            client = await w.ask(post())
+        async with world(tmp_path, times=replace(SOON, silent_us=HOUR_US), sweep_s=0.005) as system:
+            client = await system.ask(post())
             for _ in range(2):
-                got = await w.request()
-                await (await w.ask(BEGUN)).ended()  # so long was it looked at
+                got = await system.request()
+                await (await system.ask(BEGUN)).ended()  # so long was it looked at
                 assert not client.told_of_close()
                 await got.answer()
                 assert (await client.read()).status == 200
-                await (await w.ask(BEGUN)).ended()
+                await (await system.ask(BEGUN)).ended()
                 await client.write(post())
-            await (await w.request()).answer()
+            await (await system.request()).answer()
 
     asyncio.run(run())
 
@@ -217,10 +217,10 @@
 
 def test_beyond_the_limit_the_longest_idle_connection_makes_way(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, budget=shared(3), times=SOON, sweep_s=60.0) as w:  # two of clients
-            first, second = await w.client(), await w.client()
+        async with world(tmp_path, budget=shared(3), times=SOON, sweep_s=60.0) as system:  # two of clients
+            first, second = await system.client(), await system.client()
             assert await healthy(second) and await healthy(first)
-            assert await healthy(await w.client())
+            assert await healthy(await system.client())
             await second.ended()
             assert not first.told_of_close()
 
@@ -229,14 +229,14 @@
 
 def test_where_none_can_make_way_the_new_connection_is_closed(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, budget=shared(2)) as w:  # one of clients
-            held = await w.ask(post())
-            got = await w.request()
-            await (await w.client()).ended()
+        async with world(tmp_path, budget=shared(2)) as system:  # one of clients
+            held = await system.ask(post())
+            got = await system.request()
+            await (await system.client()).ended()
             await got.answer()
             assert (await held.read()).status == 200
             # One that was used just now stays, too.
-            await (await w.client()).ended()
+            await (await system.client()).ended()
             assert await healthy(held)
 
     asyncio.run(run())
@@ -244,9 +244,9 @@
 
 def test_one_that_never_said_anything_makes_way_at_once(tmp_path: Path) -> None:
     async def run() -> None:
-        async with world(tmp_path, budget=shared(2)) as w:
-            mute = await w.client()
-            assert await healthy(await w.client())
+        async with world(tmp_path, budget=shared(2)) as system:
+            mute = await system.client()
+            assert await healthy(await system.client())
             await mute.ended()
 
     asyncio.run(run())
