--- a/tests/peers/test_processes.py
+++ b/tests/peers/test_processes.py
@@ -144,7 +144,7 @@
                     told = await r.peers(n)
                 [said] = told["judgements"]
                 assert said["backend"] == "s0" and not said["excluded"]
-                assert [world["member"] for world in said["witnesses"]] == [0]
+                assert [witness["member"] for witness in said["witnesses"]] == [0]
 
     asyncio.run(run())
 
@@ -163,7 +163,7 @@
                         await burst(r.agents[witness])
                     told = await r.peers(n)
                 [said] = told["judgements"]
-                assert said["backend"] == "s0" and {world["member"] for world in said["witnesses"]} == {0, 1, 2}
+                assert said["backend"] == "s0" and {witness["member"] for witness in said["witnesses"]} == {0, 1, 2}
             for n in range(3):
                 await r.kill(n)
             for n in range(3, N):
