--- a/lilacsill/balancing/logic/affinity.py
+++ b/lilacsill/balancing/logic/affinity.py
@@ -12,7 +12,7 @@
 from .records import BackendRecord
 
 BACKENDS_PER_KEY = 3  # the third replaces one of the first two that may not be sampled
-MAX_KEYS = 4096  # keys remembered; any other costs a search of the whole list
+MAX_KEYS = 4096  # keys remembered; any other costs a search of the complete list
 
 
 class AffinityMap:
--- a/lilacsill/balancing/logic/concurrency_window.py
+++ b/lilacsill/balancing/logic/concurrency_window.py
@@ -1,6 +1,7 @@
 """Concurrency window: it bounds attempts in flight while nothing is known about a fleet (slow start, RFC 5681, 3.1).
 
-Without it an agent sent everything in its first second, took the resulting pace for the fleet's, and rejected the rest.
+Without it an agent sent everything in its first second, took the resulting latency for the fleet's, and rejected the
+rest.
 """
 
 from __future__ import annotations
--- a/lilacsill/balancing/logic/membership.py
+++ b/lilacsill/balancing/logic/membership.py
@@ -30,7 +30,7 @@
         self._watch = DiscoveryWatch(context)
 
     def on_backends_changed(self, event: BackendsChanged) -> bool:
-        """Take over an update of the list; return whether it held one, which a failed call does not."""
+        """Take over an update of the list; return False for a failed call, which brings none."""
         if event.kind is ListKind.FAILED:
             self._watch.on_failed()
             return False
--- a/lilacsill/balancing/mechanisms/bands.py
+++ b/lilacsill/balancing/mechanisms/bands.py
@@ -7,7 +7,7 @@
 from random import Random
 
 QUERIES = 8  # parameter k of the Quantile process; docs/design.md has the figures behind it
-ROUNDING = 1e-9  # a rank that is a whole number but for rounding is not rounded up
+ROUNDING = 1e-9  # a rank that is an integer but for rounding is not rounded up
 
 
 @lru_cache(maxsize=4096)
--- a/tests/test_homes.py
+++ b/tests/test_affinity.py
@@ -1,4 +1,4 @@
-"""AffinityMap: two uniform samples by key, the same everywhere, that only those who leave or come move."""
+"""Affinity: two uniform samples by key, the same at every balancer; a change of the list moves few keys."""
 
 from __future__ import annotations
 
