--- a/benchmarks/peers_virtual.py
+++ b/benchmarks/peers_virtual.py
@@ -34,11 +34,11 @@
                 end,
                 some,
                 everybody - some if kind < 2 else everybody,
-                both=kind != 1,
-                cut=kind < 2,
+                bidirectional=kind != 1,
+                partitioned=kind < 2,
                 loss=0.3 if kind == 2 else 0.0,
                 delay_us=(100_000, 600_000) if kind == 2 else (0, 0),
-                twice=0.1,
+                duplicated=0.1,
             )
         )
     for _ in range(6):
@@ -68,7 +68,7 @@
     used: list[float] = []
     for cut in (False, True):
         side = frozenset(range(agents // 2))
-        rule = Rule(w.now, w.now + 60 * SECOND, side, frozenset(range(agents)) - side, cut=True)
+        rule = Rule(w.now, w.now + 60 * SECOND, side, frozenset(range(agents)) - side, partitioned=True)
         w.links.rules = [rule] if cut else []
         needs(w, lambda n: float(agents) if n in (0, agents - 1) else 0.0)
         w.run(w.now + 10 * SECOND)
@@ -91,7 +91,7 @@
         w = World(agents, seed=seed)
         w.run(5 * SECOND)
         side = frozenset(range(agents // 2))
-        w.links.rules = [Rule(w.now, w.now + 20 * SECOND, side, frozenset(range(agents)) - side, cut=True)]
+        w.links.rules = [Rule(w.now, w.now + 20 * SECOND, side, frozenset(range(agents)) - side, partitioned=True)]
         counted = 0
         for _ in range(20):
             for p in w.running():
--- a/lilacsill/emulator/herd.py
+++ b/lilacsill/emulator/herd.py
@@ -17,9 +17,9 @@
 
 from . import agents as by_line
 from .models.faults import AgentFault, LinkFault
-from .models.judge import Away
+from .models.judge import Absence
 from .models.plan import Plan
-from .models.scenario import PLACES
+from .models.scenario import SERVICES
 from .parts import Fleet
 from .processes.rig import Child, Rig, rig
 
@@ -173,7 +173,7 @@
 
 
 async def afflict(
-    herd: Line | Many, faults: list[AgentFault], now: Callable[[], int], length_us: int, away: list[Away]
+    herd: Line | Many, faults: list[AgentFault], now: Callable[[], int], length_us: int, away: list[Absence]
 ) -> None:
     """The faults of all processes at their times; `away` gets when an agent did nothing. Raises RigError."""
     by_agent: dict[int, list[AgentFault]] = {}
@@ -183,7 +183,7 @@
 
 
 async def _afflict(
-    herd: Line | Many, faults: list[AgentFault], now: Callable[[], int], length_us: int, away: list[Away]
+    herd: Line | Many, faults: list[AgentFault], now: Callable[[], int], length_us: int, away: list[Absence]
 ) -> None:
     async def until(at: int) -> None:
         await asyncio.sleep(max(0, at - now()) / 1e6)
@@ -200,7 +200,7 @@
             finally:
                 herd.stand_still(x.agent, False)
             if x.kind == "stall":
-                away.append(Away(x.agent, began, now()))
+                away.append(Absence(x.agent, began, now()))
             continue
         assert isinstance(herd, Many), "faults of processes need the rig"
         if x.kind == "restart":
@@ -209,38 +209,38 @@
             continue
         await herd.kill(x.agent)
         if x.until >= length_us:
-            away.append(Away(x.agent, began, length_us + 2**40))
+            away.append(Absence(x.agent, began, length_us + 2**40))
             return
         await until(x.until)
         await herd.again(x.agent)
-        away.append(Away(x.agent, began, now()))
+        away.append(Absence(x.agent, began, now()))
 
 
-def unseen(links: list[LinkFault]) -> list[Away]:
+def unseen(links: list[LinkFault]) -> list[Absence]:
     """When servers hear nothing from which agent."""
-    return [Away(n, x.start, x.end) for x in links if x.to == "servers" and x.out for n in x.agents]
+    return [Absence(n, x.start, x.end) for x in links if x.to == "servers" and x.outbound for n in x.agents]
 
 
 def relay_rules(links: list[LinkFault], since_now_us: int) -> list[dict[str, Any]]:
     """As the relay takes them; the run began so long ago, or begins in that time if below 0."""
     found = []
     for x in links:
-        if x.to in PLACES:
+        if x.to in SERVICES:
             continue
         ends = (list(x.agents), list(x.to))
-        from_, to = ends if x.out else ends[::-1]
+        from_, to = ends if x.outbound else ends[::-1]
         found.append(
             {
                 "in_s": (x.start - since_now_us) / 1e6,
                 "len_s": (x.end - x.start) / 1e6,
                 "from": from_,
                 "to": to,
-                "both": x.out and x.back,
-                "cut": x.cut,
+                "both": x.outbound and x.inbound,
+                "cut": x.partitioned,
                 "loss": x.loss,
                 "median_ms": x.delay_ms[0],
                 "p99_ms": x.delay_ms[1],
-                "twice": x.twice,
+                "twice": x.duplicated,
             }
         )
     return found
--- a/lilacsill/emulator/models/scenario.py
+++ b/lilacsill/emulator/models/scenario.py
@@ -1,4 +1,8 @@
-"""What a scenario says: fleet, load and a script of troubles. Typed, with the bounds in one place."""
+"""The types of a scenario file: fleet, load and a script of faults, each value with its bounds.
+
+The field names are the keys of the TOML file, except where a field gives its key as `name`. docs/emulator.md explains
+them to operators.
+"""
 
 from __future__ import annotations
 
@@ -17,18 +21,26 @@
 Count = Annotated[int, Meta(ge=1, le=100_000)]
 Range = tuple[Annotated[float, Meta(ge=0)], Annotated[float, Meta(ge=0)]]
 
-SIDES_MOST = 16  # groups of agents with servers' addresses of their own
-OF_AGENTS = ("agent_kill", "agent_stall", "agent_restart", "power_loss")  # each a fault of a process
-OF_LINKS = ("partition", "lossy", "late")
-PLACES = ("servers", "discovery")
+MAX_SERVER_PARTITIONS = 4
+"""Partitions between agents and servers in one scenario; each of them may double the number of sides."""
+MAX_SIDES = 2**MAX_SERVER_PARTITIONS
+"""Groups of agents that reach servers at addresses of their own."""
+AGENT_FAULTS = ("agent_kill", "agent_stall", "agent_restart", "power_loss")
+"""The kinds of faults of an agent's process."""
+LINK_FAULTS = ("partition", "lossy", "late")
+"""The kinds of faults of links."""
+SERVICES = ("servers", "discovery")
+"""What a partition may separate agents from, beside other agents."""
+SHARES_TOLERANCE = 0.01
+"""The shares of all classes, or of all tenants, add up to 1 within this."""
 
 
 class Section(msgspec.Struct, forbid_unknown_fields=True):
-    """A table of the file; an unknown key is an error."""
+    """A table of the file, which allows no unknown keys."""
 
 
 class Fleet(Section):
-    """The job servers, and how discovery tells of them."""
+    """The job servers, and how discovery reports them."""
 
     servers: Annotated[int, Meta(ge=1, le=500)] = 8
     cores: Annotated[int, Meta(ge=1, le=64)] = 1
@@ -43,31 +55,41 @@
     fall_window_s: Annotated[float, Meta(gt=0)] = 3.0
     memory_s: Seconds = 15.0
     report_ms: Millis = 2.0
-    first_request_ms: Annotated[float, Meta(ge=0)] = 0.3  # on a new connection, as a handshake costs
-    connections: Count = 400  # at one server
-    idle_s: Annotated[float, Meta(gt=0)] = 5.0  # then it closes a connection
-    notice_s: Range = (0.5, 2.0)  # until discovery knows of a change
-    lines_per_s: Count = 1200  # that discovery can send in all
+    first_request_ms: Annotated[float, Meta(ge=0)] = 0.3
+    """The additional work of the first request on a connection, as for a handshake."""
+    connections: Count = 400
+    """At one server."""
+    idle_s: Annotated[float, Meta(gt=0)] = 5.0
+    """A server closes a connection that is idle for so long."""
+    notice_s: Range = (0.5, 2.0)
+    """Discovery learns of a change after a time in this range."""
+    lines_per_s: Count = 1200
+    """List entries that discovery can send in all."""
 
 
 class Load(Section):
-    """The clients. The arrivals are an open loop: a late answer does not slow them."""
+    """The clients. Their arrivals are an open loop: a slow answer does not delay the next request."""
 
     agents: Annotated[int, Meta(ge=1, le=1000)] = 2
-    zones: Annotated[int, Meta(ge=1, le=100)] = 1  # of agents, neighbours in number; only troubles name them
-    rate: Annotated[float, Meta(gt=0, le=20_000)] = 200.0  # first tries a second in all
+    zones: Annotated[int, Meta(ge=1, le=100)] = 1
+    """Failure domains of agents, neighbours in number; only scripted faults refer to them."""
+    rate: Annotated[float, Meta(gt=0, le=20_000)] = 200.0
+    """First tries per second of all clients."""
     shape: Literal["steady", "wave", "bursts"] = "steady"
     swing: Share = 0.3
     retries: Annotated[int, Meta(ge=0, le=5)] = 1
     backoff_ms: Range = (20.0, 100.0)
-    honour: Share = 0.7  # of clients wait as Retry-After says
+    honour: Share = 0.7
+    """The share of clients that obey Retry-After."""
     retry_after_max_s: Seconds = 2.0
-    marks_retry: bool = True  # clients mark their retries
-    sockets: Annotated[int, Meta(ge=64, le=65_536)] = 384  # descriptors of an agent
+    marks_retry: bool = True
+    """Clients mark their retries."""
+    sockets: Annotated[int, Meta(ge=64, le=65_536)] = 384
+    """The descriptors of an agent."""
 
 
 class Peers(Section):
-    """Whether agents know of each other, and how; the platform allows it where it is on."""
+    """The agents' membership protocol; the emulated platform permits it where it is enabled."""
 
     enabled: bool = False
     period_ms: Annotated[int, Meta(ge=50, le=60_000)] = 500
@@ -75,7 +97,7 @@
 
 
 class Recovery(Section):
-    """Whether agents keep what they know on a disk that outlives them."""
+    """Whether agents save their state on a disk that outlives their processes."""
 
     enabled: bool = False
     every_ms: Annotated[int, Meta(ge=500, le=60_000)] = 1000
@@ -94,13 +116,17 @@
 
 
 class Tenant(Section):
+    """One tenant and its share of the requests."""
+
     name: Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,64}$")]
     share: Part
 
 
-class Trouble(Section):
-    """Something that goes wrong, from `at_s` on for `len_s`. What the other keys mean depends on the kind; the
-    operators' page has the table."""
+class ScriptedFault(Section):
+    """A fault of the script, from `at_s` on for `len_s`.
+
+    The meaning of the other keys depends on the kind; docs/emulator.md has the table.
+    """
 
     kind: Literal[
         "death",
@@ -125,15 +151,23 @@
     ]
     at_s: Seconds
     len_s: Seconds = 5.0
-    part: Part = 0.25  # of the servers; of the answers for resets and spoilt; of one class for heavy_tail; of datagrams
-    size: Annotated[float, Meta(ge=0)] = 0.0  # 0: the kind's own default
+    part: Part = 0.25
+    """The share of the servers; of the answers (resets, spoilt), of one class (heavy_tail), of datagrams (lossy)."""
+    size: Annotated[float, Meta(ge=0)] = 0.0
+    """0 stands for the default of the kind."""
     every_s: Annotated[float, Meta(gt=0)] = 1.0
-    target: str = ""  # the tenant of a flood, the class of a heavy tail
-    agents: str = "all"  # a group, for the faults of agents and links
-    to: str = "others"  # the other end of a link: a group, `others`, `servers`, `discovery`
-    way: Literal["both", "out", "in"] = "both"  # of a link, as seen from `agents`
-    p99_ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0  # the delay that one datagram in a hundred exceeds
-    twice: Share = 0.0  # of the datagrams come twice
+    target: str = ""
+    """The tenant of a flood, the class of a heavy tail."""
+    agents: str = "all"
+    """A group of agents (`groups.members`), for the faults of agents and links."""
+    to: str = "others"
+    """The other end of a link: a group, `others`, `servers` or `discovery`."""
+    way: Literal["both", "out", "in"] = "both"
+    """The direction of a link fault, as seen from `agents`."""
+    p99_ms: Annotated[float, Meta(ge=0, le=60_000)] = 0.0
+    """The 99th percentile of the delay of a late link."""
+    twice: Share = 0.0
+    """The share of the datagrams that arrive twice."""
 
 
 def _classes() -> list[Class]:
@@ -148,7 +182,7 @@
 
 
 class Scenario(Section):
-    """A whole file."""
+    """A scenario file."""
 
     name: Annotated[str, Meta(pattern="^[A-Za-z0-9._-]{1,64}$")]
     about: str = ""
@@ -160,45 +194,61 @@
     recovery: Recovery = msgspec.field(default_factory=Recovery)
     classes: Annotated[list[Class], Meta(min_length=1)] = msgspec.field(name="class", default_factory=_classes)
     tenants: Annotated[list[Tenant], Meta(min_length=1)] = msgspec.field(name="tenant", default_factory=_tenants)
-    troubles: list[Trouble] = msgspec.field(name="trouble", default_factory=list)
+    faults: list[ScriptedFault] = msgspec.field(name="trouble", default_factory=list)
 
     def __post_init__(self) -> None:
-        for name, shares in (("class", [c.share for c in self.classes]), ("tenant", [t.share for t in self.tenants])):
-            if abs(sum(shares) - 1.0) > 0.01:
-                raise ValueError(f"the shares of all [[{name}]] must add up to 1, not {sum(shares):.3f}")
-        for trouble in self.troubles:
-            names = {"flood": [t.name for t in self.tenants], "heavy_tail": [c.name for c in self.classes]}
-            if trouble.kind in names and trouble.target not in names[trouble.kind]:
+        self._check_shares("class", [request_class.share for request_class in self.classes])
+        self._check_shares("tenant", [tenant.share for tenant in self.tenants])
+        for fault in self.faults:
+            self._check_target(fault)
+            self._check_groups(fault)
+            if fault.kind == "late" and fault.p99_ms and fault.p99_ms < fault.size:
+                raise ValueError(f"[[trouble]] late p99_ms: {fault.p99_ms:g} is below size, the median, {fault.size:g}")
+            if fault.at_s > self.length_s:
                 raise ValueError(
-                    f"[[trouble]] {trouble.kind} target: {trouble.target!r} is none of {', '.join(names[trouble.kind])}"
+                    f"[[trouble]] {fault.kind} at_s: {fault.at_s} is after the end, length_s = {self.length_s}"
                 )
-            self._check_group(trouble)
-            if trouble.at_s > self.length_s:
-                raise ValueError(
-                    f"[[trouble]] {trouble.kind} at_s: {trouble.at_s} is after the end, length_s = {self.length_s}"
-                )
-        if sum(t.kind == "partition" and t.to == "servers" for t in self.troubles) > 4:  # 2 ** 4 sides
+        partitions = sum(fault.kind == "partition" and fault.to == "servers" for fault in self.faults)
+        if partitions > MAX_SERVER_PARTITIONS:
             raise ValueError(
-                f"[[trouble]] partition to: more than 4 that cut agents off from servers make more than "
-                f"{SIDES_MOST} sides"
+                f"[[trouble]] partition to: more than {MAX_SERVER_PARTITIONS} that cut agents off from servers make "
+                f"more than {MAX_SIDES} sides"
             )
 
-    def _check_group(self, t: Trouble) -> None:
-        """What is wrong with a group is known before a run."""
-        key, load = "agents", self.load
+    def _check_shares(self, name: str, shares: list[float]) -> None:
+        if abs(sum(shares) - 1.0) > SHARES_TOLERANCE:
+            raise ValueError(f"the shares of all [[{name}]] must add up to 1, not {sum(shares):.3f}")
+
+    def _check_target(self, fault: ScriptedFault) -> None:
+        if fault.kind == "flood":
+            targets = [tenant.name for tenant in self.tenants]
+        elif fault.kind == "heavy_tail":
+            targets = [request_class.name for request_class in self.classes]
+        else:
+            return
+        if fault.target not in targets:
+            raise ValueError(f"[[trouble]] {fault.kind} target: {fault.target!r} is none of {', '.join(targets)}")
+
+    def _check_groups(self, fault: ScriptedFault) -> None:
+        """Reject a group that names no agents, before a run draws from it."""
+        load = self.load
+        try:
+            agents = members(fault.agents, load.agents, load.zones, Random(0))
+        except GroupError as error:
+            raise ValueError(f"[[trouble]] {fault.kind} agents: {error}") from None
+        if fault.kind not in LINK_FAULTS:
+            return
         try:
-            some = members(t.agents, load.agents, load.zones, Random(0))
-            if t.kind not in OF_LINKS:
-                return
-            key = "to"
-            if t.to in PLACES:
-                if t.kind != "partition":
-                    raise GroupError(f"{t.to!r}: only a partition may name it; `{t.kind}` is between agents")
-            elif t.to != "others":
-                members(t.to, load.agents, load.zones, Random(0))
-            elif len(some) == load.agents and t.kind == "partition":
-                raise GroupError("`agents` are all, and nobody is left on the other side")
-        except GroupError as e:
-            raise ValueError(f"[[trouble]] {t.kind} {key}: {e}") from None
-        if t.kind == "late" and t.p99_ms and t.p99_ms < t.size:
-            raise ValueError(f"[[trouble]] late p99_ms: {t.p99_ms:g} is below size, the median, {t.size:g}")
+            self._check_destination(fault, len(agents))
+        except GroupError as error:
+            raise ValueError(f"[[trouble]] {fault.kind} to: {error}") from None
+
+    def _check_destination(self, fault: ScriptedFault, agents: int) -> None:
+        load = self.load
+        if fault.to in SERVICES:
+            if fault.kind != "partition":
+                raise GroupError(f"{fault.to!r}: only a partition may name it; `{fault.kind}` is between agents")
+        elif fault.to != "others":
+            members(fault.to, load.agents, load.zones, Random(0))
+        elif agents == load.agents and fault.kind == "partition":
+            raise GroupError("`agents` are all, and nobody is left on the other side")
--- a/lilacsill/emulator/models/stories.py
+++ b/lilacsill/emulator/models/stories.py
@@ -1,23 +1,29 @@
-"""What agents told each other, joined over all of them: each entry carries the id of what began its story.
+"""Join the records that agents wrote of what they told each other, by the event that caused them.
 
-A record is one line of JSON as `[peers] records` has it: `event`, `at_unix_us`, `agent`, `cause` ("3.17": begun by
-agent 3 as its 17th) and what belongs to its kind. Wall clocks put the entries of a story in order; between hosts that
-order is as good as they are.
+A record is one line of JSON, as `[peers] records` writes it: `event`, `at_unix_us`, `agent`, `cause` ("3.17": caused by
+the 17th event of agent 3) and the fields of its kind. Wall clocks order the entries of a story; between hosts that
+order is as good as the clocks are.
 """
 
 from __future__ import annotations
 
 import json
-from collections.abc import Iterable
+from collections import defaultdict
+from collections.abc import Iterable, Sequence
 from dataclasses import dataclass, field
 from typing import Any
 
-OWN = {"event", "at_unix_us", "agent", "cause", "name", "life"}
+COMMON_KEYS = {"event", "at_unix_us", "agent", "cause", "name", "life"}
+"""Keys of every record; the others are the facts of its kind."""
+NO_CAUSE = ".0"
+"""A cause that ends in this belongs to no story."""
 
 
 @dataclass(slots=True, frozen=True)
 class Entry:
-    at: int  # microseconds of Unix time
+    """One record."""
+
+    at_unix_us: int
     agent: int
     kind: str
     facts: dict[str, Any]
@@ -25,33 +31,41 @@
 
 @dataclass(slots=True)
 class Story:
-    """All that came of one thing that one agent saw or did, earliest first."""
+    """All that followed from one event of one agent, the earliest entry first."""
 
     cause: str
     entries: list[Entry] = field(default_factory=list)
 
     @property
     def agents(self) -> set[int]:
-        return {e.agent for e in self.entries}
+        """The agents that wrote an entry."""
+        return {entry.agent for entry in self.entries}
+
+    @property
+    def began_unix_us(self) -> int:
+        """The time of the earliest entry."""
+        return self.entries[0].at_unix_us
 
 
 def read(lines: Iterable[str], name: str) -> list[tuple[str, Entry]]:
-    """Each entry with its cause. A last line that was cut off is left out; raises ValueError, naming file and line, for
-    any other that is no record."""
+    """Parse the records of one file into pairs of cause and entry.
+
+    A last line that was cut off is left out.
+
+    Args:
+        lines: The file's lines.
+        name: The file's name, for the error.
+
+    Raises:
+        ValueError: Another line is no record; the message names file and line.
+    """
     found: list[tuple[str, Entry]] = []
     bad = 0
     for number, line in enumerate(lines, 1):
         if bad:
             raise ValueError(f"{name}: line {bad}: not a record of [peers]")
         try:
-            doc = json.loads(line)
-            entry = Entry(
-                int(doc["at_unix_us"]),
-                int(doc["agent"]),
-                str(doc["event"]),
-                {k: v for k, v in doc.items() if k not in OWN},
-            )
-            found.append((str(doc["cause"]), entry))
+            found.append(_parse(line))
         except (ValueError, KeyError, TypeError):
             bad = number
     if bad and (not found or bad == 1):
@@ -59,48 +73,70 @@
     return found
 
 
+def _parse(line: str) -> tuple[str, Entry]:
+    record = json.loads(line)
+    facts = {key: value for key, value in record.items() if key not in COMMON_KEYS}
+    entry = Entry(int(record["at_unix_us"]), int(record["agent"]), str(record["event"]), facts)
+    return str(record["cause"]), entry
+
+
 def join(entries: Iterable[tuple[str, Entry]]) -> list[Story]:
-    """By their beginning."""
+    """Group entries into stories, in the order of their beginnings."""
     stories: dict[str, Story] = {}
     for cause, entry in entries:
-        if not cause.endswith(".0"):  # belongs to nobody's story
+        if not cause.endswith(NO_CAUSE):
             stories.setdefault(cause, Story(cause)).entries.append(entry)
     for story in stories.values():
-        story.entries.sort(key=lambda e: (e.at, e.agent))
-    return sorted(stories.values(), key=lambda s: s.entries[0].at)
+        story.entries.sort(key=lambda entry: (entry.at_unix_us, entry.agent))
+    return sorted(stories.values(), key=lambda story: story.began_unix_us)
 
 
-def rows(stories: list[Story]) -> list[dict[str, Any]]:
+def rows(stories: Iterable[Story]) -> list[dict[str, Any]]:
+    """Return the stories as `fleet --json` prints them."""
     return [
         {
-            "cause": s.cause,
-            "began_unix_us": s.entries[0].at,
-            "agents": sorted(s.agents),
+            "cause": story.cause,
+            "began_unix_us": story.began_unix_us,
+            "agents": sorted(story.agents),
             "entries": [
-                {"after_us": e.at - s.entries[0].at, "agent": e.agent, "event": e.kind, **e.facts} for e in s.entries
+                {
+                    "after_us": entry.at_unix_us - story.began_unix_us,
+                    "agent": entry.agent,
+                    "event": entry.kind,
+                    **entry.facts,
+                }
+                for entry in story.entries
             ],
         }
-        for s in stories
+        for story in stories
     ]
 
 
-def table(stories: list[Story], top: int) -> str:
-    """The stories that most agents have a part in, by their beginning; what many did alike is one line."""
-    widest = sorted(stories, key=lambda s: -len(s.agents))[:top]
-    out = [f"{len(stories)} stories; the {len(widest)} that most agents have a part in, by their beginning"]
-    began = min((s.entries[0].at for s in widest), default=0)
-    for story in sorted(widest, key=lambda s: s.entries[0].at):
-        first = story.entries[0]
-        out.append(f"\nstory {story.cause}, {(first.at - began) / 1e6:.3f} s, {len(story.agents)} agents")
-        kinds: dict[tuple[str, str], list[Entry]] = {}
-        for e in story.entries:
-            kinds.setdefault((e.kind, ", ".join(f"{k} {v}" for k, v in e.facts.items())), []).append(e)
-        for (kind, facts), made in kinds.items():
-            after = (made[0].at - first.at) / 1e6
-            who = (
-                f"agent {made[0].agent}"
-                if len(made) == 1
-                else (f"{len(made)} agents, the last, {made[-1].agent}, at +{(made[-1].at - first.at) / 1e6:.3f} s")
-            )
-            out.append(f"  +{after:8.3f} s  {kind:<12} {facts}; {who}")
-    return "\n".join(out)
+def table(stories: Sequence[Story], top: int) -> str:
+    """Format the `top` stories with the largest number of agents for people; equal entries share one line."""
+    widest = sorted(stories, key=lambda story: -len(story.agents))[:top]
+    lines = [f"{len(stories)} stories; the {len(widest)} that most agents have a part in, by their beginning"]
+    began = min((story.began_unix_us for story in widest), default=0)
+    for story in sorted(widest, key=lambda story: story.began_unix_us):
+        after_s = (story.began_unix_us - began) / 1e6
+        lines.append(f"\nstory {story.cause}, {after_s:.3f} s, {len(story.agents)} agents")
+        lines += _entry_lines(story)
+    return "\n".join(lines)
+
+
+def _entry_lines(story: Story) -> list[str]:
+    alike: defaultdict[tuple[str, str], list[Entry]] = defaultdict(list)
+    for entry in story.entries:
+        facts = ", ".join(f"{key} {value}" for key, value in entry.facts.items())
+        alike[entry.kind, facts].append(entry)
+    lines = []
+    for (kind, facts), entries in alike.items():
+        first, last = entries[0], entries[-1]
+        after_s = (first.at_unix_us - story.began_unix_us) / 1e6
+        if len(entries) == 1:
+            agents = f"agent {first.agent}"
+        else:
+            last_s = (last.at_unix_us - story.began_unix_us) / 1e6
+            agents = f"{len(entries)} agents, the last, {last.agent}, at +{last_s:.3f} s"
+        lines.append(f"  +{after_s:8.3f} s  {kind:<12} {facts}; {agents}")
+    return lines
--- a/lilacsill/emulator/parts.py
+++ b/lilacsill/emulator/parts.py
@@ -8,7 +8,9 @@
 from math import ceil
 from typing import Any
 
-from .models.judge import RequestBook
+import msgspec
+
+from .models.judge import RequestRecord
 from .models.plan import Plan
 from .processes.pipe import Pipe
 from .sockets.clients import Outcome
@@ -107,7 +109,7 @@
 
     plan: Plan
     parts: list[Pipe]
-    books: list[RequestBook]
+    books: list[RequestRecord]
     outcomes: list[Outcome]
     late_us: list[int]
     opened: int = 0
@@ -132,9 +134,7 @@
         self.outcomes.sort(key=lambda o: o.number)
 
     def _take(self, told: dict[str, Any]) -> None:
-        self.books += [
-            RequestBook(**{**b, "answers": [(at, status) for at, status in b["answers"]]}) for b in told["books"]
-        ]
+        self.books += msgspec.convert(told["books"], list[RequestRecord])
         self.outcomes += [Outcome(row[0], self.plan.arrivals[row[0]], *row[1:]) for row in told["outcomes"]]
         self.late_us += told["late_us"]
         self.opened += told["opened"]
--- a/lilacsill/emulator/processes/relay.py
+++ b/lilacsill/emulator/processes/relay.py
@@ -93,7 +93,7 @@
                     self._deliver(by, to, data)
 
     def _deliver(self, by: int, to: int, data: bytes) -> None:
-        if self.links.cut(now(), by, to):
+        if self.links.is_partitioned(now(), by, to):
             return  # it was on its way when the link was cut
         with suppress(OSError):
             self._sockets[by].sendto(data, self.listens[to])
--- a/lilacsill/emulator/result.py
+++ b/lilacsill/emulator/result.py
@@ -7,7 +7,7 @@
 from dataclasses import asdict, dataclass, field
 from typing import Any
 
-from .models.judge import Books, Breach
+from .models.judge import RunRecords, Breach
 from .models.plan import Plan
 from .sockets.clients import Outcome
 
@@ -52,7 +52,12 @@
 
 
 def summarize(
-    plan: Plan, outcomes: list[Outcome], books: Books, breaches: list[Breach], machine: dict[str, Any], void: list[str]
+    plan: Plan,
+    outcomes: list[Outcome],
+    books: RunRecords,
+    breaches: list[Breach],
+    machine: dict[str, Any],
+    void: list[str],
 ) -> Result:
     s = plan.scenario
     worth = [c.worth for c in s.classes]
@@ -126,13 +131,13 @@
     return found
 
 
-def _load(plan: Plan, books: Books) -> dict[str, list[int]]:
+def _load(plan: Plan, books: RunRecords) -> dict[str, list[int]]:
     buckets = plan.length_us // BUCKET_US + 1
     names = {f"{x.id}#{i}": f"{x.machine}" for i, x in enumerate(plan.incarnations)}
     found: dict[str, list[int]] = {str(m): [0] * buckets for m in range(plan.scenario.fleet.servers)}
     for a in books.attempts:
-        if 0 <= a.came <= plan.length_us:
-            found[names[a.server]][a.came // BUCKET_US] += 1
+        if 0 <= a.received <= plan.length_us:
+            found[names[a.server]][a.received // BUCKET_US] += 1
     return found
 
 
--- a/lilacsill/emulator/run.py
+++ b/lilacsill/emulator/run.py
@@ -12,10 +12,12 @@
 from pathlib import Path
 from typing import Any
 
+import msgspec
+
 from . import agents as agents_
 from . import herd as herds
-from .models.faults import cuts
-from .models.judge import AskBook, AttemptBook, Away, Books, Limits, TellingBook, judge
+from .models.faults import partitions_from
+from .models.judge import PollRecord, AttemptRecord, Absence, RunRecords, Limits, NotificationRecord, judge
 from .models.plan import Plan, make_plan
 from .models.scenario import Scenario
 from .parts import Crowd, Fleet, RunError, server_parts, start_crowd, start_fleet
@@ -108,7 +110,7 @@
     crowd.begin(herd.addresses(), t0)
     if isinstance(herd, herds.Many):
         await herd.rig.rules(herds.relay_rules(plan.link_faults, now()))
-    away: list[Away] = []
+    away: list[Absence] = []
 
     def tell(sent: int, served: int) -> None:
         progress(f"{now() / 1e6:5.1f} of {plan.scenario.length_s:.0f} s: {sent} sent, {served} served in time")
@@ -127,18 +129,19 @@
         (record / BOOK).write_text(
             json.dumps({"t0_unix_us": time.time_ns() // 1000 - now(), "attempts": raw["attempts"]})
         )
-    books = Books(
-        [AttemptBook(**a) for a in raw["attempts"]],
+    books = RunRecords(
+        msgspec.convert(raw["attempts"], list[AttemptRecord]),
         crowd.books,
-        [TellingBook(**t) for t in raw["tellings"]],
-        [AskBook(**a) for a in raw["asks"]],
+        msgspec.convert(raw["notifications"], list[NotificationRecord]),
+        msgspec.convert(raw["polls"], list[PollRecord]),
         plan.leaving(),
         [(at, who) for at, who in raw["fallen"]],
         away,
         herds.unseen(plan.link_faults),
     )
-    # Who is cut off from discovery cannot be seen to ask.
-    books.asks += [AskBook(n, x.start, x.end) for x in cuts(plan.link_faults, "discovery") for n in x.agents]
+    # Polls from behind a partition cannot be seen.
+    for fault in partitions_from("discovery", plan.link_faults):
+        books.polls += [PollRecord(agent, fault.start, fault.end) for agent in fault.agents]
     breaches = judge(books, Limits(memory_us=plan.spec.memory_us))
     void = _void(raw, crowd.late_us, ended)
     return summarize(
--- a/lilacsill/emulator/sockets/catalog.py
+++ b/lilacsill/emulator/sockets/catalog.py
@@ -10,7 +10,7 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from ..models.judge import AskBook, TellingBook
+from ..models.judge import PollRecord, NotificationRecord
 from ..models.plan import Notice, Plan
 from .listener import Listener, Wire
 
@@ -28,11 +28,11 @@
         ports: dict[tuple[int, int, int], int],
         now: Callable[[], int],
         unix_ms: int,
-        tellings: list[TellingBook],
+        notifications: list[NotificationRecord],
     ) -> None:
         self.plan, self.now, self._ports, self._unix_ms = plan, now, ports, unix_ms
-        self.tellings = tellings
-        self.asks: list[AskBook] = []
+        self.notifications = notifications
+        self.polls: list[PollRecord] = []
         self._free = 0  # when the next call can be worked on
         self._changed = asyncio.Condition()
         self.revision = 0
@@ -100,7 +100,7 @@
         for n in self.plan.notices[since or 0 : revision]:
             if n.phase != "SERVING":
                 x = self.plan.incarnations[n.incarnation]
-                self.tellings.append(TellingBook(agent, f"{x.id}#{n.incarnation}", self.now()))
+                self.notifications.append(NotificationRecord(agent, f"{x.id}#{n.incarnation}", self.now()))
 
     def _entry(self, n: Notice, side: int) -> dict[str, Any]:
         x = self.plan.incarnations[n.incarnation]
@@ -136,7 +136,7 @@
         super().connection_made(transport)
         if self._catalog.down():
             now = self._catalog.now()
-            self._catalog.asks.append(AskBook(self._agent, now, now))  # it has tried
+            self._catalog.polls.append(PollRecord(self._agent, now, now))  # it has tried
             self.end()
             return
         self._catalog.links.add(self)
@@ -163,8 +163,8 @@
         self._task = asyncio.get_running_loop().create_task(self._answer(self._url.decode("latin-1")))
 
     async def _answer(self, url: str) -> None:
-        ask = AskBook(self._agent, self._catalog.now())
-        self._catalog.asks.append(ask)
+        ask = PollRecord(self._agent, self._catalog.now())
+        self._catalog.polls.append(ask)
         try:
             await self._tell(url)
         finally:
--- a/lilacsill/emulator/sockets/clients.py
+++ b/lilacsill/emulator/sockets/clients.py
@@ -11,7 +11,7 @@
 
 from httptools import HttpParserError, HttpResponseParser
 
-from ..models.judge import RequestBook
+from ..models.judge import RequestRecord
 from ..models.plan import Arrival, Plan
 
 GIVE_UP_SLACK_S = 0.05  # a client waits so much longer, to see whether an answer comes too late
@@ -41,7 +41,7 @@
         self._body = b""
         self.transport: asyncio.Transport | None = None
         self.requests = 0
-        self.book: RequestBook | None = None
+        self.book: RequestRecord | None = None
         self.answered: asyncio.Future[tuple[int, float]] | None = None  # status and advice, 0 for a close
         self.open = True
 
@@ -145,7 +145,7 @@
     rng: Random
     part: int = 0
     parts: int = 1
-    books: list[RequestBook] = field(default_factory=list)
+    books: list[RequestRecord] = field(default_factory=list)
     outcomes: list[Outcome] = field(default_factory=list)
     late_us: list[int] = field(default_factory=list)  # behind the schedule: the emulator's own fault
     tasks: set[asyncio.Task[None]] = field(default_factory=set)
@@ -211,7 +211,7 @@
         if cls.effect != "safe":
             lines.append("Content-Length: 0")
         c.answered = asyncio.get_running_loop().create_future()
-        c.book = RequestBook(
+        c.book = RequestRecord(
             identity,
             arrival.agent,
             cls.name,
--- a/lilacsill/emulator/sockets/crowd.py
+++ b/lilacsill/emulator/sockets/crowd.py
@@ -10,9 +10,10 @@
 import json
 import sys
 import time
-from dataclasses import asdict
 from random import Random
 
+import msgspec
+
 from ..models.plan import Plan
 from ..plan_file import read
 from .clients import SHARE, Clients, Pool, storm
@@ -47,10 +48,11 @@
             )
 
     mine = told["addresses"][part::parts]
+    rates = [max(1, planned.connections_per_s // len(pools)) for planned in plan.storms]
     storms = [
-        asyncio.create_task(storm((host, port), start, end, max(1, rate // len(pools)), now))
+        asyncio.create_task(storm((host, port), planned.start, planned.end, rate, now))
         for host, port in mine
-        for start, end, rate in plan.storms
+        for planned, rate in zip(plan.storms, rates, strict=True)
     ]
     try:
         await clients.run(tell)
@@ -61,7 +63,7 @@
     print(
         json.dumps(
             {
-                "books": [asdict(b) for b in clients.books],
+                "books": [msgspec.to_builtins(book) for book in clients.books],
                 "outcomes": [[o.number, o.at, o.latency_us, o.status, o.tries, o.in_time] for o in clients.outcomes],
                 "late_us": clients.late_us,
                 "opened": sum(p.opened for p in pools),
--- a/lilacsill/emulator/sockets/fleet.py
+++ b/lilacsill/emulator/sockets/fleet.py
@@ -16,12 +16,13 @@
 import sys
 import time
 from collections import Counter
-from dataclasses import asdict
 from functools import partial
 from typing import Any
 
-from ..models.faults import LinkFault, cuts
-from ..models.judge import AttemptBook, TellingBook
+import msgspec
+
+from ..models.faults import LinkFault, partitions_from
+from ..models.judge import AttemptRecord, NotificationRecord
 from ..models.plan import Plan
 from ..plan_file import read
 from .catalog import Catalog, Link, host
@@ -89,9 +90,9 @@
     def now() -> int:
         return int(loop.time() * 1e6) - began[0]
 
-    attempts: list[AttemptBook] = []
+    attempts: list[AttemptRecord] = []
     fallen: list[tuple[int, str]] = []
-    tellings: list[TellingBook] = []
+    notifications: list[NotificationRecord] = []
     delays: list[int] = []
     lags: list[int] = []
     reader = asyncio.StreamReader(limit=1 << 24)
@@ -120,7 +121,7 @@
     for shell in shells:
         if shell.what.start < 0:
             await shell.start()
-    catalog = Catalog(plan, ports, now, 0, tellings)
+    catalog = Catalog(plan, ports, now, 0, notifications)
     doors = [
         Listener(partial(Link, catalog, agent), ("127.0.0.1", 0))
         for agent in range(plan.scenario.load.agents if part == 0 else 0)
@@ -142,7 +143,7 @@
 
     def cut(x: LinkFault, of: list[Listener]) -> list[asyncio.Task[None]]:
         return [
-            asyncio.create_task(keep_cut(at, x.out, x.back, (x.start - now()) / 1e6, (x.end - x.start) / 1e6))
+            asyncio.create_task(keep_cut(at, x.outbound, x.inbound, (x.start - now()) / 1e6, (x.end - x.start) / 1e6))
             for at in of
         ]
 
@@ -165,17 +166,17 @@
 
     tasks = [asyncio.create_task(life(s)) for s in shells]
     tasks += [asyncio.create_task(c) for c in (catalog.keep_up(), catalog.outages(), lag())]
-    for x in cuts(plan.link_faults, "servers"):
+    for x in partitions_from("servers", plan.link_faults):
         cut_off = {sides.index(plan.side(agent)) for agent in x.agents}
         tasks += cut(x, [at for shell in shells for n, at in enumerate(shell.listeners) if n in cut_off])
-    for x in cuts(plan.link_faults, "discovery") if doors else ():
+    for x in partitions_from("discovery", plan.link_faults) if doors else ():
         tasks += cut(x, [doors[agent] for agent in x.agents])
     while line := await reader.readline():
         try:
             await order(shells, line.decode().split())
         except (ValueError, IndexError) as e:
             print(f"fleet: {line.decode().strip()}: {e}", file=sys.stderr)
-    asks = [asdict(a) for a in catalog.asks]  # with the watches that still wait
+    polls = [msgspec.to_builtins(a) for a in catalog.polls]  # with the watches that still wait
     for task in tasks:
         task.cancel()
     for shell in shells:
@@ -185,9 +186,9 @@
     print(
         json.dumps(
             {
-                "attempts": [asdict(a) for a in attempts],
-                "tellings": [asdict(t) for t in tellings],
-                "asks": asks,
+                "attempts": [msgspec.to_builtins(a) for a in attempts],
+                "notifications": [msgspec.to_builtins(t) for t in notifications],
+                "polls": polls,
                 "fallen": fallen,
                 "delays_us": sorted(delays)[:: max(1, len(delays) // 2000)],
                 "lags_us": sorted(lags)[:: max(1, len(lags) // 2000)],
--- a/lilacsill/emulator/sockets/jobserver.py
+++ b/lilacsill/emulator/sockets/jobserver.py
@@ -9,7 +9,7 @@
 
 from httptools import HttpParserError, HttpRequestParser
 
-from ..models.judge import AttemptBook
+from ..models.judge import AttemptRecord
 from ..models.plan import Incarnation, Plan, Window
 from ..models.server import FOREVER, Job, JobServer, RepeatMemory
 from .listener import Listener, Wire
@@ -28,7 +28,7 @@
         self._url = b""
         self._fields: dict[bytes, bytes] = {}
         self._requests = 0
-        self.book: AttemptBook | None = None  # of the request in hand
+        self.book: AttemptRecord | None = None  # of the request in hand
         self.used = 0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -96,7 +96,7 @@
         addresses: list[tuple[str, int]],
         memory: RepeatMemory,
         now: Now,
-        attempts: list[AttemptBook],
+        attempts: list[AttemptRecord],
         fallen: list[tuple[int, str]],
         delays: list[int],
     ) -> None:
@@ -113,7 +113,7 @@
         self._model: JobServer | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._owners: dict[int, Connection] = {}  # by id() of the job
-        self._books: dict[int, AttemptBook] = {}
+        self._books: dict[int, AttemptRecord] = {}
 
     # Its life
 
@@ -185,14 +185,14 @@
         except (ValueError, ZeroDivisionError):
             c.write(b"400 Bad Request", self._load())
             return
-        book = AttemptBook(number, agent, self.label, now)
+        book = AttemptRecord(number, agent, self.label, now)
         self._attempts.append(book)
         if first:
             work += int(self.plan.scenario.fleet.first_request_ms * 1000)
         job = Job(number, work, fields.get(b"idempotency-key", b"").decode("latin-1"), first=first)
         draining = self.what.drain is not None and now >= self.what.drain
         if draining or not self._model.arrive(now, job):
-            book.turned_away = True
+            book.rejected = True
             book.answered = now
             c.write(b"503 Service Unavailable", self._load(), more=b"Not-Started: 1\r\n")
             return
@@ -223,7 +223,7 @@
         book.answered = now
         if self._happens(self.plan.resets, now):
             c.end()
-        elif self._happens(self.plan.spoilt, now):
+        elif self._happens(self.plan.malformed, now):
             c.send(SPOILT)
         else:
             c.write(b"200 OK", self._load(), b"done " + job.id.encode())
--- a/tests/peers/test_counts.py
+++ b/tests/peers/test_counts.py
@@ -168,7 +168,9 @@
         world = World(n, seed=seed, make=make)
         world.run(5 * second)
         side = frozenset(range(n // 2))
-        world.links.rules = [Rule(world.now, world.now + 20 * second, side, frozenset(range(n)) - side, cut=True)]
+        world.links.rules = [
+            Rule(world.now, world.now + 20 * second, side, frozenset(range(n)) - side, partitioned=True)
+        ]
         for _ in range(20):
             for p in world.running():
                 p.fleet.counts.count(REQUESTS, 0, p.number % 2)
--- a/tests/peers/test_membership.py
+++ b/tests/peers/test_membership.py
@@ -78,7 +78,7 @@
 
 def test_a_partition_in_halves_for_twenty_seconds_heals() -> None:
     w = world()
-    w.links.rules = [Rule(w.now, w.now + 20 * SECOND, HALF, ALL - HALF, cut=True)]
+    w.links.rules = [Rule(w.now, w.now + 20 * SECOND, HALF, ALL - HALF, partitioned=True)]
     w.run(w.now + 19 * SECOND)
     assert all(
         set(p.fleet.membership.alive()) == (HALF if p.number in HALF else ALL - HALF) - {p.number} for p in w.running()
@@ -91,7 +91,7 @@
 def test_one_way_loss_holds_nobody_dead_for_good() -> None:
     """What agent 0 sends reaches nobody, while it hears all: others must reach it through the others, and cannot."""
     w = world()
-    w.links.rules = [Rule(w.now, w.now + 20 * SECOND, frozenset({0}), ALL - {0}, both=False, cut=True)]
+    w.links.rules = [Rule(w.now, w.now + 20 * SECOND, frozenset({0}), ALL - {0}, bidirectional=False, partitioned=True)]
     w.run(w.now + 19 * SECOND)
     assert set(state(w, 0).values()) == {MemberState.DEAD}
     assert all(len(p.fleet.membership.alive()) == N - 2 for p in w.running() if p.number)
@@ -101,14 +101,14 @@
 
 def test_indirect_probes_get_round_one_broken_link() -> None:
     w = world()
-    w.links.rules = [Rule(0, 2**62, frozenset({0}), frozenset({1}), cut=True)]
+    w.links.rules = [Rule(0, 2**62, frozenset({0}), frozenset({1}), partitioned=True)]
     w.run(w.now + 30 * SECOND)
     assert not [n for p in w.running() for n in p.fleet.events.events if n.facts.get("after") in ("suspect", "dead")]
 
 
 def test_a_third_lost_and_a_fifth_of_a_second_late() -> None:
     w = world()
-    w.links.rules = [Rule(0, 2**62, ALL, ALL, loss=0.3, delay_us=(200_000, 400_000), twice=0.1)]
+    w.links.rules = [Rule(0, 2**62, ALL, ALL, loss=0.3, delay_us=(200_000, 400_000), duplicated=0.1)]
     w.run(w.now + 30 * SECOND)
     w.links.rules = []
     until(w, lambda: settled(w), 6)
--- a/tests/test_emulator_faults.py
+++ b/tests/test_emulator_faults.py
@@ -3,11 +3,11 @@
 from __future__ import annotations
 
 import asyncio
-from dataclasses import replace
 from pathlib import Path
 from random import Random
 from typing import Literal
 
+import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
@@ -18,17 +18,17 @@
 from lilacsill.emulator.models.faults import LinkFault, sides
 from lilacsill.emulator.models.groups import members
 from lilacsill.emulator.models.judge import (
-    AskBook,
-    AttemptBook,
-    Away,
-    Books,
+    PollRecord,
+    AttemptRecord,
+    Absence,
+    RunRecords,
     Limits,
-    RequestBook,
-    TellingBook,
+    RequestRecord,
+    NotificationRecord,
     judge,
 )
 from lilacsill.emulator.models.plan import Plan, make_plan
-from lilacsill.emulator.models.scenario import Fleet, Load, Scenario, Trouble
+from lilacsill.emulator.models.scenario import Fleet, Load, Scenario, ScriptedFault
 from lilacsill.emulator.parts import client_parts, server_parts
 from lilacsill.emulator.run import play
 from lilacsill.emulator.scenario_file import ScenarioError, load
@@ -87,15 +87,15 @@
 # Plans
 
 
-def plan_of(*troubles: Trouble, agents: int = 12, rate: float = 200) -> Plan:
+def plan_of(*troubles: ScriptedFault, agents: int = 12, rate: float = 200) -> Plan:
     return make_plan(
-        Scenario(name="x", load=Load(agents=agents, rate=rate), fleet=Fleet(servers=6), troubles=list(troubles)),
+        Scenario(name="x", load=Load(agents=agents, rate=rate), fleet=Fleet(servers=6), faults=list(troubles)),
         3,
     )
 
 
 def test_after_a_power_loss_each_is_back_at_a_time_of_its_own() -> None:
-    plan = plan_of(Trouble(kind="power_loss", at_s=2, part=1.0, size=4))
+    plan = plan_of(ScriptedFault(kind="power_loss", at_s=2, part=1.0, size=4))
     back = [x.until for x in plan.agent_faults]
     assert len(set(back)) == 12 and all(4 * SECOND <= b <= 8 * SECOND for b in back)
     assert {x.agent for x in plan.agent_faults} == set(range(12))
@@ -105,10 +105,10 @@
 
 
 def test_a_stall_comes_in_bursts_and_never_while_it_lasts() -> None:
-    plan = plan_of(Trouble(kind="agent_stall", at_s=1, len_s=3, size=0.5, every_s=1, agents="4"))
+    plan = plan_of(ScriptedFault(kind="agent_stall", at_s=1, len_s=3, size=0.5, every_s=1, agents="4"))
     at = [(x.at, x.until) for x in plan.agent_faults]
     assert at == [(n * SECOND, n * SECOND + SECOND // 2) for n in (1, 2, 3)]
-    row = Trouble(kind="agent_stall", at_s=1, len_s=3, size=2, every_s=0.1, agents="4")
+    row = ScriptedFault(kind="agent_stall", at_s=1, len_s=3, size=2, every_s=0.1, agents="4")
     dense = plan_of(row).agent_faults
     assert all(a.until < b.at for a, b in zip(dense, dense[1:], strict=False))
 
@@ -124,7 +124,7 @@
     rules = {}
     ways: tuple[Literal["both", "out", "in"], ...] = ("both", "out", "in")
     for way in ways:
-        t = Trouble(kind="partition", at_s=2, len_s=3, agents="0-1", to="2", way=way)
+        t = ScriptedFault(kind="partition", at_s=2, len_s=3, agents="0-1", to="2", way=way)
         rules[way] = herd.relay_rules(plan_of(t, agents=3).link_faults, -SECOND)[0]
     assert rules["both"] == {
         "in_s": 3.0,
@@ -140,7 +140,7 @@
     }
     assert (rules["out"]["from"], rules["out"]["both"]) == ([0, 1], False)
     assert (rules["in"]["from"], rules["in"]["to"], rules["in"]["both"]) == ([2], [0, 1], False)
-    assert herd.relay_rules(plan_of(Trouble(kind="partition", at_s=1, to="servers")).link_faults, 0) == []
+    assert herd.relay_rules(plan_of(ScriptedFault(kind="partition", at_s=1, to="servers")).link_faults, 0) == []
 
 
 def test_a_large_scenario_is_spread_over_processes() -> None:
@@ -153,53 +153,53 @@
 # The judge: a killed agent owes no answer, and nothing else is forgiven
 
 
-def unanswered(sent: int = 0, **changes: int | None) -> Books:
-    book = RequestBook("0.1.0", 0, "c", "t", "unsafe", "", sent, 300 * MS)
+def unanswered(sent: int = 0, **changes: int | None) -> RunRecords:
+    book = RequestRecord("0.1.0", 0, "c", "t", "unsafe", "", sent, 300 * MS)
     for key, value in changes.items():
         setattr(book, key, value)
-    return Books(requests=[book])
+    return RunRecords(requests=[book])
 
 
 @pytest.mark.parametrize(
     ("away", "broken"),
     [
-        (Away(0, 100 * MS, 2 * SECOND), 0),  # killed while it held the request
-        (Away(1, 100 * MS, 2 * SECOND), 1),  # that was another one
-        (Away(0, -2 * SECOND, -1 * SECOND), 1),  # it was back in time
-        (Away(0, SECOND, 2 * SECOND), 1),  # it should have answered before
+        (Absence(0, 100 * MS, 2 * SECOND), 0),  # killed while it held the request
+        (Absence(1, 100 * MS, 2 * SECOND), 1),  # that was another one
+        (Absence(0, -2 * SECOND, -1 * SECOND), 1),  # it was back in time
+        (Absence(0, SECOND, 2 * SECOND), 1),  # it should have answered before
     ],
 )
-def test_what_a_killed_agent_held_is_not_owed(away: Away, broken: int) -> None:
+def test_what_a_killed_agent_held_is_not_owed(away: Absence, broken: int) -> None:
     for books in (unanswered(), unanswered(closed=200 * MS)):
-        books.away = [away]
+        books.absences = [away]
         assert [b.rule for b in judge(books, Limits())] == ["lost"] * broken
     late = unanswered()
     late.requests[0].answers = [(SECOND, 503)]
-    late.away = [away]
+    late.absences = [away]
     assert [b.rule for b in judge(late, Limits())] == ["lost"] * broken
 
 
 def test_an_agent_that_was_stopped_may_neither_answer_nor_send_twice() -> None:
     books = unanswered()
     books.requests[0].answers = [(SECOND, 503), (SECOND + 1, 503)]
-    books.away = [Away(0, 100 * MS, 2 * SECOND)]
-    a = AttemptBook("0.1.0", 0, "s", 10 * MS, began=11 * MS, closed=20 * MS)
-    books.attempts = [a, replace(a, came=30 * MS, began=31 * MS, closed=40 * MS)]
+    books.absences = [Absence(0, 100 * MS, 2 * SECOND)]
+    a = AttemptRecord("0.1.0", 0, "s", 10 * MS, began=11 * MS, closed=20 * MS)
+    books.attempts = [a, msgspec.structs.replace(a, received=30 * MS, began=31 * MS, closed=40 * MS)]
     assert [b.rule for b in judge(books, Limits())] == ["lost", "dup", "dup"]
 
 
 def test_who_is_stopped_reads_of_a_drain_when_it_goes_on() -> None:
     books = unanswered()
     books.requests[0].answers = [(5 * SECOND, 200)]
-    books.tellings = [TellingBook(0, "s", SECOND)]
-    books.asks = [AskBook(0, 0)]
-    books.attempts = [AttemptBook("0.1.0", 0, "s", 4 * SECOND, answered=4 * SECOND)]
+    books.notifications = [NotificationRecord(0, "s", SECOND)]
+    books.polls = [PollRecord(0, 0)]
+    books.attempts = [AttemptRecord("0.1.0", 0, "s", 4 * SECOND, answered=4 * SECOND)]
     books.requests[0].sent = 4 * SECOND
     books.requests[0].patience_us = 2 * SECOND
     assert [b.rule for b in judge(books, Limits())] == ["drain"]
-    books.away = [Away(0, SECOND // 2, 3 * SECOND + 900 * MS)]
+    books.absences = [Absence(0, SECOND // 2, 3 * SECOND + 900 * MS)]
     assert judge(books, Limits()) == []
-    books.away = [Away(0, SECOND // 2, 2 * SECOND)]
+    books.absences = [Absence(0, SECOND // 2, 2 * SECOND)]
     assert [b.rule for b in judge(books, Limits())] == ["drain"]
 
 
@@ -208,14 +208,14 @@
     books.requests[0].answers = [(300 * MS, 503)]
     books.requests[0].effect = "keyed"
     books.attempts = [
-        AttemptBook("0.1.0", 0, "a", 10 * MS, began=SECOND, answered=SECOND),
-        AttemptBook("0.1.0", 0, "b", 900 * MS, began=900 * MS, answered=901 * MS),
+        AttemptRecord("0.1.0", 0, "a", 10 * MS, began=SECOND, answered=SECOND),
+        AttemptRecord("0.1.0", 0, "b", 900 * MS, began=900 * MS, answered=901 * MS),
     ]
     rules = [b.rule for b in judge(books, Limits())]
     assert rules == ["lost", "dup"]
-    books.unseen = [Away(0, 100 * MS, 800 * MS)]
+    books.unreachable = [Absence(0, 100 * MS, 800 * MS)]
     assert judge(books, Limits()) == []
-    books.attempts[1].came = 3 * SECOND  # long after the link had healed
+    books.attempts[1].received = 3 * SECOND  # long after the link had healed
     assert [b.rule for b in judge(books, Limits())] == ["lost"]
 
 
--- a/tests/test_emulator_models.py
+++ b/tests/test_emulator_models.py
@@ -7,13 +7,14 @@
 from pathlib import Path
 from random import Random
 
+import msgspec
 import pytest
 from hypothesis import given
 from hypothesis import strategies as st
 
-from lilacsill.emulator.models.judge import AttemptBook, Books, Limits, RequestBook, TellingBook, judge
+from lilacsill.emulator.models.judge import AttemptRecord, RunRecords, Limits, RequestRecord, NotificationRecord, judge
 from lilacsill.emulator.models.plan import make_plan
-from lilacsill.emulator.models.scenario import Scenario, Trouble
+from lilacsill.emulator.models.scenario import Scenario, ScriptedFault
 from lilacsill.emulator.models.server import FOREVER, Job, JobServer, RepeatMemory, ServerSpec, Span
 from lilacsill.emulator.scenario_file import ScenarioError, load, names
 
@@ -216,10 +217,10 @@
     scenario = Scenario(
         name="x",
         length_s=10,
-        troubles=[
-            Trouble(kind="vanish", at_s=1, part=1.0, size=60),
-            Trouble(kind="death", at_s=2),
-            Trouble(kind="deploy", at_s=3),
+        faults=[
+            ScriptedFault(kind="vanish", at_s=1, part=1.0, size=60),
+            ScriptedFault(kind="death", at_s=2),
+            ScriptedFault(kind="deploy", at_s=3),
         ],
     )
     plan = make_plan(scenario)
@@ -229,39 +230,37 @@
 # The judge: a clean book, then one breach planted at a time
 
 
-def attempt(came: int, **changes: int | str | bool | None) -> AttemptBook:
-    book = AttemptBook("r", 0, "s#0", came, began=came, ended=came + 10 * MS, answered=came + 10 * MS)
-    return replace(book, **changes)  # type: ignore[arg-type]
+def attempt(came: int, **changes: int | str | bool | None) -> AttemptRecord:
+    book = AttemptRecord("r", 0, "s#0", came, began=came, ended=came + 10 * MS, answered=came + 10 * MS)
+    return msgspec.structs.replace(book, **changes)
 
 
-def clean(effect: str = "unsafe") -> Books:
-    request = RequestBook("r", 0, "vale-almacen", "t", effect, "k", 0, 300 * MS, [(20 * MS, 200)])
-    return Books([attempt(5 * MS)], [request])
+def clean(effect: str = "unsafe") -> RunRecords:
+    request = RequestRecord("r", 0, "vale-almacen", "t", effect, "k", 0, 300 * MS, [(20 * MS, 200)])
+    return RunRecords([attempt(5 * MS)], [request])
 
 
-def reset_then(came: int, **changes: int | str | bool | None) -> list[AttemptBook]:
+def reset_then(came: int, **changes: int | str | bool | None) -> list[AttemptRecord]:
     """A first attempt that ran and was reset, and a second one."""
     return [attempt(0, answered=None, closed=5 * MS), attempt(came, **changes)]
 
 
-def change(b: Books, **changes: object) -> None:
+def change(b: RunRecords, **changes: object) -> None:
     """Set fields of the one request."""
     for name, value in changes.items():
         setattr(b.requests[0], name, value)
 
 
-def attempts(b: Books, *books: AttemptBook, **changes: object) -> None:
+def attempts(b: RunRecords, *books: AttemptRecord, **changes: object) -> None:
     b.attempts[:] = books
     change(b, **changes)
 
 
-def refused_unseen(count: int) -> list[AttemptBook]:
-    return [
-        attempt(2 * i * MS, began=None, ended=None, answered=2 * i * MS + 1, turned_away=True) for i in range(count)
-    ]
+def refused_unseen(count: int) -> list[AttemptRecord]:
+    return [attempt(2 * i * MS, began=None, ended=None, answered=2 * i * MS + 1, rejected=True) for i in range(count)]
 
 
-PLANTED: dict[str, tuple[str, Callable[[Books], object]]] = {
+PLANTED: dict[str, tuple[str, Callable[[RunRecords], object]]] = {
     "no answer": ("lost", lambda b: b.requests[0].answers.clear()),
     "closed without an answer": ("lost", lambda b: change(b, answers=[], closed=9)),
     "2 final answers": ("lost", lambda b: b.requests[0].answers.append((30 * MS, 503))),
@@ -285,7 +284,7 @@
     ),
     "was told that it drains or is gone": (
         "drain",
-        lambda b: b.tellings.append(TellingBook(0, "s#0", -546 * MS)),
+        lambda b: b.notifications.append(NotificationRecord(0, "s#0", -546 * MS)),
     ),
     "pushed over while cold": ("cold", lambda b: b.fallen.append((5, "s#0"))),
 }
@@ -296,8 +295,8 @@
         assert judge(clean(effect), Limits()) == []
     # Within the grace, another agent's telling, a turned away attempt before, a keyed repeat in time.
     b = clean()
-    b.tellings = [TellingBook(0, "s#0", -500 * MS), TellingBook(1, "s#0", -9 * SECOND)]
-    b.attempts.insert(0, attempt(0, began=None, answered=MS, turned_away=True))
+    b.notifications = [NotificationRecord(0, "s#0", -500 * MS), NotificationRecord(1, "s#0", -9 * SECOND)]
+    b.attempts.insert(0, attempt(0, began=None, answered=MS, rejected=True))
     assert judge(b, Limits()) == []
     b = clean("keyed")
     b.attempts = reset_then(10 * MS)
--- a/tests/test_emulator_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from lilacsill.emulator.models.judge import AttemptBook, TellingBook
+from lilacsill.emulator.models.judge import AttemptRecord, NotificationRecord
 from lilacsill.emulator.models.plan import Arrival, Incarnation, Notice, Plan, Window, make_plan
 from lilacsill.emulator.models.scenario import Fleet, Load, Scenario
 from lilacsill.emulator.models.server import RepeatMemory, Span
@@ -49,8 +49,8 @@
 
 
 @contextlib.asynccontextmanager
-async def discovery(plan: Plan, clock: Clock) -> AsyncIterator[tuple[Catalog, Conversation, list[TellingBook]]]:
-    tellings: list[TellingBook] = []
+async def discovery(plan: Plan, clock: Clock) -> AsyncIterator[tuple[Catalog, Conversation, list[NotificationRecord]]]:
+    tellings: list[NotificationRecord] = []
     catalog = Catalog(plan, {(0, 0, 0): 7001, (0, 1, 0): 7002}, clock, 1_000_000, tellings)
     server = Listener(partial(Link, catalog, 3), ("127.0.0.1", 0))
     await server.open()
@@ -84,7 +84,7 @@
             phases = [(m["id"], m["phase"]) for m in changes["members"]]
             assert phases == [("a", "DRAINING"), ("b", "SERVING")]
             assert changes["members"][1]["up_since_ms"] == 1_000_000 + 5000
-            assert tellings == [TellingBook(3, "a#0", 5 * SECOND)]
+            assert tellings == [NotificationRecord(3, "a#0", 5 * SECOND)]
             clock.at = 7 * SECOND
             # Who is gone is missing from the whole list, and that tells it.
             assert [m["id"] for m in (await call(client))["members"]] == ["b"]
@@ -142,7 +142,7 @@
     def __init__(self, plan: Plan, index: int = 0, port: int | None = None) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        self.attempts: list[AttemptBook] = []
+        self.attempts: list[AttemptRecord] = []
         self.fallen: list[tuple[int, str]] = []
         self.port = port or free_port()
         self.shell = ServerShell(
@@ -185,7 +185,7 @@
         assert (await two.read()).body.startswith(b"inflight=0,queue=0,util=")
         await ask(two, "no id of ours")
         assert (await two.read()).status == 400
-        seen = [(a.turned_away, a.repeat) for a in s.attempts]
+        seen = [(a.rejected, a.repeat) for a in s.attempts]
         assert seen == [(False, False), (True, False), (False, True)]
         s.shell.kill()
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -15,10 +15,10 @@
 from lilacsill.clock import Clock
 from lilacsill.emulator.__main__ import main
 from lilacsill.emulator.lab.module import ModuleError, at_commit
-from lilacsill.emulator.models.explained import Book, explain, table
-from lilacsill.emulator.models.judge import AskBook, Books, Limits, unasked
+from lilacsill.emulator.models.explained import ServerOccupancy, explain, table
+from lilacsill.emulator.models.judge import PollRecord, RunRecords, Limits, notifications_by_timeout
 from lilacsill.emulator.models.plan import make_plan
-from lilacsill.emulator.models.scenario import Scenario, Trouble
+from lilacsill.emulator.models.scenario import Scenario, ScriptedFault
 
 from .helpers import SAFE
 
@@ -31,9 +31,9 @@
 
 @given(st.lists(st.tuples(st.integers(0, 100), st.integers(1, 100)), max_size=30), st.integers(0, 250))
 def test_the_book_counts_what_has_come_and_not_ended(spans: list[tuple[int, int]], at: int) -> None:
-    book = Book([attempt("a#0", came, came + lasts) for came, lasts in spans])
-    assert book.held("a", at) == sum(came <= at < came + lasts for came, lasts in spans)
-    assert book.held("b", at) == 0
+    occupancy = ServerOccupancy([attempt("a#0", came, came + lasts) for came, lasts in spans])
+    assert occupancy.in_flight("a", at) == sum(came <= at < came + lasts for came, lasts in spans)
+    assert occupancy.in_flight("b", at) == 0
 
 
 def test_a_wave_shows_the_worst_gaps_first_and_who_was_idle() -> None:
@@ -107,9 +107,9 @@
     plan = make_plan(
         Scenario(
             name="x",
-            troubles=[
-                Trouble(kind="agent_pause", at_s=1.0, size=0.25),
-                Trouble(kind="agent_pause", at_s=2.0),
+            faults=[
+                ScriptedFault(kind="agent_pause", at_s=1.0, size=0.25),
+                ScriptedFault(kind="agent_pause", at_s=2.0),
             ],
         )
     )
@@ -140,11 +140,11 @@
     ],
 )
 def test_who_does_not_ask_in_time_counts_as_told(asks: list[tuple[int, int | None]], told: list[int]) -> None:
-    books = Books(
+    books = RunRecords(
         [],
         [],
-        asks=[AskBook(0, a * MS, None if b is None else b * MS) for a, b in asks],
+        polls=[PollRecord(0, a * MS, None if b is None else b * MS) for a, b in asks],
         leaving=[(300 * MS, "s#0"), (1500 * MS, "s#1")],
     )
-    found = unasked(books, Limits(ask_within_us=500 * MS))
+    found = notifications_by_timeout(books, Limits(poll_interval_us=500 * MS))
     assert sorted(t.at for t in found) == [at * MS for at in told]
--- a/tests/test_fleet_counts.py
+++ b/tests/test_fleet_counts.py
@@ -36,8 +36,8 @@
     assert [s.retries for s in counts.seconds.values()] == [0, 1, 1]
     assert [s.lists for s in counts.seconds.values()] == [1, 1, 0]
     s0, s1 = counts.backends["s0"], counts.backends["s1"]
-    assert s0.attempts == {"ok": 2} and s0.held == 2.0 and s0.cold_s < 0 and len(s0.agents) == 2
-    assert s1.attempts == {"timeout": 2} and s1.cold_s == pytest.approx(2.2) and s1.most_in_a_second == 1
+    assert s0.attempts == {"ok": 2} and s0.mean_in_flight == 2.0 and s0.first_attempt_s is None and len(s0.agents) == 2
+    assert s1.attempts == {"timeout": 2} and s1.first_attempt_s == pytest.approx(2.2) and s1.max_per_second == 1
 
 
 def test_the_command_prints_a_table_and_json(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
