--- /dev/null
+++ b/tests/agent/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the client-side agent."""
--- a/tests/admin/test_server.py
+++ b/tests/agent/admin/test_server.py
@@ -14,7 +14,7 @@
 from lilacsill.agent.admin.operations_file import OperationsFile
 from lilacsill.agent.admin.server import MAX_CALLERS, AdminServer
 from lilacsill.agent.descriptors import SpareDescriptor
-from tests.loopback import Conversation, World, post, world
+from tests.agent.loopback import Conversation, World, post, world
 
 
 @contextlib.asynccontextmanager
--- a/tests/admin/test_upgrade.py
+++ b/tests/agent/admin/test_upgrade.py
@@ -10,9 +10,9 @@
 
 from lilacsill.agent.descriptors import SharedLimit
 from lilacsill.agent.inbound.accept import adopt_listener
-from tests.admin.test_server import call, connect
-from tests.loopback import Conversation, Peer, Running, config_doc, member, post
-from tests.test_reload import whole
+from tests.agent.admin.test_server import call, connect
+from tests.agent.loopback import Conversation, Peer, Running, config_doc, member, post
+from tests.agent.test_reload import whole
 
 HEALTH = b"GET /_health HTTP/1.1\r\nHost: x\r\n\r\n"
 
--- a/tests/backends.py
+++ b/tests/agent/backends.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Awaitable, Callable
 
-from tests.loopback import Message, Peer, member, shared
+from tests.agent.loopback import Message, Peer, member, shared
 
 from lilacsill.balancing.interface import Outcome
 from lilacsill.agent.outbound.backends import Backends
--- a/tests/peers/fleets.py
+++ b/tests/agent/peers/fleets.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from lilacsill.emulator.processes.rig import Child, Rig, rig
-from tests.loopback import Conversation, Message, Peer, config_doc, member, post
+from tests.agent.loopback import Conversation, Message, Peer, config_doc, member, post
 
 HANG_S = 120  # a hang fails the test; nothing is timed by this
 OPERATOR = """
--- a/tests/peers/test_peer_health.py
+++ b/tests/agent/peers/test_peer_health.py
@@ -20,7 +20,7 @@
 )
 from lilacsill.agent.peers.records import Health, HealthReport
 from lilacsill.balancing.interface import FleetChanged, Outcome, PeerHealthChanged, Send
-from tests.helpers import MS, SECOND, Drive, only
+from tests.balancing.helpers import MS, SECOND, Drive, only
 
 NAMES = [f"s{i}" for i in range(20)]
 
--- a/tests/peers/test_processes.py
+++ b/tests/agent/peers/test_processes.py
@@ -16,7 +16,7 @@
 from lilacsill.agent.peers.peer_health import backend_tag
 from lilacsill.agent.peers.records import REFUTATION_BITS, Health, HealthReport, encode
 from lilacsill.emulator.processes.rig import RigError
-from tests.loopback import Running, config_doc, settings
+from tests.agent.loopback import Running, config_doc, settings
 
 from .fleets import OPERATOR, Told, ask, burst, fleet, met, states, until
 
--- a/tests/recovery/test_decisions.py
+++ b/tests/agent/recovery/test_decisions.py
@@ -34,7 +34,7 @@
 from lilacsill.balancing.interface import Backend, LatencyModelRestored, Outcome, Send
 from lilacsill.balancing.interface import BackendState as Serving
 from lilacsill.clock import Clock
-from tests.helpers import SECOND, Drive, only
+from tests.balancing.helpers import SECOND, Drive, only
 
 DAY_S = 86_400
 PARSER = ListingParser(Clock(), ("a", "b"), ("m",))
--- a/tests/recovery/test_power_loss.py
+++ b/tests/agent/recovery/test_power_loss.py
@@ -16,8 +16,8 @@
 from lilacsill.agent.recovery.state import SavedState, decode
 from lilacsill.emulator.processes.pipe import ROOT
 from lilacsill.emulator.processes.rig import Rig, ask_door, rig
-from tests.loopback import Message, Peer, config_doc, member
-from tests.peers.fleets import Worker, ask
+from tests.agent.loopback import Message, Peer, config_doc, member
+from tests.agent.peers.fleets import Worker, ask
 
 HANG_S = 120
 OPERATOR = '[recovery]\nfolder = "FOLDER"\nfleet = "test"\nevery_ms = 500\n'
--- a/tests/storm.py
+++ b/tests/agent/storm.py
@@ -7,7 +7,7 @@
 import itertools
 import socket
 
-from tests.loopback import KEYED, post
+from tests.agent.loopback import KEYED, post
 
 STRANGERS = (f"127.{a}.{b}.{c}" for a, b, c in itertools.product(range(100, 200), range(250), range(1, 250)))
 _ids = itertools.count(1)
--- a/tests/streams/test_framing.py
+++ b/tests/agent/streams/test_framing.py
@@ -10,7 +10,7 @@
 
 from lilacsill.http1.message import Reader
 from lilacsill.agent.watermarks import MIN_WATERMARK_BYTES, StreamShare, Watermarks, buffer_budget
-from tests.loopback import post
+from tests.agent.loopback import post
 
 MB = 1024 * 1024
 CHUNKED = post(body=b"", drop=("Content-Length",), Transfer_Encoding="chunked")
--- a/tests/streams/test_streams.py
+++ b/tests/agent/streams/test_streams.py
@@ -15,7 +15,7 @@
 from lilacsill.http1.message import origin_form
 from lilacsill.agent.inbound import downstream
 from lilacsill.agent.inbound.draining import DrainTimes
-from tests.loopback import UNSAFE, Conversation, Message, World, post, world
+from tests.agent.loopback import UNSAFE, Conversation, Message, World, post, world
 
 MB = 1024 * 1024
 LONG = bytes(range(256)) * 2048  # half a MB
--- a/tests/test_admission_storm.py
+++ b/tests/agent/test_admission_storm.py
@@ -13,8 +13,8 @@
 
 from lilacsill.agent.admission.policy import ConnectionState
 from lilacsill.agent.admission.settings import AdmissionSettings, ConnectionTimeouts, parse_network
-from tests.loopback import UNSAFE, Peer, Running, config_doc, member, post, shared, world
-from tests.storm import answer, connect, outcome, request, send, storm, strangers, visit
+from tests.agent.loopback import UNSAFE, Peer, Running, config_doc, member, post, shared, world
+from tests.agent.storm import answer, connect, outcome, request, send, storm, strangers, visit
 
 KNOWN = "127.9.0.1"
 LISTED = AdmissionSettings(known=(parse_network("127.9.0.0/16"),), reserve=2)
--- a/tests/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -8,7 +8,7 @@
 
 import pytest
 from lilacsill.agent.admission.descriptor_account import Side
-from tests.loopback import KEYED, UNSAFE, World, post, shared, world
+from tests.agent.loopback import KEYED, UNSAFE, World, post, shared, world
 
 from lilacsill.balancing.interface import Event, RequestArrived
 from lilacsill.balancing.logic import Balancer
--- a/tests/test_answers.py
+++ b/tests/agent/test_answers.py
@@ -10,14 +10,14 @@
 from lilacsill.agent.outbound.requests import Result, parse_report
 from lilacsill.balancing.interface import Outcome
 from lilacsill.clock import Clock
-from tests.backends import (
+from tests.agent.backends import (
     ASK,
     FIELDS,
     OK,
     backends,
     begin,
 )
-from tests.loopback import Message, Peer
+from tests.agent.loopback import Message, Peer
 
 
 @pytest.mark.parametrize(
--- a/tests/test_backends.py
+++ b/tests/agent/test_backends.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 
 import pytest
-from tests.backends import (
+from tests.agent.backends import (
     ASK,
     CLOCK,
     OK,
@@ -22,7 +22,7 @@
     served,
     spoilt,
 )
-from tests.loopback import Message, Peer, member
+from tests.agent.loopback import Message, Peer, member
 
 from lilacsill.balancing.interface import Outcome
 from lilacsill.agent.outbound.requests import Result, UpstreamRequest
--- a/tests/test_descriptors.py
+++ b/tests/agent/test_descriptors.py
@@ -12,7 +12,7 @@
 from lilacsill.agent.admission.descriptor_account import Side
 from lilacsill.agent.admission.settings import ConnectionTimeouts
 from lilacsill.net.connecting import new_socket
-from tests.loopback import post, shared, world
+from tests.agent.loopback import post, shared, world
 
 NEVER = ConnectionTimeouts(silent_us=10**12, reading_us=10**12)
 
--- a/tests/test_discovery.py
+++ b/tests/agent/test_discovery.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from tests.loopback import Peer, member, post, world
+from tests.agent.loopback import Peer, member, post, world
 
 from lilacsill.clock import Clock
 from lilacsill.address import Address
--- a/tests/test_operator.py
+++ b/tests/agent/test_operator.py
@@ -15,9 +15,9 @@
 from lilacsill.agent.admission.settings import AdmissionSettings
 from lilacsill.agent.operator.file import OperatorError, load, needs_restart
 from lilacsill.agent.operator.sections import LIVE, AdmissionSection, OperatorFile
-from tests.loopback import Peer, Running, config_doc
+from tests.agent.loopback import Peer, Running, config_doc
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 BAD = {
     "[admision]": "unknown section `admision`; allowed: admission, recorder",
     "admission = 7": "[admission] Expected `object`, got `int`",
--- a/tests/test_pushed.py
+++ b/tests/agent/test_pushed.py
@@ -14,8 +14,8 @@
 from lilacsill.agent.discovery.listing import Listing, ListingParser
 from lilacsill.agent.discovery.watch import Discovery
 from lilacsill.agent.assembly import assemble
-from tests.loopback import Peer, Running, config_doc, load_config, member, post
-from tests.test_discovery import body
+from tests.agent.loopback import Peer, Running, config_doc, load_config, member, post
+from tests.agent.test_discovery import body
 
 
 def pushed(discovery: int, *members: dict[str, Any]) -> dict[str, Any]:
--- a/tests/test_recorder.py
+++ b/tests/agent/test_recorder.py
@@ -19,7 +19,7 @@
 from lilacsill.clock import Clock
 from lilacsill.agent.recorder.format import RecordingError, encode_header, encode_line, parse
 from lilacsill.agent.recorder.ring import Recorder
-from tests.loopback import load_config, config_doc, post, world
+from tests.agent.loopback import load_config, config_doc, post, world
 
 CLASSES = Scenario(name="x").classes
 HEAD = encode_header("n0", ["registro-servicio", "vale-almacen"], ["a", "b"], 5)
--- a/tests/test_reload.py
+++ b/tests/agent/test_reload.py
@@ -14,7 +14,7 @@
 from lilacsill.agent.assembly import Options, assemble, budget_for
 from lilacsill.agent.reload import Reload
 from lilacsill.clock import Clock
-from tests.loopback import Message, Peer, Running, config_doc, load_config, member, post
+from tests.agent.loopback import Message, Peer, Running, config_doc, load_config, member, post
 
 
 def whole(revision: int, *members: dict[str, Any]) -> bytes:
--- a/tests/test_server.py
+++ b/tests/agent/test_server.py
@@ -12,7 +12,7 @@
 
 import pytest
 from lilacsill.agent.admission.settings import ConnectionTimeouts
-from tests.loopback import KEYED, UNSAFE, Conversation, Message, Peer, config_doc, member, post, shared, world
+from tests.agent.loopback import KEYED, UNSAFE, Conversation, Message, Peer, config_doc, member, post, shared, world
 
 CHUNKED = post(drop=("Content-Length",), body=b"", Transfer_Encoding="chunked")
 BAD = {
--- /dev/null
+++ b/tests/balancing/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of the decision library."""
--- a/tests/oracle.py
+++ b/tests/balancing/oracle.py
@@ -1,7 +1,7 @@
 """Action streams of the decision module over seeded event scripts, as digests: what a refactoring must keep.
 
-    python -m tests.oracle record FILE     digests of the streams as they are
-    python -m tests.oracle compare FILE    the seeds whose streams differ from FILE; status 1 if there are any
+    python -m tests.balancing.oracle record FILE     digests of the streams as they are
+    python -m tests.balancing.oracle compare FILE    the seeds whose streams differ from FILE; status 1 if there are any
 
 A script is drawn from its seed alone: settings of every kind, a fleet, requests, and an end for each attempt
 and probe. The digest covers every action with its time, so that two modules that agree on it drew the same
--- a/tests/test_affinity.py
+++ b/tests/balancing/test_affinity.py
@@ -11,7 +11,7 @@
 from lilacsill.balancing.interface import Backend, Outcome, RequestArrived, Send
 from lilacsill.balancing.logic.affinity import BACKENDS_PER_KEY, MAX_KEYS, AffinityMap
 from lilacsill.balancing.logic.records import BackendRecord
-from tests.helpers import MS, SECOND, Drive, only
+from tests.balancing.helpers import MS, SECOND, Drive, only
 
 ids = st.lists(st.text("0123456789abcdef", min_size=4, max_size=12), min_size=1, max_size=40, unique=True)
 keys = st.integers(1, 2**64 - 1)
--- a/tests/test_beliefs.py
+++ b/tests/balancing/test_beliefs.py
@@ -32,7 +32,7 @@
 from lilacsill.emulator.lab.scripts import SCRIPTS
 from lilacsill.emulator.lab.world import World
 
-from .helpers import MS, SAFE, SECOND, UNSAFE, Drive, keyed, only
+from tests.balancing.helpers import MS, SAFE, SECOND, UNSAFE, Drive, keyed, only
 
 REPORTS = ("inflight", "queue", "util")
 
--- a/tests/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -22,7 +22,7 @@
 from lilacsill.balancing.logic.retry_budget import RETRY_BURST, RETRY_SHARE
 from lilacsill.balancing.logic.peer_reports import REPORT
 from lilacsill.balancing.logic.records import RequestRecord, BackendRecord
-from tests.helpers import MS, SECOND, Drive, only
+from tests.balancing.helpers import MS, SECOND, Drive, only
 
 
 def test_full_servers_meet_no_storm_of_repeats() -> None:
--- a/tests/test_fleet_bounds.py
+++ b/tests/balancing/test_fleet_bounds.py
@@ -21,7 +21,7 @@
 from lilacsill.balancing.logic.records import BackendRecord
 from lilacsill.balancing.logic.warm_up_budget import WarmUpBudget
 
-from .helpers import MS, SAFE, SECOND, Drive, only
+from tests.balancing.helpers import MS, SAFE, SECOND, Drive, only
 
 
 def calls(agents: int, answered: Callable[[int], bool]) -> list[int]:
--- a/tests/test_late.py
+++ b/tests/balancing/test_late.py
@@ -25,7 +25,7 @@
 from lilacsill.balancing.logic.sampling import Sampler
 from lilacsill.balancing.logic.saturation import SATURATED_US, SaturationCache
 
-from .helpers import MS, SAFE, SECOND, Drive, only
+from tests.balancing.helpers import MS, SAFE, SECOND, Drive, only
 
 REPORTS = ("inflight", "queue", "util")
 
--- a/tests/test_maintenance.py
+++ b/tests/balancing/test_maintenance.py
@@ -17,7 +17,7 @@
     RequestArrived,
     Send,
 )
-from tests.helpers import SECOND, Drive
+from tests.balancing.helpers import SECOND, Drive
 
 NAMES = ("s0", "s1", "s2")
 
--- a/tests/test_rules.py
+++ b/tests/balancing/test_rules.py
@@ -17,7 +17,7 @@
     RequestClass,
     Send,
 )
-from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, keyed, only
+from tests.balancing.helpers import MS, SAFE, SECOND, UNSAFE, Drive, keyed, only
 
 RAN = [Outcome.ERROR, Outcome.TIMEOUT, Outcome.RESET]
 UNSEEN = [Outcome.REJECTED, Outcome.CONNECT_FAILED]
--- a/tests/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -22,7 +22,7 @@
     TimerFired,
     Watch,
 )
-from tests.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
+from tests.balancing.helpers import MS, SAFE, SECOND, UNSAFE, Drive, only
 
 
 @pytest.mark.parametrize(
--- a/tests/test_simulator_adapter.py
+++ b/tests/balancing/test_simulator_adapter.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parents[2]
 FACTS: dict[str, Any] = {
     "allowed": {"cancel": True, "probes": False, "secondCopies": True, "maxAttempts": 4},
     "siblings": 2,
@@ -148,7 +148,7 @@
 
 def test_the_oracle_digests_the_same_streams_whatever_the_order_of_sets() -> None:
     # What compares two builds of the decision module must not see differences that are its own.
-    code = "import json; from tests.oracle import digests; print(json.dumps(digests(4)))"
+    code = "import json; from tests.balancing.oracle import digests; print(json.dumps(digests(4)))"
     seen = {
         subprocess.run(
             [sys.executable, "-c", code],
--- a/tests/test_streams_module.py
+++ b/tests/balancing/test_streams_module.py
@@ -10,7 +10,7 @@
     StreamStarted,
     UploadChanged,
 )
-from tests.helpers import MS, SECOND, Drive
+from tests.balancing.helpers import MS, SECOND, Drive
 
 
 def ask(d: Drive, count: int) -> list[Send]:
--- a/tests/test_tenant_quotas.py
+++ b/tests/balancing/test_tenant_quotas.py
@@ -6,7 +6,7 @@
 
 from lilacsill.balancing.interface import Outcome, RequestArrived, Send, Tenant, TenantChanged
 from lilacsill.balancing.logic.records import RequestRecord
-from tests.helpers import MS, SECOND, Drive, only
+from tests.balancing.helpers import MS, SECOND, Drive, only
 
 
 def ask(d: Drive, tenant: int) -> RequestRecord:
--- a/tests/test_warm_up_budget.py
+++ b/tests/balancing/test_warm_up_budget.py
@@ -8,7 +8,7 @@
     Send,
 )
 from lilacsill.balancing.logic.warm_up_budget import FLEET_SHARE
-from tests.helpers import MS, SECOND, Drive, only
+from tests.balancing.helpers import MS, SECOND, Drive, only
 
 
 class Cold:
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,7 +11,7 @@
 import hypothesis
 import pytest
 
-from tests.loopback import Running
+from tests.agent.loopback import Running
 
 
 @pytest.hookimpl(optionalhook=True)
--- a/tests/hosted/service.py
+++ b/tests/hosted/service.py
@@ -15,7 +15,7 @@
 
 import httpx
 
-from tests.loopback import Conversation, Message, Peer, member, post, settings
+from tests.agent.loopback import Conversation, Message, Peer, member, post, settings
 
 
 def whole(revision: int, *members: dict[str, Any]) -> bytes:
--- a/tests/hosted/test_api.py
+++ b/tests/hosted/test_api.py
@@ -13,7 +13,7 @@
 
 from lilacsill.hosted.api import openapi
 from tests.hosted.service import Fleet, Hosted, hosted, pool_body
-from tests.loopback import Conversation
+from tests.agent.loopback import Conversation
 
 
 def with_service(folder: Path, test: Callable[[Hosted, Fleet], Awaitable[None]]) -> None:
--- a/tests/hosted/test_turns.py
+++ b/tests/hosted/test_turns.py
@@ -21,7 +21,7 @@
 from lilacsill.hosted.worker.process import FREEZE_AT, Worker, WorkerConfig
 from lilacsill.hosted.worker.tenancy import ANONYMOUS, refused_turn
 from tests.hosted.service import Fleet, call, facts
-from tests.loopback import Conversation
+from tests.agent.loopback import Conversation
 
 QUIET, LOUD = 11, 12
 SECRETS = {uid: make_token(bytes([uid] * 6), bytes([uid] * 32)) for uid in (QUIET, LOUD)}
--- /dev/null
+++ b/tests/net/__init__.py
@@ -0,0 +1,1 @@
+"""Tests of streams and timers."""
--- a/tests/test_stream.py
+++ b/tests/net/test_stream.py
@@ -17,7 +17,7 @@
 from lilacsill.clock import Clock
 from lilacsill.net.connecting import ConnectAttempt, connect, address_family
 from lilacsill.net.stream import Stream
-from tests.loopback import post, world
+from tests.agent.loopback import post, world
 
 BIG = bytes(8 * 1024 * 1024)  # more than the kernel takes at once
 
--- a/tests/test_emulator_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -21,7 +21,7 @@
 from lilacsill.emulator.sockets.clients import Pool
 from lilacsill.emulator.sockets.jobserver import ServerShell
 from lilacsill.emulator.sockets.listener import Listener
-from tests.loopback import Conversation
+from tests.agent.loopback import Conversation
 
 SECOND = 1_000_000
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -20,7 +20,7 @@
 from lilacsill.emulator.models.plan import make_plan
 from lilacsill.emulator.models.scenario import Scenario, Trouble
 
-from .helpers import SAFE
+from tests.balancing.helpers import SAFE
 
 MS = 1_000
 
