--- a/benchmarks/chain.py
+++ b/benchmarks/chain.py
@@ -86,7 +86,7 @@
 
 def refill(seed: int, routes: int) -> tuple[float, int]:
     """A member is back with an empty disk beside a state of so many routes: the longest milliseconds of a call while it
-    is taken in and filled, and the ranges that were mended."""
+    is taken in and filled, and the ranges that were repaired."""
     fleet, operator = fleet_of(seed)
     time, net = fleet.net.time, fleet.net
     done: list[int] = []
@@ -107,8 +107,8 @@
         took.append(time.now - began)
         time.run(time.now + 50 * MS)
     assert fleet.stores[lost].replica.complete
-    mended = [m for s in fleet.stores.values() for m in s.chain.repairs if m.startswith(lost)]
-    return max(took) / MS, int(mended[-1].split(": ")[1].split()[0])
+    repairs = [r for s in fleet.stores.values() for r in s.chain.repairs if r.startswith(lost)]
+    return max(took) / MS, int(repairs[-1].split(": ")[1].split()[0])
 
 
 def main() -> None:
--- a/lilacsill/mesh/store/chain.py
+++ b/lilacsill/mesh/store/chain.py
@@ -48,7 +48,7 @@
         self.pending_saves = 0
         self.successor = SuccessorLink(replica, self)
         self.predecessor = PredecessorLink(replica, self)
-        replica.on_view.append(self._on_view)
+        replica.view_listeners.append(self._on_view)
 
     def start(self) -> None:
         """Begin to replicate."""
--- a/lilacsill/mesh/store/learner_scheduler.py
+++ b/lilacsill/mesh/store/learner_scheduler.py
@@ -38,7 +38,7 @@
         self._spares = max(1, tolerance.machines)
         self._synced: dict[Member, _SyncedLearner] = {}  # in this view
         self._slice_began_at_us = 0
-        replica.on_view.append(self._synced.clear)
+        replica.view_listeners.append(self._synced.clear)
 
     def on_learner_synced(self) -> None:
         """Note that the present learner has everything, and go on to the next."""
--- a/lilacsill/mesh/store/lease_manager.py
+++ b/lilacsill/mesh/store/lease_manager.py
@@ -42,7 +42,7 @@
         self._on_release = on_release
         self._deferred: list[_DeferredVote] = []
         self._retry: Timer | None = None  # of the deferred votes
-        replica.on_view.append(self._on_view_change)
+        replica.view_listeners.append(self._on_view_change)
 
     def _on_view_change(self) -> None:
         self.grantor.clear()
--- a/tests/admin/test_upgrade.py
+++ b/tests/admin/test_upgrade.py
@@ -96,7 +96,7 @@
             await answers.get()
         enough.set()
         await asyncio.gather(*asking)
-        assert not [w for c in clients for w in c.wrong]
+        assert not [system for c in clients for system in c.wrong]
         assert len(seen) == len(set(seen)) == sum(c.served for c in clients)
         assert sum(c.crossed for c in clients) <= 2
         assert banned.requests.empty() and not banned.connections
@@ -120,7 +120,7 @@
             assert client.getpeername() == listener.getsockname()
 
 
-def test_what_is_no_listener_is_named_and_left_alone() -> None:
+def test_a_descriptor_that_is_no_listener_is_reported_and_left_alone() -> None:
     one, other = socket.socketpair()
     with one, other:
         try:
@@ -145,7 +145,7 @@
     assert limit() == 50
 
 
-def test_a_file_of_a_process_that_is_gone_holds_nobody_up(tmp_path: Path) -> None:
+def test_a_file_of_a_process_that_has_ended_blocks_nobody(tmp_path: Path) -> None:
     async def run() -> None:
         discovery = await Peer().start()
         (tmp_path / "lilacsill-operations.json").write_text(
