--- a/benchmarks/hosted.py
+++ b/benchmarks/hosted.py
@@ -20,7 +20,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacsill.hosted.decisions.fair import jain
+from lilacsill.hosted.decisions.fair_queue import jain_index
 
 from .hosting import FLEETS, Service, cpu_s, fleet, loads, service
 
@@ -148,7 +148,7 @@
         await loads(s.port, 2, [group[:4], group[4:]], 9)
         found = await loads(s.port, seconds, [group[:2], group[2:4], group[4:6], group[6:]])
     gets = {n: found[n]["served"] / by[n] / seconds for n in by}
-    index = jain(list(gets.values()))
+    index = jain_index(list(gets.values()))
     print(
         "weights: served a second for each unit of weight: "
         + "  ".join(f"{n}({by[n]:.0f}) {g:.1f}" for n, g in gets.items())
--- a/lilacsill/hosted/api/calls.py
+++ b/lilacsill/hosted/api/calls.py
@@ -11,7 +11,7 @@
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..resources import NAME, Kind, Resource
+from ..resources import NAME_PATTERN, Kind, Resource
 from ..store.interface import Author, Remembered
 from ..store.sqlite import told
 from .callers import Caller
@@ -50,7 +50,7 @@
 
 def name_in(request: Request) -> str:
     name = str(request.path_params["name"])
-    if not re.fullmatch(NAME, name):
+    if not re.fullmatch(NAME_PATTERN, name):
         raise Problem(404, "no resource can have this name")
     return name
 
@@ -86,7 +86,7 @@
         name = urlsafe_b64decode(text.encode()).decode()
     except ValueError:
         raise Problem(422, "cursor: none that was given out") from None
-    if not re.fullmatch(NAME, name):
+    if not re.fullmatch(NAME_PATTERN, name):
         raise Problem(422, "cursor: none that was given out")
     return name
 
--- a/lilacsill/hosted/api/figures.py
+++ b/lilacsill/hosted/api/figures.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from ..decisions.directory import Directory
-from ..messages import PoolFigures
+from ..messages import PoolStatistics
 from ..supervisor.workers import Workers, WorkerState
 from ..worker.process import REPORT_S
 
 MOST = 100  # rows told of tenants and of pools
-COUNTED = ("requests", "served", "in_aim", "failed")
+COUNTED = {"requests": "requests", "served": "served", "in_aim": "within_target", "failed": "failed"}
 
 
 def figures(revision: int, directory: Directory, workers: Workers) -> dict[str, Any]:
@@ -24,7 +24,7 @@
         pool = pools.get(tenant.spec.pool)
         if pool is not None:
             pool["tenants"] += 1
-        total = workers.account.totals(tenant.uid)
+        total = workers.account.total(tenant.uid)
         if not total.requests and tenant.uid not in in_flight:
             continue
         asked = sum(w.demand.get(tenant.uid, 0.0) for w in workers.states)  # between two reports
@@ -36,7 +36,7 @@
             "quota_per_s": tenant.spec.quota_per_s,
             "per_s": round(asked / REPORT_S, 1),
             "in_flight": in_flight.get(tenant.uid, 0),
-            **{c: getattr(total, c) for c in COUNTED},
+            **{key: getattr(total, name) for key, name in COUNTED.items()},
             "refused": sum(total.refused.values()),
             "cpu_s": round(total.cpu_us / 1e6, 3),
         }
@@ -85,7 +85,7 @@
 
 def _pool(name: str, workers: Workers) -> dict[str, Any]:
     """Over the workers that have used it: what is in hand in all, and of servers and latencies the worst belief."""
-    seen: list[PoolFigures] = [
+    seen: list[PoolStatistics] = [
         s.report.pools[name] for s in workers.states if s.report is not None and name in s.report.pools
     ]
     return {
@@ -93,7 +93,7 @@
         "tenants": 0,
         "servers": min((f.servers for f in seen), default=None),
         "usable": min((f.usable for f in seen), default=None),
-        "in_hand": sum(f.in_hand for f in seen),
+        "in_hand": sum(f.in_flight for f in seen),
         "excess": sum(f.excess for f in seen),
         "window": round(sum(f.window for f in seen), 1),
         "latency_ms": max((f.latency_ms for f in seen), default=0.0),
--- a/lilacsill/hosted/api/handlers.py
+++ b/lilacsill/hosted/api/handlers.py
@@ -159,7 +159,7 @@
         caller.need(*EVERYBODY)
         calls.only(request)
         tenant = self._visible(request, caller, Kind.TENANT)
-        total = msgspec.to_builtins(self._workers.account.totals(tenant.uid))
+        total = msgspec.to_builtins(self._workers.account.total(tenant.uid))
         total.pop("at")
         return calls.as_json(
             {"tenant": tenant.name, "minutes": self._workers.account.as_json(tenant.uid), "total": total}
--- a/lilacsill/hosted/api/openapi.py
+++ b/lilacsill/hosted/api/openapi.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from ..resources import NAME, CredentialSpec, Kind, Limits, PoolSpec, Role, State, TenantSpec
+from ..resources import NAME_PATTERN, CredentialSpec, Kind, Limits, PoolSpec, Role, State, TenantSpec
 from .calls import BODY_BYTES, PAGE, PAGE_MOST
 from .handlers import WAIT_MOST_S, NewCredential
 
@@ -41,7 +41,7 @@
     _, found = msgspec.json.schema_components(
         (PoolSpec, TenantSpec, CredentialSpec, Limits, NewCredential), ref_template="#/components/schemas/{name}"
     )
-    named = {"type": "string", "pattern": NAME, "maxLength": 48}
+    named = {"type": "string", "pattern": NAME_PATTERN, "maxLength": 48}
     number = {"type": "integer", "minimum": 0}
     found = dict(found)
     for name in ("PoolSpec", "TenantSpec"):
@@ -133,7 +133,7 @@
         "name": "name",
         "in": "path",
         "required": True,
-        "schema": {"type": "string", "pattern": NAME, "maxLength": 48},
+        "schema": {"type": "string", "pattern": NAME_PATTERN, "maxLength": 48},
     }
     limit = _query("limit", {"type": "integer", "minimum": 1, "maximum": PAGE_MOST, "default": PAGE}, "Of a page")
     cursor = _query("cursor", {"type": "string"}, "`next` of the page before")
--- a/lilacsill/hosted/api/server.py
+++ b/lilacsill/hosted/api/server.py
@@ -17,8 +17,9 @@
 from starlette.responses import HTMLResponse, JSONResponse, Response
 from starlette.routing import Route
 
-from ...address import parse_address
 from lilacsill.agent.operator.sections import HostedSection
+
+from ...address import parse_address
 from ..resources import Kind
 from ..store.interface import Conflict, Unavailable
 from ..supervisor.service import Refused, Service
--- a/lilacsill/hosted/cli/store.py
+++ b/lilacsill/hosted/cli/store.py
@@ -51,9 +51,9 @@
 @click.argument("path")
 def restore(backup: str, path: str) -> None:
     """Put a verified backup in the place of a store that is not in use; the old one stays beside it."""
+    from ..run import wall_ms
     from ..store.interface import StoreError
     from ..store.sqlite import restore as put_back
-    from ..run import wall_ms
 
     try:
         revision = put_back(backup, path, wall_ms)
@@ -64,9 +64,9 @@
 
 
 def _with_store(path: str, what: Any) -> Any:
+    from ..run import wall_ms
     from ..store.interface import StoreError
     from ..store.sqlite import SqliteStore
-    from ..run import wall_ms
 
     try:
         opened = SqliteStore(path, wall_ms)
--- a/lilacsill/hosted/decisions/__init__.py
+++ b/lilacsill/hosted/decisions/__init__.py
@@ -1,1 +1,1 @@
-"""What hosted mode decides: who a request is, what its tenant may have, whose turn it is. No I/O, no clock."""
+"""The decisions of the hosted service: authentication, limits, fair queueing, usage. No I/O, no clock."""
--- a/lilacsill/hosted/decisions/excess.py
+++ b/lilacsill/hosted/decisions/excess.py
@@ -1,78 +1,106 @@
-"""What a tenant sends beyond its share of a pool: admitted while the others do not feel it, refused early after that.
+"""Requests beyond a tenant's share of a pool: admitted while they do not slow the others down, refused early otherwise.
 
-Within its share a tenant goes straight to the decision module. What is beyond is scavenger traffic, as LEDBAT's (RFC
-6817) is to TCP's: a window on excess requests in flight opens while latencies stay near the least that the pool has
-shown lately, and closes when they rise. So idle capacity is used, and whose share it is gets it back within a few
-round trips. One for each pool and worker; the clock comes from outside, in microseconds.
+A request within its tenant's share goes directly to the decision module. Requests beyond it are scavenger traffic, as
+LEDBAT's (RFC 6817) is to TCP's: a window on the excess requests in flight opens while latencies stay near the lowest
+that the pool has shown lately, and closes when they rise. Idle capacity is used, and its owner gets it back within a
+few round trips. There is one window for each pool and worker; the caller gives the clock, in microseconds.
 """
 
 from __future__ import annotations
 
 from collections import deque
 
-TARGET = 1.05  # latencies may be so many times the base
-GAIN = 0.05  # weight of a new latency in the smoothed one
-BASE_US = 2_000_000  # one figure of the base is the least smoothed latency of so long,
-BASES = 10  # and the base is the least of so many
-FIRST, LEAST, MOST = 4.0, 1.0, 10_000.0  # of the window
-CLOSE = 0.8  # the window shrinks to this, at most once a smoothed latency
-LEARNED = 20  # answers before the base means something
+MAX_LATENCY_RATIO = 1.05
+"""The window closes while the smoothed latency is above so many times the base latency."""
+LATENCY_GAIN = 0.05
+"""Weight of a new latency in the smoothed one."""
+BASE_INTERVAL_US = 2_000_000
+"""The lowest smoothed latency of each such interval is kept."""
+BASE_INTERVALS = 10
+"""The base latency is the lowest of so many intervals; a pool that became slower has a new base after them."""
+INITIAL_WINDOW = 4.0
+MIN_WINDOW = 1.0
+MAX_WINDOW = 10_000.0
+DECREASE_FACTOR = 0.8
+"""The window shrinks to this part, once a smoothed latency at most."""
+MIN_SAMPLES = 20
+"""Answers until the smoothed latency is good enough for a base."""
 
 
-class Excess:
-    """The window, and who is beyond its share."""
+class ExcessWindow:
+    """The limit of excess requests in flight."""
 
     def __init__(self) -> None:
-        self.window, self.out = FIRST, 0
+        self.window = INITIAL_WINDOW
+        self.in_flight = 0
         self.latency_us = 0.0  # smoothed, of all answers
-        self._answers = 0
-        self._bases: deque[tuple[int, float]] = deque(maxlen=BASES)  # when each began, and its least
-        self._closed_at = 0
+        self._samples = 0
+        self._bases: deque[tuple[int, float]] = deque(maxlen=BASE_INTERVALS)  # start and lowest latency of each
+        self._decreased_us = 0
 
     @property
     def base_us(self) -> float:
-        return min((least for _, least in self._bases), default=0.0)
+        """The lowest smoothed latency of the last intervals, in microseconds; 0 until there is one."""
+        return min((lowest_us for _, lowest_us in self._bases), default=0.0)
 
     def admit(self) -> bool:
-        """Whether one more excess request may go; it is counted."""
-        if self.out >= self.window:
+        """Count one more excess request as in flight. Returns whether the window allows it."""
+        if self.in_flight >= self.window:
             return False
-        self.out += 1
+        self.in_flight += 1
         return True
 
-    def ended(self) -> None:
-        """An excess request is over, however it ended."""
-        assert self.out > 0
-        self.out -= 1
+    def release(self) -> None:
+        """Count an excess request as ended, whatever its result."""
+        assert self.in_flight > 0
+        self.in_flight -= 1
 
-    def answered(self, now: int, took_us: int, served: bool) -> None:
-        """Any request of the pool got its answer. One that was refused or failed says that the pool is full."""
+    def record_answer(self, now_us: int, duration_us: int, served: bool) -> None:
+        """Adapt the window to an answer to any request of the pool.
+
+        Args:
+            now_us: The time of the answer.
+            duration_us: The time since the request arrived.
+            served: False for a refusal or a failure, which say that the pool is overloaded.
+        """
         if not served:
-            return self._close(now)
-        self._answers += 1
-        gain = max(GAIN, 1 / self._answers)
-        self.latency_us += gain * (took_us - self.latency_us)
-        if self._answers < LEARNED:
+            self._decrease(now_us)
+            return
+        self._samples += 1
+        gain = max(LATENCY_GAIN, 1 / self._samples)
+        self.latency_us += gain * (duration_us - self.latency_us)
+        if self._samples < MIN_SAMPLES:
             return
-        if not self._bases or now - self._bases[-1][0] >= BASE_US:
-            self._bases.append((now, self.latency_us))
+        self._update_base(now_us)
+        if self.latency_us > MAX_LATENCY_RATIO * self.base_us:
+            self._decrease(now_us)
+        elif self.in_flight + 1 >= self.window:  # a window that is not used up is not known to be too small
+            self.window = min(MAX_WINDOW, self.window + 1 / self.window)
+
+    def _update_base(self, now_us: int) -> None:
+        if not self._bases or now_us - self._bases[-1][0] >= BASE_INTERVAL_US:
+            self._bases.append((now_us, self.latency_us))
         elif self.latency_us < self._bases[-1][1]:
             self._bases[-1] = (self._bases[-1][0], self.latency_us)
-        if self.latency_us > TARGET * self.base_us:
-            self._close(now)
-        elif self.out + 1 >= self.window:  # only a window that is used is known to be too small
-            self.window = min(MOST, self.window + 1 / self.window)
 
-    def _close(self, now: int) -> None:
-        if now - self._closed_at >= self.latency_us:
-            self._closed_at = now
-            self.window = max(LEAST, CLOSE * self.window)
+    def _decrease(self, now_us: int) -> None:
+        if now_us - self._decreased_us >= self.latency_us:
+            self._decreased_us = now_us
+            self.window = max(MIN_WINDOW, DECREASE_FACTOR * self.window)
+
+
+def exceeds_weight(in_flight: int, weight: float, others_in_flight: int, others_weight: float) -> bool:
+    """Say whether one more request of a tenant exceeds its share by weight of the requests in flight in its pool.
 
+    It never does where no other tenant has requests in flight: the rule is work-conserving.
 
-def beyond_weight(in_flight: int, weight: float, others_in_flight: int, others_weight: float) -> bool:
-    """For a tenant without a quota: whether one more is more than its part by weight of what the pool has in hand.
-    Where nobody else has anything in hand it never is."""
+    Args:
+        in_flight: The tenant's requests in flight.
+        weight: The tenant's weight.
+        others_in_flight: Requests in flight of the other tenants.
+        others_weight: The sum of the weights of the other tenants that have requests in flight.
+    """
     if not others_in_flight:
         return False
-    part = weight / (weight + others_weight)
-    return in_flight >= max(1.0, part * (in_flight + others_in_flight + 1))  # one is within anybody's part
+    share = weight / (weight + others_weight)
+    return in_flight >= max(1.0, share * (in_flight + others_in_flight + 1))  # one request is within every share
--- a/lilacsill/hosted/decisions/limits.py
+++ b/lilacsill/hosted/decisions/limits.py
@@ -1,123 +1,156 @@
-"""What a tenant has in hand on this worker, and whether it may have more.
+"""The limits of a tenant in one worker, and what counts against them.
 
-A limit counts over all workers; each worker holds a part of it (`part`), which the supervisor shares out by where the
-tenant's traffic is. A part is never below one request or connection, so that a tenant that moves to another worker is
-not shut out until the next round.
+A limit applies to all workers together. Each worker has a share of it, which the supervisor sets by where the tenant's
+traffic is. A share allows one request and one connection at least, so that a tenant whose traffic moves to another
+worker is not refused until the shares are next set.
 """
 
 from __future__ import annotations
 
+from collections.abc import Mapping
 from dataclasses import dataclass, field
 from math import sqrt
 
 from ..resources import Limits
-
-SECOND = 1_000_000
-BURST_S = 1.0  # a rate may be ahead by so much
-SPREAD = 4.0  # and a share by so many standard deviations of a second's Poisson arrivals: small ones vary most
-ADVICE_S = (0.1, 5.0)  # within this a refused client is told to come back
+from .refusals import LimitExceeded, RefusalCause
+
+SECOND_US = 1_000_000
+BURST_S = 1.0
+"""A bucket saves up the tokens of so many seconds."""
+QUOTA_SPREAD = 4.0
+"""A quota's bucket has room for so many standard deviations of a second's Poisson arrivals more, since the arrivals of
+small tenants vary most."""
+MIN_QUOTA_PER_S = 1e-3
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 5.0
+DURATION_GAIN = 0.1
+"""Weight of a new duration in the smoothed one."""
+EVEN_PART = 0.2
+"""The part of a limit that all workers share evenly: a worker without traffic must be able to begin."""
 
 
 @dataclass(slots=True)
-class Bucket:
-    """A token bucket: `rate` a second, at most `BURST_S` seconds of it and `spread` times its root."""
+class TokenBucket:
+    """A token bucket that is full at first."""
 
     level: float = 0.0
-    at: int = -1  # -1: not used yet, and full
-
-    def take(self, now: int, rate: float, spread: float = 0.0) -> float:
-        """0 if one was there; else the seconds until one is."""
-        most = max(1.0, rate * BURST_S + spread * sqrt(rate))
-        self.level = most if self.at < 0 else min(most, self.level + rate * (now - self.at) / SECOND)
-        self.at = now
+    updated_us: int | None = None
+    """When `level` was computed; None before the first use."""
+
+    def take(self, now_us: int, rate_per_s: float, spread: float = 0.0) -> float:
+        """Take a token.
+
+        Args:
+            now_us: The time.
+            rate_per_s: Tokens that arrive in a second; above 0.
+            spread: The bucket's size beyond `BURST_S` seconds of tokens, in square roots of the rate.
+
+        Returns:
+            0 if there was a token, else the seconds until there is one.
+        """
+        size = max(1.0, rate_per_s * BURST_S + spread * sqrt(rate_per_s))
+        if self.updated_us is None:
+            self.level = size
+        else:
+            self.level = min(size, self.level + rate_per_s * (now_us - self.updated_us) / SECOND_US)
+        self.updated_us = now_us
         if self.level >= 1.0:
             self.level -= 1.0
             return 0.0
-        return (1.0 - self.level) / rate
-
-
-@dataclass(slots=True, frozen=True)
-class Over:
-    """Refused: `cause` names the limit, `retry_after_s` when to come back."""
-
-    cause: str
-    retry_after_s: float
+        return (1.0 - self.level) / rate_per_s
 
 
 @dataclass(slots=True)
-class Holdings:
-    """What one tenant holds on this worker. All counts are 0 again once it holds nothing."""
+class TenantLimiter:
+    """Counts the requests and connections of one tenant in this worker, and admits or refuses more."""
 
     limits: Limits
-    part: float = 1.0
+    share: float = 1.0
+    """This worker's share of the limits, 0 to 1."""
     in_flight: int = 0
     connections: int = 0
     body_bytes: int = 0
-    typical_s: float = 0.1  # from a request's arrival to its answer, smoothed: advice is made of it
-    requests: Bucket = field(default_factory=Bucket)
-    new_connections: Bucket = field(default_factory=Bucket)
-    share: Bucket = field(default_factory=Bucket)
-
-    def beyond_quota(self, now: int, quota_per_s: float) -> bool:
-        """Whether this request is beyond the tenant's quota; the pool may take it all the same."""
-        return bool(self.share.take(now, max(quota_per_s * self.part, 1e-3), SPREAD))
-
-    def connection(self, now: int) -> Over | None:
-        """One more connection has shown the tenant's credential. It is counted unless refused."""
-        most = self._most(self.limits.connections)
-        if most and self.connections >= most:
-            return Over("connections", ADVICE_S[1])
-        rate = self.limits.new_connections_per_s * self.part
-        wait_s = self.new_connections.take(now, rate) if rate else 0.0
+    """Bytes of the bodies of requests in flight."""
+    duration_s: float = 0.1
+    """Smoothed time from a request's arrival to its answer."""
+    requests: TokenBucket = field(default_factory=TokenBucket)
+    new_connections: TokenBucket = field(default_factory=TokenBucket)
+    quota: TokenBucket = field(default_factory=TokenBucket)
+
+    def exceeds_quota(self, now_us: int, quota_per_s: float) -> bool:
+        """Count one request against the tenant's quota. Returns whether the request is beyond it."""
+        return bool(self.quota.take(now_us, max(quota_per_s * self.share, MIN_QUOTA_PER_S), QUOTA_SPREAD))
+
+    def admit_connection(self, now_us: int) -> LimitExceeded | None:
+        """Count one more connection that presented the tenant's credential, unless a limit refuses it."""
+        limit = self._shared(self.limits.connections)
+        if limit and self.connections >= limit:
+            return LimitExceeded(RefusalCause.CONNECTIONS, MAX_RETRY_AFTER_S)
+        rate_per_s = self.limits.new_connections_per_s * self.share
+        wait_s = self.new_connections.take(now_us, rate_per_s) if rate_per_s else 0.0
         if wait_s:
-            return Over("new_connections", _advice(wait_s))
+            return LimitExceeded(RefusalCause.NEW_CONNECTIONS, _clamp_retry_after(wait_s))
         self.connections += 1
         return None
 
-    def request(self, now: int, body: int) -> Over | None:
-        """One more request with a body of so many bytes. It is counted unless refused."""
-        most = self._most(self.limits.in_flight)
-        if most and self.in_flight >= most:
-            return Over("in_flight", _advice(self.typical_s))
-        room = self._most(self.limits.body_bytes)
-        if room and self.body_bytes + body > room:
-            return Over("body_bytes", _advice(self.typical_s))
-        rate = self.limits.requests_per_s * self.part
-        wait_s = self.requests.take(now, rate) if rate else 0.0
+    def admit_request(self, now_us: int, body_bytes: int) -> LimitExceeded | None:
+        """Count one more request with a body of so many bytes, unless a limit refuses it."""
+        limit = self._shared(self.limits.in_flight)
+        if limit and self.in_flight >= limit:
+            return LimitExceeded(RefusalCause.IN_FLIGHT, self.retry_after_s())
+        max_body_bytes = self._shared(self.limits.body_bytes)
+        if max_body_bytes and self.body_bytes + body_bytes > max_body_bytes:
+            return LimitExceeded(RefusalCause.BODY_BYTES, self.retry_after_s())
+        rate_per_s = self.limits.requests_per_s * self.share
+        wait_s = self.requests.take(now_us, rate_per_s) if rate_per_s else 0.0
         if wait_s:
-            return Over("requests_per_s", _advice(wait_s))
+            return LimitExceeded(RefusalCause.REQUESTS_PER_S, _clamp_retry_after(wait_s))
         self.in_flight += 1
-        self.body_bytes += body
+        self.body_bytes += body_bytes
         return None
 
-    def advice_s(self) -> float:
-        """When to come back where nothing tells it better."""
-        return _advice(self.typical_s)
+    def retry_after_s(self) -> float:
+        """Estimate when a request in flight will have ended, in seconds."""
+        return _clamp_retry_after(self.duration_s)
+
+    def request_ended(self, body_bytes: int, duration_s: float) -> None:
+        """Count a request as ended.
 
-    def answered(self, body: int, took_s: float) -> None:
-        assert self.in_flight > 0 and self.body_bytes >= body
+        Args:
+            body_bytes: The bytes that it was admitted with.
+            duration_s: The time since it was admitted.
+        """
+        assert self.in_flight > 0 and self.body_bytes >= body_bytes
         self.in_flight -= 1
-        self.body_bytes -= body
-        self.typical_s += 0.1 * (took_s - self.typical_s)
+        self.body_bytes -= body_bytes
+        self.duration_s += DURATION_GAIN * (duration_s - self.duration_s)
 
-    def closed(self) -> None:
+    def connection_closed(self) -> None:
+        """Count a connection as closed."""
         assert self.connections > 0
         self.connections -= 1
 
-    def _most(self, limit: int) -> int:
-        return max(1, int(limit * self.part)) if limit else 0
+    def _shared(self, limit: int) -> int:
+        """Compute this worker's part of a limit; 0: no limit."""
+        return max(1, int(limit * self.share)) if limit else 0
+
+
+def _clamp_retry_after(wait_s: float) -> float:
+    return min(MAX_RETRY_AFTER_S, max(MIN_RETRY_AFTER_S, wait_s))
 
 
-def _advice(wait_s: float) -> float:
-    low, high = ADVICE_S
-    return min(high, max(low, wait_s))
+def limit_shares(demand: Mapping[int, float], workers: int) -> dict[int, float]:
+    """Compute each worker's share of a tenant's limits by its part of the tenant's traffic.
 
+    Args:
+        demand: The tenant's traffic at each worker, by the worker's number.
+        workers: The number of workers.
 
-def parts(demand: dict[int, float], workers: int) -> dict[int, float]:
-    """Each worker's part of a limit by its part of the tenant's traffic, a fifth of it shared out evenly: one that has
-    seen nothing must be able to begin. The parts add up to 1."""
+    Returns:
+        The shares by the worker's number; they add up to 1.
+    """
     total = sum(demand.values())
     even = 1.0 / workers
     if total <= 0:
         return dict.fromkeys(demand, even)
-    return {w: 0.8 * (d / total) + 0.2 * even for w, d in demand.items()}
+    return {worker: (1 - EVEN_PART) * (traffic / total) + EVEN_PART * even for worker, traffic in demand.items()}
--- a/lilacsill/hosted/decisions/usage.py
+++ b/lilacsill/hosted/decisions/usage.py
@@ -1,4 +1,4 @@
-"""The account of use: what each tenant asked for and got, by minute, bounded in minutes and in names."""
+"""The usage account: what each tenant requested and got, by minute, with a bounded number of minutes."""
 
 from __future__ import annotations
 
@@ -7,26 +7,36 @@
 
 import msgspec
 
-MINUTES = 60  # kept of each tenant
+from .refusals import RefusalCause
 
+RETAINED_MINUTES = 60
 
-class Minute(msgspec.Struct):
-    """What came to an end in one minute. Refusals are told by their cause."""
 
-    at: int  # of the clock that dates the account, in whole minutes
+class MinuteUsage(msgspec.Struct):
+    """The requests of one tenant that ended in one minute."""
+
+    minute: int = msgspec.field(name="at")
+    """Minutes of Unix time."""
     requests: int = 0
     served: int = 0
-    in_aim: int = 0
+    within_target: int = msgspec.field(default=0, name="in_aim")
+    """Requests that were served within the latency target of their class."""
     failed: int = 0
     refused: dict[str, int] = {}
+    """Refused requests by the text of their `RefusalCause`."""
     bytes_in: int = 0
     bytes_out: int = 0
     cpu_us: float = 0.0
 
-    def add(self, other: Minute) -> None:
+    def count_refusal(self, cause: RefusalCause) -> None:
+        """Count one refused request."""
+        self.refused[cause.value] = self.refused.get(cause.value, 0) + 1
+
+    def add(self, other: MinuteUsage) -> None:
+        """Add the counters of another row."""
         self.requests += other.requests
         self.served += other.served
-        self.in_aim += other.in_aim
+        self.within_target += other.within_target
         self.failed += other.failed
         self.bytes_in += other.bytes_in
         self.bytes_out += other.bytes_out
@@ -35,48 +45,56 @@
             self.refused[cause] = self.refused.get(cause, 0) + count
 
 
-class Account:
-    """Of one process, or of all workers together. Keyed by a tenant's uid: a successor of the same name begins anew."""
+class UsageAccount:
+    """The account of one worker, or of all workers together.
 
-    def __init__(self, minutes: int = MINUTES) -> None:
-        self._minutes = minutes
-        self._tenants: dict[int, deque[Minute]] = {}
+    Its keys are uids of tenants: a new tenant with the name of a removed one starts at 0.
+    """
 
-    def at(self, tenant: int, minute: int) -> Minute:
-        """The entry to add to. A clock that went back adds to the latest minute there is."""
-        rows = self._tenants.setdefault(tenant, deque(maxlen=self._minutes))
-        if not rows or rows[-1].at < minute:
-            rows.append(Minute(minute))
+    def __init__(self, retained_minutes: int = RETAINED_MINUTES) -> None:
+        self._retained_minutes = retained_minutes
+        self._tenants: dict[int, deque[MinuteUsage]] = {}
+
+    def row(self, tenant: int, minute: int) -> MinuteUsage:
+        """Get the row to add to. After a step back of the clock that is the latest row."""
+        rows = self._rows_of(tenant)
+        if not rows or rows[-1].minute < minute:
+            rows.append(MinuteUsage(minute))
         return rows[-1]
 
-    def merge(self, tenant: int, minute: Minute) -> None:
-        """Take in what a worker tells. Late news of an earlier minute finds its row, or is added to the oldest."""
-        rows = self._tenants.setdefault(tenant, deque(maxlen=self._minutes))
+    def merge(self, tenant: int, usage: MinuteUsage) -> None:
+        """Add a row that a worker reports. A late one is added to its minute, or to the oldest that is retained."""
+        rows = self._rows_of(tenant)
         for row in reversed(rows):
-            if row.at == minute.at:
-                return row.add(minute)
-        if not rows or rows[-1].at < minute.at:
-            rows.append(Minute(minute.at))
-            return rows[-1].add(minute)
-        rows[0].add(minute)
-
-    def take(self) -> dict[int, list[Minute]]:
-        """All that was counted since the last time, which is then forgotten here."""
-        taken = {t: list(rows) for t, rows in self._tenants.items() if rows}
+            if row.minute == usage.minute:
+                row.add(usage)
+                return
+        if not rows or rows[-1].minute < usage.minute:
+            rows.append(MinuteUsage(usage.minute))
+            rows[-1].add(usage)
+        else:
+            rows[0].add(usage)
+
+    def _rows_of(self, tenant: int) -> deque[MinuteUsage]:
+        return self._tenants.setdefault(tenant, deque(maxlen=self._retained_minutes))
+
+    def take_all(self) -> dict[int, list[MinuteUsage]]:
+        """Return all rows by tenant, and clear the account."""
+        taken = {tenant: list(rows) for tenant, rows in self._tenants.items() if rows}
         self._tenants.clear()
         return taken
 
-    def of(self, tenant: int) -> list[Minute]:
+    def rows(self, tenant: int) -> list[MinuteUsage]:
+        """List a tenant's rows, oldest first."""
         return list(self._tenants.get(tenant, ()))
 
-    def forget(self, tenant: int) -> None:
-        self._tenants.pop(tenant, None)
-
-    def totals(self, tenant: int) -> Minute:
-        total = Minute(0)
+    def total(self, tenant: int) -> MinuteUsage:
+        """Sum a tenant's rows up."""
+        total = MinuteUsage(0)
         for row in self._tenants.get(tenant, ()):
             total.add(row)
         return total
 
     def as_json(self, tenant: int) -> list[dict[str, Any]]:
-        return [msgspec.to_builtins(row) for row in self.of(tenant)]
+        """List a tenant's rows with the names of the administration API."""
+        return [msgspec.to_builtins(row) for row in self.rows(tenant)]
--- a/lilacsill/hosted/log.py
+++ b/lilacsill/hosted/log.py
@@ -1,4 +1,4 @@
-"""Logging of the service: one JSON object a line, or text for people."""
+"""Logging of the service: one JSON object a line, or text for a terminal."""
 
 from __future__ import annotations
 
@@ -8,8 +8,12 @@
 import structlog
 
 
-def configure(form: str) -> None:
-    """All loggers of the process, the standard library's too."""
+def configure(log_format: str) -> None:
+    """Configure all loggers of the process, the standard library's too.
+
+    Args:
+        log_format: `json`, or `text` for a terminal.
+    """
     shared: list[structlog.types.Processor] = [
         structlog.stdlib.add_log_level,
         structlog.stdlib.add_logger_name,
@@ -17,7 +21,7 @@
         structlog.processors.format_exc_info,
     ]
     renderer: structlog.types.Processor = (
-        structlog.processors.JSONRenderer() if form == "json" else structlog.dev.ConsoleRenderer(colors=False)
+        structlog.processors.JSONRenderer() if log_format == "json" else structlog.dev.ConsoleRenderer(colors=False)
     )
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
--- a/lilacsill/hosted/resources.py
+++ b/lilacsill/hosted/resources.py
@@ -1,7 +1,10 @@
 """The resources of the administration API, typed, with their bounds: pools, tenants, credentials.
 
-A `Spec` is what an operator sets; the store keeps it with a name, a uid that is never used again, and the revision of
-its last change. Everything that reaches a worker has passed through here.
+A `Spec` is the part of a resource that an operator sets. The store keeps it with a name, a uid that is never reused,
+and the revision of its last change. Every resource that reaches a worker was validated here.
+
+The docstrings of specs, limits, roles and states are descriptions in the OpenAPI document: a change there is one of
+the API.
 """
 
 from __future__ import annotations
@@ -16,17 +19,24 @@
 
 from ..address import parse_address
 
-NAME = r"^[a-z0-9](?:[a-z0-9-]{0,46}[a-z0-9])?$"
-Name = Annotated[str, Meta(pattern=NAME, max_length=48, description="lower case letters, digits and inner dashes")]
+NAME_PATTERN = r"^[a-z0-9](?:[a-z0-9-]{0,46}[a-z0-9])?$"
+Name = Annotated[
+    str, Meta(pattern=NAME_PATTERN, max_length=48, description="lower case letters, digits and inner dashes")
+]
 Host = Annotated[str, Meta(pattern=r"^[a-z0-9][a-z0-9.-]{0,252}$", max_length=253)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
 Rate = Annotated[float, Meta(ge=0, le=1_000_000)]
-HOSTS = 32  # of a tenant
-CREDENTIALS = 8  # of a tenant; two are enough to rotate
-SETTINGS_BYTES = 64 * 1024  # of a pool's settings, as JSON
+MAX_HOSTS = 32
+"""Hosts of one tenant."""
+MAX_CREDENTIALS = 8
+"""Credentials of one tenant; two are enough to rotate them."""
+MAX_SETTINGS_BYTES = 64 * 1024
+"""Bytes of a pool's settings, as JSON."""
 
 
 class Kind(StrEnum):
+    """The kinds of resources."""
+
     POOL = "pool"
     TENANT = "tenant"
     CREDENTIAL = "credential"
@@ -50,7 +60,7 @@
 
 
 class Spec(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """What is set of a resource."""
+    """The part of a resource that an operator sets."""
 
 
 class PoolSpec(Spec, frozen=True, kw_only=True):
@@ -62,8 +72,11 @@
 
     def __post_init__(self) -> None:
         parse_address(self.discovery)
-        if len(msgspec.json.encode(self.settings)) > SETTINGS_BYTES:
-            raise ValueError(f"settings: larger than {SETTINGS_BYTES} bytes")
+        self._check_settings()
+
+    def _check_settings(self) -> None:
+        if len(msgspec.json.encode(self.settings)) > MAX_SETTINGS_BYTES:
+            raise ValueError(f"settings: larger than {MAX_SETTINGS_BYTES} bytes")
         if self.settings.get("tenants"):
             raise ValueError("settings: tenants: belong to the service, not to the pool; leave them out")
         try:
@@ -72,20 +85,23 @@
             for key in ("connectTimeoutUs", "connIdleUs"):
                 if not isinstance(allowed[key], int) or allowed[key] <= 0:
                     raise ValueError(f"settings: allowed.{key}: must be a whole number above 0")
-        except SettingsError as e:
-            raise ValueError(str(e)) from None
-        except KeyError as e:
-            raise ValueError(f"settings: needed key missing: {e}") from None
+        except SettingsError as error:
+            raise ValueError(str(error)) from None
+        except KeyError as error:
+            raise ValueError(f"settings: needed key missing: {error}") from None
 
 
 class Limits(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
     """The most that a tenant may have over all workers; 0: no limit of its own."""
 
-    in_flight: Count = 0  # requests in hand
-    connections: Count = 0  # open ones that have shown a credential of the tenant
+    in_flight: Count = 0
+    """Requests in flight."""
+    connections: Count = 0
+    """Open connections that have presented a credential of the tenant."""
     requests_per_s: Rate = 0.0
     new_connections_per_s: Rate = 0.0
-    body_bytes: Annotated[int, Meta(ge=0, le=2**40)] = 0  # of request bodies in hand
+    body_bytes: Annotated[int, Meta(ge=0, le=2**40)] = 0
+    """Bytes of the bodies of requests in flight."""
 
 
 class TenantSpec(Spec, frozen=True, kw_only=True):
@@ -93,8 +109,9 @@
 
     pool: Name
     weight: Annotated[float, Meta(ge=0, le=10_000)] = 1.0
-    quota_per_s: Rate = 0.0  # requests a second within its share of the pool; 0: no quota
-    hosts: Annotated[list[Host], Meta(max_length=HOSTS)] = []
+    quota_per_s: Rate = 0.0
+    """Requests a second within the tenant's share of the pool; 0: no quota."""
+    hosts: Annotated[list[Host], Meta(max_length=MAX_HOSTS)] = []
     limits: Limits = Limits()
     state: State = State.ACTIVE
     description: Annotated[str, Meta(max_length=500)] = ""
@@ -121,20 +138,24 @@
 
 
 class Resource(msgspec.Struct, frozen=True):
-    """A resource as the store holds it."""
+    """A resource as the store keeps it."""
 
     kind: Kind
     name: str
-    uid: int  # one for each incarnation; never used again
-    revision: int  # of its last change
+    uid: int
+    """Identifies one incarnation of the name; never reused."""
+    revision: int
+    """The revision of its last change."""
     spec: Spec
 
-    def with_spec(self, revision: int, spec: Spec) -> Resource:
-        return Resource(self.kind, self.name, self.uid, revision, spec)
-
 
 def decode_spec(kind: Kind, raw: bytes | dict[str, Any]) -> Spec:
-    """Raises msgspec.ValidationError, which names the key and what is allowed."""
+    """Decode and validate a spec.
+
+    Raises:
+        msgspec.ValidationError: A value is not allowed; the text names its key and what is allowed.
+        msgspec.DecodeError: The bytes are no JSON.
+    """
     if isinstance(raw, bytes):
         return msgspec.json.decode(raw, type=SPECS[kind])
     return msgspec.convert(raw, SPECS[kind])
--- a/lilacsill/hosted/supervisor/service.py
+++ b/lilacsill/hosted/supervisor/service.py
@@ -15,7 +15,7 @@
 from ..decisions.directory import Directory
 from ..decisions.secrets import digest_of, make_token
 from ..resources import (
-    CREDENTIALS,
+    MAX_CREDENTIALS,
     CredentialSpec,
     Kind,
     Resource,
@@ -133,7 +133,7 @@
             if self.store.get(Kind.POOL, spec.pool) is None:
                 raise Refused(422, f"pool: there is no pool {spec.pool}")
             for host in spec.hosts:
-                others = self.directory.claims(host) - {name}
+                others = self.directory.tenants_of_host(host) - {name}
                 if others:
                     raise Refused(409, f"hosts: {host} is tenant {min(others)}'s")
         elif isinstance(spec, CredentialSpec) and spec.tenant is not None:
@@ -142,8 +142,10 @@
                 raise Refused(422, f"tenant: there is no tenant {spec.tenant}")
             if tenant.spec.state is State.REMOVING:
                 raise Refused(409, f"tenant {spec.tenant} is being removed")
-            if now is None and len(tenant.credentials) >= CREDENTIALS:
-                raise Refused(409, f"tenant {spec.tenant} has {CREDENTIALS} credentials, the most; remove one first")
+            if now is None and len(tenant.credentials) >= MAX_CREDENTIALS:
+                raise Refused(
+                    409, f"tenant {spec.tenant} has {MAX_CREDENTIALS} credentials, the most; remove one first"
+                )
 
     def _put(
         self,
--- a/lilacsill/hosted/supervisor/workers.py
+++ b/lilacsill/hosted/supervisor/workers.py
@@ -12,21 +12,21 @@
 
 import msgspec
 
-from ..decisions.limits import parts
-from ..decisions.usage import Account
+from ..decisions.limits import limit_shares
+from ..decisions.usage import UsageAccount
 from ..messages import (
-    LINE_BYTES,
+    MAX_LINE_BYTES,
+    Applied,
     Drained,
-    Have,
-    Parts,
+    LimitShares,
     Ready,
     Report,
     Snapshot,
     Stop,
-    Stored,
+    StoredResource,
     ToWorker,
     Update,
-    line,
+    encode_line,
     read_from_worker,
 )
 from ..resources import Kind
@@ -70,7 +70,7 @@
         self._store, self._listen, self._configs = store, listen, configs
         self._on_drained = on_drained
         self.states = [WorkerState(c.me) for c in configs]
-        self.account = Account()
+        self.account = UsageAccount()
         self._changed = asyncio.Condition()
         self._tasks: list[asyncio.Task[None]] = []
         self._stopping = False
@@ -102,7 +102,7 @@
 
     def publish(self, changes: list[Change]) -> None:
         """One commit, to all that serve; one that starts gets it with its snapshot."""
-        put: list[Stored] = []
+        put: list[StoredResource] = []
         drop: list[tuple[Kind, str]] = []
         for change in changes:
             found = self._store.get(change.kind, change.name)
@@ -110,7 +110,7 @@
                 drop.append((change.kind, change.name))
             else:
                 put.append(
-                    Stored(
+                    StoredResource(
                         found.kind, found.name, found.uid, found.revision, msgspec.Raw(msgspec.json.encode(found.spec))
                     )
                 )
@@ -126,7 +126,7 @@
 
     def _snapshot(self) -> Snapshot:
         resources = [
-            Stored(r.kind, r.name, r.uid, r.revision, msgspec.Raw(msgspec.json.encode(r.spec)))
+            StoredResource(r.kind, r.name, r.uid, r.revision, msgspec.Raw(msgspec.json.encode(r.spec)))
             for kind in (Kind.POOL, Kind.TENANT, Kind.CREDENTIAL)
             for r in self._store.page(kind)
         ]
@@ -135,7 +135,7 @@
     @staticmethod
     def _tell(s: WorkerState, message: ToWorker) -> None:
         if s.writer is not None and not s.writer.is_closing():
-            s.writer.write(line(message))
+            s.writer.write(encode_line(message))
 
     # Their lives
 
@@ -172,7 +172,7 @@
             )
         finally:
             theirs.close()
-        reader, s.writer = await asyncio.open_connection(sock=ours, limit=LINE_BYTES)
+        reader, s.writer = await asyncio.open_connection(sock=ours, limit=MAX_LINE_BYTES)
         try:
             # What is committed from here on comes behind the snapshot: both are written in this turn.
             self._tell(s, self._snapshot())
@@ -195,7 +195,7 @@
         message = read_from_worker(raw)
         if isinstance(message, Ready):
             s.port = message.port
-        elif isinstance(message, Have):
+        elif isinstance(message, Applied):
             s.have = message.revision
         elif isinstance(message, Drained):
             s.drained.add(message.uid)
@@ -226,6 +226,8 @@
             if len(self.states) < 2 or not serving:
                 continue
             tenants = {uid for s in serving for uid in s.demand}
-            shares = {uid: parts({s.number: s.demand.get(uid, 0.0) for s in serving}, len(serving)) for uid in tenants}
+            shares = {
+                uid: limit_shares({s.number: s.demand.get(uid, 0.0) for s in serving}, len(serving)) for uid in tenants
+            }
             for s in serving:
-                self._tell(s, Parts({uid: share[s.number] for uid, share in shares.items()}))
+                self._tell(s, LimitShares({uid: share[s.number] for uid, share in shares.items()}))
--- a/lilacsill/hosted/worker/front.py
+++ b/lilacsill/hosted/worker/front.py
@@ -18,10 +18,9 @@
 from lilacsill.agent.watermarks import Watermarks
 
 from ...clock import Clock
-from ...http1.message import Headers, Message, InvalidMessageError
+from ...http1.message import Headers, InvalidMessageError, Message
 from ...net.stream import Stream
-from ..decisions.directory import Refusal
-from ..decisions.limits import Over
+from ..decisions.refusals import LimitExceeded, Refusal, RefusalCause
 from .tenancy import ANONYMOUS, Held, Tenancy, refused_turn
 
 if TYPE_CHECKING:
@@ -85,7 +84,7 @@
         """Its turn has not come in time. It is told so unread: no parsing, no routing."""
         self.waiting_since = None
         if self.stream is not None and self.open:
-            self._server.tenancy.refused(self.tenant, "turn")
+            self._server.tenancy.refused(self.tenant, RefusalCause.CORE_SHARE)
             self._reject(InvalidMessageError(503, "others go first"), [("Retry-After", f"{TURN_ADVICE_S}")])
             self.stream.resume()
 
@@ -142,7 +141,7 @@
     def holds_back(self, connection: HostedConnection) -> bool:
         """Whether others go before it. It then waits, unread, until `_pump` comes to it."""
         turns, turn = self.tenancy.turns, connection.turn
-        if not turns.ahead(turn):
+        if not turns.is_ahead(turn):
             return False
         assert connection.stream is not None
         connection.waiting_since = self._clock.now()
@@ -162,7 +161,7 @@
 
     def may_accept_more(self) -> bool:
         """What the others leave: in a storm of new connections one a turn of the loop, the rest stays in the kernel."""
-        return not self.tenancy.turns.ahead(ANONYMOUS)
+        return not self.tenancy.turns.is_ahead(ANONYMOUS)
 
     def _on_accepted(self, sock: socket.socket, host: str, on_spare: bool) -> None:
         began, self._read_us = perf_counter_ns(), 0.0
@@ -179,7 +178,7 @@
         """One connection a turn of the loop: whoever has something to read and is not ahead goes first."""
         self._pumping = False
         turns = self.tenancy.turns
-        turn = turns.next()
+        turn = turns.next_flow()
         if turn is not None:
             waiting = self._waiting.get(turn)  # None: all of it was told to go on
             while waiting and not waiting.popleft().go_on():
@@ -226,7 +225,7 @@
             raise InvalidMessageError(400, "a header is there twice")
         found = self._tenancy.route(request)
         if isinstance(found, Refusal):
-            raise InvalidMessageError(found.status, found.why)
+            raise InvalidMessageError(found.status, found.detail)
         held, pool = found
         if connection.tenant != held.uid:
             over = self._tenancy.bind(connection.tenant, held)
@@ -252,11 +251,11 @@
         now = self._tenancy.now()
         beyond = pool.beyond_share(held.uid, held.holdings, now)
         if beyond and not pool.excess.admit():
-            return self._refuse(call, held, Over("share", held.holdings.advice_s()))
-        over = held.holdings.request(now, len(call.body))
+            return self._refuse(call, held, LimitExceeded(RefusalCause.SHARE, held.holdings.retry_after_s()))
+        over = held.holdings.admit_request(now, len(call.body))
         if over is not None:
             if beyond:
-                pool.excess.ended()
+                pool.excess.release()
             return self._refuse(call, held, over)
         callback = self._in_hand[call] = Callback(self, call, held, pool, now, beyond)
         call.respond, call.begin_response = callback.answered, callback.began
@@ -265,7 +264,7 @@
         self._tenancy.took(held)
         pool.agent.handle(call)
 
-    def _refuse(self, call: DownstreamRequest, held: Held, over: Over) -> None:
+    def _refuse(self, call: DownstreamRequest, held: Held, over: LimitExceeded) -> None:
         self._tenancy.refused(held.uid, over.cause)
         self._server.taking.turn = refused_turn(held.uid)
         call.respond(call, 429, [("Retry-After", f"{over.retry_after_s:.3f}")], f"over {over.cause}\n".encode())
@@ -313,12 +312,12 @@
         self._call.respond, self._call.begin_response = self._respond, self._begin  # the two no longer hold each other
         tenancy = self._front._tenancy
         took_us = tenancy.now() - self._began
-        self.held.holdings.answered(len(self._call.body), took_us / 1e6)
+        self.held.holdings.request_ended(len(self._call.body), took_us / 1e6)
         aim_us = self.pool.settings.classes[self._call.request_class].latency_target_us
         tenancy.answered(self.held, status, nbytes, took_us <= aim_us)
         if self._beyond:
-            self.pool.excess.ended()
+            self.pool.excess.release()
         if status:
-            self.pool.excess.answered(tenancy.now(), took_us, status == 200)
+            self.pool.excess.record_answer(tenancy.now(), took_us, status == 200)
         self.pool.released(self.held.uid)
         self._front.over(self._call)
--- a/lilacsill/hosted/worker/pools.py
+++ b/lilacsill/hosted/worker/pools.py
@@ -22,9 +22,9 @@
 from ...address import parse_address
 from ...clock import Clock
 from ..decisions.directory import Pool, Tenant
-from ..decisions.excess import Excess, beyond_weight
-from ..decisions.limits import Holdings
-from ..messages import PoolFigures
+from ..decisions.excess import ExcessWindow, exceeds_weight
+from ..decisions.limits import TenantLimiter
+from ..messages import PoolStatistics
 
 
 class PoolRuntime:
@@ -69,7 +69,7 @@
         self.agent = Agent(Balancer(self.settings, seed), clock, backends, self._discovery)
         self.validator = RequestValidator(settings.classes, ())
         self.in_hand = 0
-        self.excess = Excess()
+        self.excess = ExcessWindow()
         self._by_tenant: dict[int, int] = {}  # requests in hand
         self._weights: dict[int, float] = {}
         self._quotas: dict[int, float] = {}
@@ -105,15 +105,15 @@
         self._leaving = True
         self._end_if_idle()
 
-    def beyond_share(self, uid: int, holdings: Holdings, now: int) -> bool:
+    def beyond_share(self, uid: int, holdings: TenantLimiter, now: int) -> bool:
         """Whether one more request is beyond the tenant's share: by its quota, or else by its weight among those that
         have something in hand."""
         quota = self._quotas.get(uid, 0.0)
         if quota:
-            return holdings.beyond_quota(now, quota)
+            return holdings.exceeds_quota(now, quota)
         mine = self._by_tenant.get(uid, 0)
         others = sum(self._weights.get(t, 0.0) for t in self._by_tenant if t != uid)
-        return beyond_weight(mine, self._weights.get(uid, 1.0), self.in_hand - mine, others)
+        return exceeds_weight(mine, self._weights.get(uid, 1.0), self.in_hand - mine, others)
 
     def taken(self, uid: int) -> None:
         self.in_hand += 1
@@ -128,13 +128,13 @@
             del self._by_tenant[uid]
         self._end_if_idle()
 
-    def figures(self) -> PoolFigures:
+    def figures(self) -> PoolStatistics:
         beliefs, excess = self.agent.estimates(), self.excess
-        return PoolFigures(
+        return PoolStatistics(
             len(beliefs),
             sum(b.healthy for b in beliefs),
             self.in_hand,
-            excess.out,
+            excess.in_flight,
             round(excess.window, 1),
             round(excess.latency_us / 1000, 1),
             round(excess.base_us / 1000, 1),
--- a/lilacsill/hosted/worker/process.py
+++ b/lilacsill/hosted/worker/process.py
@@ -18,29 +18,30 @@
 import msgspec
 
 from lilacsill.agent import descriptors
-from ...address import parse_address
 from lilacsill.agent.admission.controller import AdmissionController
 from lilacsill.agent.admission.descriptor_account import DescriptorAccount
-from lilacsill.agent.admission.settings import AdmissionSettings, DescriptorBudget, ConnectionTimeouts
-from ...clock import Clock
+from lilacsill.agent.admission.settings import AdmissionSettings, ConnectionTimeouts, DescriptorBudget
 from lilacsill.agent.descriptors import SpareDescriptor
 from lilacsill.agent.inbound.draining import DrainTimes
-from lilacsill.agent.watermarks import Watermarks
 from lilacsill.agent.operator.file import load as load_operator
+from lilacsill.agent.watermarks import Watermarks
+
+from ...address import parse_address
+from ...clock import Clock
 from ..decisions.directory import Directory
 from ..messages import (
-    LINE_BYTES,
+    MAX_LINE_BYTES,
+    Applied,
     Drained,
     FromWorker,
-    Have,
-    Parts,
+    LimitShares,
     Ready,
     Report,
     Snapshot,
     Stop,
-    Stored,
+    StoredResource,
     Update,
-    line,
+    encode_line,
     read_to_worker,
 )
 from ..resources import Kind, Resource, decode_spec
@@ -66,7 +67,7 @@
     operator: str | None = None
 
 
-def as_resource(s: Stored) -> Resource:
+def as_resource(s: StoredResource) -> Resource:
     return Resource(s.kind, s.name, s.uid, s.revision, decode_spec(s.kind, bytes(s.spec)))
 
 
@@ -125,7 +126,7 @@
 
     def _tell(self, message: FromWorker) -> None:
         if not self._writer.is_closing():
-            self._writer.write(line(message))
+            self._writer.write(encode_line(message))
 
     async def run(self) -> int:
         reports = asyncio.create_task(self._report())
@@ -143,10 +144,10 @@
         self._tell(self._figures())
         return 0
 
-    def _hear(self, message: Snapshot | Update | Parts) -> None:
+    def _hear(self, message: Snapshot | Update | LimitShares) -> None:
         tenancy = self._tenancy
-        if isinstance(message, Parts):
-            return tenancy.parts(message.parts)
+        if isinstance(message, LimitShares):
+            return tenancy.parts(message.shares)
         self._told += len(message.resources if isinstance(message, Snapshot) else message.put)
         if isinstance(message, Snapshot):
             for stored in message.resources:
@@ -161,7 +162,7 @@
             for stored in message.put:
                 tenancy.put(as_resource(stored))
             self._close_leaving()
-        self._tell(Have(message.revision))
+        self._tell(Applied(message.revision))
 
     def _close_leaving(self) -> None:
         for uid, held in list(self._tenancy.held.items()):
@@ -193,7 +194,7 @@
         for held in tenancy.held.values():
             held.demand = 0
         return Report(
-            tenancy.account.take(),
+            tenancy.account.take_all(),
             demand,
             {uid: h.holdings.in_flight for uid, h in tenancy.held.items() if h.holdings.in_flight},
             len(self._server.connections),
@@ -214,7 +215,7 @@
 
 
 async def _run(fd: int, config: WorkerConfig) -> int:
-    reader, writer = await asyncio.open_connection(sock=socket.socket(fileno=fd), limit=LINE_BYTES)
+    reader, writer = await asyncio.open_connection(sock=socket.socket(fileno=fd), limit=MAX_LINE_BYTES)
     return await Worker(config, reader, writer).run()
 
 
--- a/lilacsill/hosted/worker/tenancy.py
+++ b/lilacsill/hosted/worker/tenancy.py
@@ -7,10 +7,11 @@
 
 from ...clock import Clock
 from ...http1.message import Message
-from ..decisions.directory import Directory, Refusal, Tenant
-from ..decisions.fair import FairTurns
-from ..decisions.limits import Holdings, Over
-from ..decisions.usage import Account
+from ..decisions.directory import Directory, Tenant
+from ..decisions.fair_queue import FairQueue
+from ..decisions.limits import TenantLimiter
+from ..decisions.refusals import LimitExceeded, Refusal, RefusalCause
+from ..decisions.usage import UsageAccount
 from ..resources import Kind, Resource, State, TenantSpec
 from .pools import PoolRuntime
 
@@ -31,7 +32,7 @@
 
     uid: int
     name: str
-    holdings: Holdings
+    holdings: TenantLimiter
     weight: float
     leaving: bool = False
     demand: int = 0  # requests since the last report
@@ -51,9 +52,9 @@
         self._clock, self._wall_s, self._workers = clock, wall_s, workers
         self._make_pool, self._drained = make_pool, drained
         self.directory = Directory()
-        self.turns = FairTurns()
+        self.turns = FairQueue()
         self.turns.join(ANONYMOUS, 1.0)
-        self.account = Account()
+        self.account = UsageAccount()
         self.pools: dict[str, PoolRuntime] = {}
         self.held: dict[int, Held] = {}  # those that have used this worker
         self._parts: dict[int, float] = {}
@@ -73,9 +74,9 @@
             request.header(b"authorization"), request.header(b"host") or "", request.header(b"tenant")
         )
         if isinstance(found, Refusal):
-            row = self.account.at(ANONYMOUS, self.minute())
+            row = self.account.row(ANONYMOUS, self.minute())
             row.requests += 1
-            row.refused[found.cause] = row.refused.get(found.cause, 0) + 1
+            row.count_refusal(found.cause)
             return found
         tenant, pool = found
         held = self.held.get(tenant.uid) or self._hold(tenant)
@@ -87,7 +88,7 @@
 
     def _hold(self, tenant: Tenant) -> Held:
         part = self._parts.get(tenant.uid, 1.0 / self._workers)
-        holdings = Holdings(tenant.spec.limits, part)
+        holdings = TenantLimiter(tenant.spec.limits, part)
         held = self.held[tenant.uid] = Held(tenant.uid, tenant.name, holdings, tenant.spec.weight)
         self._join(tenant.uid, tenant.spec.weight)
         return held
@@ -96,9 +97,9 @@
         self.turns.join(uid, weight)
         self.turns.join(refused_turn(uid), REFUSED_PART * weight)
 
-    def bind(self, before: int, held: Held) -> Over | None:
+    def bind(self, before: int, held: Held) -> LimitExceeded | None:
         """A connection that was `before`'s shows the credential of another tenant."""
-        over = held.holdings.connection(self.now())
+        over = held.holdings.admit_connection(self.now())
         if over is None:
             self.connection_closed(before)
         return over
@@ -106,7 +107,7 @@
     def connection_closed(self, tenant: int) -> None:
         held = self.held.get(tenant)
         if held is not None:
-            held.holdings.closed()
+            held.holdings.connection_closed()
             self._end_if_idle(held)
 
     def leaving(self, tenant: int) -> bool:
@@ -117,7 +118,7 @@
 
     def read(self, tenant: int, nbytes: int, cost_us: float) -> None:
         self._read_us += cost_us
-        row = self.account.at(tenant, self.minute())
+        row = self.account.row(tenant, self.minute())
         row.bytes_in += nbytes
         row.cpu_us += cost_us
 
@@ -125,26 +126,26 @@
         held.demand += 1
         self._taken += 1
         self.turns.charge(held.uid, self.cost_us, self.now())
-        row = self.account.at(held.uid, self.minute())
+        row = self.account.row(held.uid, self.minute())
         row.requests += 1
         row.cpu_us += self.cost_us
 
-    def refused(self, tenant: int, cause: str) -> None:
+    def refused(self, tenant: int, cause: RefusalCause) -> None:
         held = self.held.get(tenant)
         if held is not None:
             held.demand += 1
-        row = self.account.at(tenant, self.minute())
+        row = self.account.row(tenant, self.minute())
         row.requests += 1
-        row.refused[cause] = row.refused.get(cause, 0) + 1
+        row.count_refusal(cause)
 
     def answered(self, held: Held, status: int, nbytes: int, in_aim: bool) -> None:
-        row = self.account.at(held.uid, self.minute())
+        row = self.account.row(held.uid, self.minute())
         row.bytes_out += nbytes
         if status == 200:
             row.served += 1
-            row.in_aim += in_aim
+            row.within_target += in_aim
         elif status in (429, 503):
-            row.refused["by_module"] = row.refused.get("by_module", 0) + 1
+            row.count_refusal(RefusalCause.BY_MODULE)
         else:
             row.failed += 1
         self._end_if_idle(held)
@@ -203,7 +204,7 @@
     def parts(self, parts: dict[int, float]) -> None:
         self._parts = parts
         for uid, held in self.held.items():
-            held.holdings.part = parts.get(uid, 1.0 / self._workers)
+            held.holdings.share = parts.get(uid, 1.0 / self._workers)
 
     def _pool_changed(self, name: str) -> None:
         runtime, pool = self.pools.get(name), self.directory.pools[name]
--- a/tests/hosted/test_decisions.py
+++ b/tests/hosted/test_decisions.py
@@ -9,12 +9,13 @@
 from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
-from lilacsill.hosted.decisions.directory import Directory, Refusal
-from lilacsill.hosted.decisions.excess import LEARNED, Excess, beyond_weight
-from lilacsill.hosted.decisions.fair import FairTurns, jain
-from lilacsill.hosted.decisions.limits import ADVICE_S, Holdings, Over, parts
+from lilacsill.hosted.decisions.directory import Directory
+from lilacsill.hosted.decisions.excess import MIN_SAMPLES, ExcessWindow, exceeds_weight
+from lilacsill.hosted.decisions.fair_queue import FairQueue, jain_index
+from lilacsill.hosted.decisions.limits import MAX_RETRY_AFTER_S, MIN_RETRY_AFTER_S, TenantLimiter, limit_shares
+from lilacsill.hosted.decisions.refusals import LimitExceeded, Refusal
 from lilacsill.hosted.decisions.secrets import digest_of, make_token, parse_bearer
-from lilacsill.hosted.decisions.usage import Account, Minute
+from lilacsill.hosted.decisions.usage import MinuteUsage, UsageAccount
 from lilacsill.hosted.resources import (
     CredentialSpec,
     Kind,
@@ -97,7 +98,7 @@
 def test_a_tenant_that_is_gone_takes_its_hosts_along_and_its_credential_opens_nothing() -> None:
     d = directory()
     d.drop(Kind.TENANT, "a", 9)
-    assert d.claims("a.example") == set() and d.by_uid(2) is None
+    assert d.tenants_of_host("a.example") == set() and d.by_uid(2) is None
     found = d.route(f"Bearer {TOKEN}", "x", None)
     assert isinstance(found, Refusal) and found.cause == "removed"
     assert not isinstance(d.route(f"Bearer {OTHER}", "a.example", None), Refusal)
@@ -169,42 +170,45 @@
 def test_holdings_never_pass_their_limits_and_come_back_to_nothing(
     steps: list[tuple[str, int]], most: int, room: int, part: float
 ) -> None:
-    h, out = Holdings(Limits(in_flight=most, body_bytes=room), part), []
+    h, out = TenantLimiter(Limits(in_flight=most, body_bytes=room), part), []
     for step, size in steps:
         if step == "take":
-            over = h.request(0, size)
+            over = h.admit_request(0, size)
             if over is None:
                 out.append(size)
             else:
-                assert over.cause in ("in_flight", "body_bytes") and ADVICE_S[0] <= over.retry_after_s <= ADVICE_S[1]
+                assert (
+                    over.cause in ("in_flight", "body_bytes")
+                    and MIN_RETRY_AFTER_S <= over.retry_after_s <= MAX_RETRY_AFTER_S
+                )
         elif out:
-            h.answered(out.pop(), 0.1)
+            h.request_ended(out.pop(), 0.1)
         assert h.in_flight == len(out) <= max(1, int(most * part)) and h.body_bytes == sum(out)
         assert not room or h.body_bytes <= max(1, int(room * part))
     for size in out:
-        h.answered(size, 0.1)
+        h.request_ended(size, 0.1)
     assert h.in_flight == h.body_bytes == 0
 
 
 def test_a_rate_holds_over_time_and_a_refusal_says_when() -> None:
-    h = Holdings(Limits(requests_per_s=10.0))
+    h = TenantLimiter(Limits(requests_per_s=10.0))
     taken, now = 0, 0
     for _ in range(400):
-        over = h.request(now, 0)
+        over = h.admit_request(now, 0)
         taken += over is None
-        assert over is None or isinstance(over, Over)
+        assert over is None or isinstance(over, LimitExceeded)
         now += SECOND // 40
     assert 100 <= taken <= 111
 
 
 @given(st.floats(0.5, 500.0), st.integers(1, 40))
 def test_a_share_lends_a_small_tenant_the_spread_of_its_arrivals_and_no_more(quota: float, seconds: int) -> None:
-    h = Holdings(Limits())
-    at_once = sum(not h.beyond_quota(0, quota) for _ in range(int(3 * quota) + 20))
+    h = TenantLimiter(Limits())
+    at_once = sum(not h.exceeds_quota(0, quota) for _ in range(int(3 * quota) + 20))
     assert abs(at_once - (quota + 4 * quota**0.5)) <= 1
     steps = int(2 * quota) + 2
     later = sum(
-        not h.beyond_quota(SECOND + second * SECOND + step * SECOND // steps, quota)
+        not h.exceeds_quota(SECOND + second * SECOND + step * SECOND // steps, quota)
         for second in range(seconds)
         for step in range(steps)
     )
@@ -214,7 +218,7 @@
 @example({0: 5e-324})
 @given(st.dictionaries(st.integers(0, 7), st.floats(0, 1e6), min_size=1))
 def test_parts_add_up_and_nobody_is_shut_out(demand: dict[int, float]) -> None:
-    found = parts(demand, len(demand))
+    found = limit_shares(demand, len(demand))
     assert abs(sum(found.values()) - 1) < 1e-6 and min(found.values()) >= 0.2 / len(demand) - 1e-9
 
 
@@ -223,7 +227,7 @@
 
 def served(weights: dict[int, float], costs: dict[int, float], us: int, seed: int) -> dict[int, float]:
     """Tenants that always have something to do, on one core."""
-    turns, rng, at, gets = FairTurns(), Random(seed), 0, dict.fromkeys(weights, 0.0)
+    turns, rng, at, gets = FairQueue(), Random(seed), 0, dict.fromkeys(weights, 0.0)
     for tenant, weight in weights.items():
         turns.join(tenant, weight)
     ready = list(weights)
@@ -233,11 +237,11 @@
             at += int(cost)
             gets[tenant] += cost
             turns.charge(tenant, cost, at)
-        held = [t for t in ready if turns.ahead(t)]
+        held = [t for t in ready if turns.is_ahead(t)]
         ready = [t for t in ready if t not in held]
         for tenant in held:
             turns.wait(tenant)
-        following = turns.next()
+        following = turns.next_flow()
         if following is not None:
             ready.append(following)
     return gets
@@ -248,86 +252,86 @@
 def test_the_core_goes_by_weight_whatever_a_request_costs(tenants: list[tuple[float, float]], seed: int) -> None:
     weights = {i: w for i, (w, _) in enumerate(tenants)}
     gets = served(weights, {i: c for i, (_, c) in enumerate(tenants)}, 3 * SECOND, seed)
-    assert jain([gets[i] / weights[i] for i in weights]) > 0.99
+    assert jain_index([gets[i] / weights[i] for i in weights]) > 0.99
 
 
 def test_who_is_ahead_waits_while_others_work_and_goes_on_when_they_pause() -> None:
-    turns = FairTurns()
+    turns = FairQueue()
     turns.join(1, 1.0)
     turns.join(2, 1.0)
     turns.charge(2, 100, 1000)
     turns.charge(1, 50_000, 2000)
-    assert turns.ahead(1)
+    assert turns.is_ahead(1)
     turns.wait(1)
     turns.charge(2, 100, 2100)
-    assert turns.next() is None and turns.waiting == 1
-    assert turns.next() == 1  # a turn in which nobody else had anything to do
+    assert turns.next_flow() is None and turns.waiting == 1
+    assert turns.next_flow() == 1  # a turn in which nobody else had anything to do
 
 
 def test_one_alone_has_the_whole_core_and_one_that_was_away_saved_nothing_up() -> None:
-    turns = FairTurns()
+    turns = FairQueue()
     turns.join(1, 1.0)
     turns.join(2, 1.0)
     at = 0
     for _ in range(20_000):
         at += 100
         turns.charge(1, 100, at)
-    assert not turns.ahead(1) and turns.used_us(1) == 2_000_000
+    assert not turns.is_ahead(1) and turns.used_us(1) == 2_000_000
     turns.charge(2, 50_000, at)
-    assert turns.ahead(2)
+    assert turns.is_ahead(2)
 
 
 def test_a_tenant_that_left_is_not_named_again() -> None:
-    turns = FairTurns()
+    turns = FairQueue()
     for tenant in (1, 2):
         turns.join(tenant, 1.0)
         turns.wait(tenant)
     turns.leave(1)
-    assert turns.next() == 2 and turns.next() is None and turns.waiting == 0
+    assert turns.next_flow() == 2 and turns.next_flow() is None and turns.waiting == 0
 
 
 # Excess
 
 
 def test_excess_fills_what_is_idle_and_yields_when_answers_slow_down() -> None:
-    e, now = Excess(), 0
+    e, now = ExcessWindow(), 0
     for _ in range(2000):  # a pool that has room: the window opens
         now += 1000
         while e.admit():
             pass
-        e.answered(now, 10_000, True)
-        e.ended()
+        e.record_answer(now, 10_000, True)
+        e.release()
     wide = e.window
     assert wide > 30
     for _ in range(400):  # the others feel it
         now += 1000
-        e.answered(now, 14_000, True)
+        e.record_answer(now, 14_000, True)
     assert e.window < wide / 4
     assert e.base_us == pytest.approx(10_000, rel=0.05)
 
 
 def test_a_pool_that_refuses_closes_the_window_and_a_slower_pool_becomes_the_base() -> None:
-    e, now = Excess(), 0
-    for _ in range(LEARNED * 3):
+    e, now = ExcessWindow(), 0
+    for _ in range(MIN_SAMPLES * 3):
         now += 1000
-        e.answered(now, 10_000, True)
+        e.record_answer(now, 10_000, True)
     before = e.window
     for _ in range(50):
         now += 20_000
-        e.answered(now, 10_000, False)
+        e.record_answer(now, 10_000, False)
     assert e.window == 1.0 < before
     for _ in range(30_000):  # for longer than the base remembers
         now += 1000
         while e.admit():
             pass
-        e.answered(now, 30_000, True)
-        e.ended()
+        e.record_answer(now, 30_000, True)
+        e.release()
     assert e.base_us == pytest.approx(30_000, rel=0.05) and e.window > before
 
 
 @given(st.integers(0, 50), st.floats(0.1, 9), st.integers(0, 50), st.floats(0.1, 9))
 def test_a_part_by_weight_is_work_conserving(mine: int, weight: float, others: int, weights: float) -> None:
-    beyond = beyond_weight(mine, weight, others, weights)
+    beyond = exceeds_weight(mine, weight, others, weights)
     assert not (beyond and others == 0)
     if others > 0 and mine + 1 <= weight / (weight + weights) * (mine + others + 1):
         assert not beyond
@@ -337,28 +341,28 @@
 
 
 def test_the_account_is_bounded_merges_late_news_and_a_successor_begins_anew() -> None:
-    account = Account(minutes=3)
+    account = UsageAccount(retained_minutes=3)
     for minute in range(10, 15):
-        account.at(7, minute).requests += 1
-    account.at(7, 9).served += 1  # a clock that went back
-    assert [m.at for m in account.of(7)] == [12, 13, 14] and account.totals(7).served == 1
-    account.merge(7, Minute(13, requests=5, refused={"share": 2}))
-    account.merge(7, Minute(1, requests=100))
-    assert [m.requests for m in account.of(7)] == [101, 6, 1] and account.totals(7).refused == {"share": 2}
-    assert account.of(8) == [] and account.totals(8).requests == 0
-    taken = account.take()
-    assert [m.at for m in taken[7]] == [12, 13, 14] and account.of(7) == []
+        account.row(7, minute).requests += 1
+    account.row(7, 9).served += 1  # a clock that went back
+    assert [m.minute for m in account.rows(7)] == [12, 13, 14] and account.total(7).served == 1
+    account.merge(7, MinuteUsage(13, requests=5, refused={"share": 2}))
+    account.merge(7, MinuteUsage(1, requests=100))
+    assert [m.requests for m in account.rows(7)] == [101, 6, 1] and account.total(7).refused == {"share": 2}
+    assert account.rows(8) == [] and account.total(8).requests == 0
+    taken = account.take_all()
+    assert [m.minute for m in taken[7]] == [12, 13, 14] and account.rows(7) == []
 
 
 @given(st.lists(st.tuples(st.integers(0, 8), st.integers(1, 4)), max_size=40))
 def test_nothing_is_lost_in_a_merge(news: list[tuple[int, int]]) -> None:
-    account = Account(minutes=4)
+    account = UsageAccount(retained_minutes=4)
     latest, total = 0, 0
     for minute, count in news:
         latest = max(latest, minute)
         total += count
-        account.merge(1, Minute(minute, requests=count))
-    kept = account.totals(1).requests
+        account.merge(1, MinuteUsage(minute, requests=count))
+    kept = account.total(1).requests
     assert kept <= total
     if latest <= 3:
         assert kept == total
--- a/tests/hosted/test_size.py
+++ b/tests/hosted/test_size.py
@@ -6,8 +6,8 @@
 import resource
 from pathlib import Path
 
-from lilacsill.hosted.resources import CredentialSpec, Kind, PoolSpec, Role, TenantSpec
 from lilacsill.hosted.decisions.secrets import digest_of, make_token
+from lilacsill.hosted.resources import CredentialSpec, Kind, PoolSpec, Role, TenantSpec
 from lilacsill.hosted.store.interface import Author, Put, Write
 from lilacsill.hosted.store.sqlite import SqliteStore
 from tests.hosted.service import Fleet, facts, hosted, pool_body
--- a/tests/hosted/test_turns.py
+++ b/tests/hosted/test_turns.py
@@ -15,7 +15,7 @@
 from lilacsill.agent import descriptors
 from lilacsill.agent.admission.settings import AdmissionSettings
 from lilacsill.hosted.decisions.secrets import digest_of, make_token
-from lilacsill.hosted.messages import Ready, Snapshot, Stored, Update, read_from_worker
+from lilacsill.hosted.messages import Ready, Snapshot, StoredResource, Update, read_from_worker
 from lilacsill.hosted.resources import CredentialSpec, Kind, PoolSpec, Role, Spec, TenantSpec
 from lilacsill.hosted.worker import front
 from lilacsill.hosted.worker.process import FREEZE_AT, Worker, WorkerConfig
@@ -29,8 +29,8 @@
 HOUR_US = 3_600_000_000
 
 
-def stored(kind: Kind, name: str, uid: int, spec: Spec) -> Stored:
-    return Stored(kind, name, uid, uid, msgspec.Raw(msgspec.json.encode(spec)))
+def stored(kind: Kind, name: str, uid: int, spec: Spec) -> StoredResource:
+    return StoredResource(kind, name, uid, uid, msgspec.Raw(msgspec.json.encode(spec)))
 
 
 class World:
@@ -125,8 +125,8 @@
             assert refusal.status == 503 and refusal.headers["retry-after"] == "1.0"
             assert refusal.headers["connection"] == "close"
             await loud.ended()
-            assert w.tenancy.account.totals(LOUD).refused == {"turn": 1}
-            assert w.tenancy.account.totals(LOUD).served == 1  # what waited was not read, and ran nowhere
+            assert w.tenancy.account.total(LOUD).refused == {"turn": 1}
+            assert w.tenancy.account.total(LOUD).served == 1  # what waited was not read, and ran nowhere
 
     asyncio.run(run())
 
@@ -146,7 +146,7 @@
             while len(w.worker._server._order) < 3:
                 await asyncio.sleep(0)
             assert await w.served(quiet, QUIET) == 200
-            assert w.tenancy.account.totals(LOUD).requests == 3
+            assert w.tenancy.account.total(LOUD).requests == 3
             w.rest()
             for c in clients:
                 assert (await c.read()).status == 200
@@ -268,7 +268,7 @@
             w.rest()
             for c in new:
                 assert (await c.read()).status in (200, 429)
-            assert w.worker._server.may_accept_more() or w.turns.ahead(ANONYMOUS)
+            assert w.worker._server.may_accept_more() or w.turns.is_ahead(ANONYMOUS)
 
     asyncio.run(run())
 
