--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -20,7 +20,7 @@
 from lilacsill.emulator.models.plan import make_plan
 from lilacsill.emulator.models.scenario import Scenario, ScriptedFault
 
-from .helpers import SAFE
+from tests.balancing.helpers import SAFE
 
 MS = 1_000
 
