--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -25,7 +25,7 @@
 from lilacsill.emulator.parts import start_fleet
 from lilacsill.emulator.scenario_file import load
 from lilacsill.emulator.sockets.clients import Clients, Pool
-from lilacsill.emulator.sockets.finely import run_finely
+from lilacsill.emulator.sockets.precise_timers import run_with_precise_timers
 
 from .storming import percentile
 
@@ -118,7 +118,7 @@
             clients = Clients(plan, pools, now, Random(1))
             cpu, wall = time.process_time(), time.monotonic()
             print(f"load: {rate} requests a second for {seconds:.0f} s", file=sys.stderr, flush=True)
-            await clients.run(lambda number: None)
+            await clients.run(lambda: None)
             cores = (time.process_time() - cpu) / (time.monotonic() - wall)
             books = await fleet.books()
             for pool in pools:
@@ -128,7 +128,7 @@
     given = {a["request"]: a["ended"] - a["came"] for a in books["attempts"] if a["ended"] is not None}
     added = [
         (b.answers[0][0] - plan.arrivals[int(b.id.split(".")[1])].at - given[b.id]) / 1000
-        for b in clients.books
+        for b in clients.records
         if b.answers and b.id in given
     ]
     return {
@@ -143,7 +143,7 @@
 
 def measure(quick: bool) -> dict[str, Any]:
     rows = queues(400_000 if quick else 1_000_000)
-    carried = run_finely(delay(2000, 6.0 if quick else 30.0))
+    carried = run_with_precise_timers(delay(2000, 6.0 if quick else 30.0))
     result: dict[str, Any] = {
         "benchmark": "emulator",
         "quick": quick,
--- a/benchmarks/tenant_load.py
+++ b/benchmarks/tenant_load.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from lilacsill.emulator.sockets.clients import Pool
-from lilacsill.emulator.sockets.finely import run_finely
+from lilacsill.emulator.sockets.precise_timers import run_with_precise_timers
 
 AIM_S, DEADLINE_S = 0.3, 0.75
 BEHIND_S = 0.02  # a generator that is behind by more at its 99th percentile has not offered the load
@@ -92,7 +92,7 @@
         counts = self.counts
         counts.asked += 1
         began = time.monotonic()
-        c = await self._pool.take()
+        c = await self._pool.acquire()
         if c is None or c.transport is None:
             counts.silent += 1
             return
@@ -103,11 +103,11 @@
             f"Request-Class: registro-servicio\r\nIdempotency-Key: k{number}\r\n"
             f"Request-Timeout-Ms: {int(DEADLINE_S * 1000)}\r\nContent-Length: {len(self._body)}\r\n\r\n"
         )
-        c.answered = asyncio.get_running_loop().create_future()
+        c.response = asyncio.get_running_loop().create_future()
         c.transport.write(head.encode() + self._body)
         try:
             async with asyncio.timeout(DEADLINE_S + 0.25):
-                status, _ = await c.answered
+                status = (await c.response).status
         except TimeoutError:
             c.close()
             counts.silent += 1
@@ -125,7 +125,7 @@
         else:
             counts.silent += 1
         if status:
-            self._pool.give_back(c)
+            self._pool.release(c)
 
 
 async def run(what: dict[str, Any]) -> dict[str, Any]:
@@ -141,7 +141,7 @@
 
 
 def main() -> int:
-    print(json.dumps(run_finely(run(json.loads(sys.stdin.readline())))))
+    print(json.dumps(run_with_precise_timers(run(json.loads(sys.stdin.readline())))))
     return 0
 
 
--- a/lilacsill/emulator/__main__.py
+++ b/lilacsill/emulator/__main__.py
@@ -21,7 +21,7 @@
 from .parts import RunError
 from .result import table
 from .run import play, serve
-from .sockets.finely import run_finely
+from .sockets.precise_timers import run_with_precise_timers
 
 EXAMPLES = """examples:
   python -m lilacsill.emulator list
@@ -157,7 +157,7 @@
         return await work
 
     try:
-        return run_finely(whole())
+        return run_with_precise_timers(whole())
     except asyncio.CancelledError:
         print("stopped; all that was started has ended", file=sys.stderr)
         return 130
--- a/lilacsill/emulator/parts.py
+++ b/lilacsill/emulator/parts.py
@@ -16,6 +16,8 @@
 from .sockets.clients import Outcome
 
 START_S = 30.0
+SERVER_PROCESS = "lilacsill.emulator.sockets.server_process"
+CLIENT_PROCESS = "lilacsill.emulator.sockets.client_process"
 # What one process carries without being behind, with room; a machine has only so many cores. A request asks two servers
 # for their load, and agents open connections to many: 200 at 800 a second are played by three processes with servers.
 CLIENT_RATE, SERVER_RATE, CONNECTIONS = 900, 400, 2_500
@@ -87,7 +89,9 @@
         async with asyncio.timeout(START_S):
             for number in range(parts):
                 fleet.parts.append(
-                    await Pipe.open("lilacsill.emulator.sockets.fleet", path, str(plan.seed), str(number), str(parts))
+                    await Pipe.open(
+                        "lilacsill.emulator.sockets.server_process", path, str(plan.seed), str(number), str(parts)
+                    )
                 )
             told = [await part.expect() for part in fleet.parts]
             for part in fleet.parts:
@@ -124,7 +128,7 @@
         counts = [(0, 0)] * len(self.parts)
 
         async def follow(number: int, part: Pipe) -> None:
-            while "books" not in (told := await part.expect()):
+            while "records" not in (told := await part.expect()):
                 counts[number] = told["sent"], told["served"]
                 if number == 0:
                     progress(sum(c[0] for c in counts), sum(c[1] for c in counts))
@@ -134,7 +138,7 @@
         self.outcomes.sort(key=lambda o: o.number)
 
     def _take(self, told: dict[str, Any]) -> None:
-        self.books += msgspec.convert(told["books"], list[RequestRecord])
+        self.books += msgspec.convert(told["records"], list[RequestRecord])
         self.outcomes += [Outcome(row[0], self.plan.arrivals[row[0]], *row[1:]) for row in told["outcomes"]]
         self.late_us += told["late_us"]
         self.opened += told["opened"]
@@ -150,7 +154,9 @@
     try:
         for part in range(parts):
             crowd.parts.append(
-                await Pipe.open("lilacsill.emulator.sockets.crowd", path, str(plan.seed), str(part), str(parts))
+                await Pipe.open(
+                    "lilacsill.emulator.sockets.client_process", path, str(plan.seed), str(part), str(parts)
+                )
             )
     except BaseException:  # nobody else knows of the processes yet
         await crowd.end()
--- a/lilacsill/emulator/sockets/catalog.py
+++ b/lilacsill/emulator/sockets/catalog.py
@@ -1,129 +1,159 @@
-"""Discovery on real sockets: whole list and watch, limited lines a second, calls in turn, late, and down at times."""
+"""Discovery on real sockets: complete lists and watches, at a limited rate, delayed, and down at times."""
 
 from __future__ import annotations
 
 import asyncio
 import json
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from typing import Any
 from urllib.parse import parse_qs
 
 from httptools import HttpParserError, HttpRequestParser
 
-from ..models.judge import PollRecord, NotificationRecord
-from ..models.plan import Notice, Plan
-from .listener import Listener, Wire
+from ..models.judge import NotificationRecord, PollRecord
+from ..models.plan import SECOND, Notice, Plan
+from .listener import Listener, ServerConnection
 
-CALL_LINES = 20  # fixed cost of a call
-TIMEOUT_US = 2_000_000  # a call that would wait longer is turned away
-SECOND = 1_000_000
+CALL_LINES = 20
+"""The fixed cost of a call, in lines of a list."""
+TIMEOUT_US = 2_000_000
+"""A call that would wait longer for capacity is rejected."""
+MAX_WATCH_MS = 60_000
+IDLE_CHECK_S = 0.5
+"""How often the task that notifies watches checks for notices when there are none left."""
+MIN_SLEEP_S = 0.0005
+MACHINES_PER_SUBNET = 250
+
+Address = tuple[int, int, int]
+"""A machine, the index among its ports, and the side of the agents that use it."""
+
+
+def host(machine: int) -> str:
+    """Return the IP address of a machine."""
+    return f"127.77.{machine // MACHINES_PER_SUBNET}.{machine % MACHINES_PER_SUBNET + 1}"
 
 
 class Catalog:
-    """What discovery knows, by the plan's notices; one for all agents. `ports` by machine, address and side."""
+    """What discovery knows, by the plan's notices; one for all agents."""
 
     def __init__(
         self,
         plan: Plan,
-        ports: dict[tuple[int, int, int], int],
+        ports: Mapping[Address, int],
         now: Callable[[], int],
-        unix_ms: int,
+        began_unix_ms: int,
         notifications: list[NotificationRecord],
     ) -> None:
-        self.plan, self.now, self._ports, self._unix_ms = plan, now, ports, unix_ms
+        """Create the state of discovery.
+
+        Args:
+            plan: Gives the notices and outages.
+            ports: The port at each address.
+            now: The time in microseconds since the run began.
+            began_unix_ms: The wall clock when the run began.
+            notifications: Gets a record whenever an agent is told that a server drains or is gone.
+        """
+        self.plan, self.now, self._ports = plan, now, ports
+        self.began_unix_ms = began_unix_ms
         self.notifications = notifications
         self.polls: list[PollRecord] = []
-        self._free = 0  # when the next call can be worked on
+        self.free_at = 0
+        """When the next call can be served."""
         self._changed = asyncio.Condition()
         self.revision = 0
-        self.links: set[Link] = set()
+        self.connections: set[CatalogConnection] = set()
 
-    def due(self) -> int:
-        """The revision as of now: the number of notices that are known."""
-        while self.revision < len(self.plan.notices) and self.plan.notices[self.revision].at <= self.now():
+    def update_revision(self) -> int:
+        """Return the revision as of now: the number of notices that are known."""
+        notices = self.plan.notices
+        while self.revision < len(notices) and notices[self.revision].at <= self.now():
             self.revision += 1
         return self.revision
 
-    async def keep_up(self) -> None:
-        """Wake the watches when something becomes known."""
+    async def notify_watches(self) -> None:
+        """Wake up the watches whenever a notice becomes known; never returns."""
         while True:
-            if self.due() < len(self.plan.notices):
+            if self.update_revision() < len(self.plan.notices):
                 wait_us = self.plan.notices[self.revision].at - self.now()
-                await asyncio.sleep(max(0.0005, wait_us / 1e6))
+                await asyncio.sleep(max(MIN_SLEEP_S, wait_us / 1e6))
                 async with self._changed:
                     self._changed.notify_all()
             else:
-                await asyncio.sleep(0.5)
+                await asyncio.sleep(IDLE_CHECK_S)
 
-    def down(self) -> bool:
+    def is_down(self) -> bool:
+        """Return whether discovery is in an outage."""
         now = self.now()
-        return any(w.start <= now < w.end for w in self.plan.outages)
+        return any(outage.start <= now < outage.end for outage in self.plan.outages)
 
-    async def outages(self) -> None:
-        """When it goes down its connections are reset."""
-        for w in sorted(self.plan.outages, key=lambda w: w.start):
-            await asyncio.sleep(max(0.0, (w.start - self.now()) / 1e6))
-            for link in list(self.links):
-                link.end()
+    async def reset_at_outages(self) -> None:
+        """Reset all connections at the beginning of each outage."""
+        for outage in sorted(self.plan.outages, key=lambda outage: outage.start):
+            await asyncio.sleep(max(0.0, (outage.start - self.now()) / 1e6))
+            for connection in list(self.connections):
+                connection.reset()
 
-    async def turn(self, lines: int) -> bool:
-        """Wait in turn for so many lines. False: it would take too long."""
+    async def wait_for_capacity(self, lines: int) -> bool:
+        """Wait until a call with so many lines is served; return False at once where that takes too long."""
         now = self.now()
-        cost = int((CALL_LINES + lines) / self.plan.scenario.fleet.lines_per_s * SECOND)
-        done = max(now, self._free) + cost
+        cost_us = int((CALL_LINES + lines) / self.plan.scenario.fleet.lines_per_s * SECOND)
+        done = max(now, self.free_at) + cost_us
         if done - now > TIMEOUT_US:
             return False
-        self._free = done
+        self.free_at = done
         await asyncio.sleep((done - now) / 1e6)
         return True
 
     def listing(self, since: int | None, agent: int = 0) -> dict[str, Any]:
-        """The whole list, or what has changed since a revision, with the addresses that this agent has."""
-        revision = self.due()
-        last: dict[str, Notice] = {}
-        for n in self.plan.notices[since or 0 : revision]:
-            last[self.plan.incarnations[n.incarnation].id] = n
+        """Return what discovery answers, with the addresses that this agent uses.
+
+        Args:
+            since: The revision from which changes are listed; None: the complete list.
+            agent: The number of the agent.
+        """
+        revision = self.update_revision()
+        latest: dict[str, Notice] = {}
+        for notice in self.plan.notices[since or 0 : revision]:
+            latest[self.plan.incarnations[notice.incarnation].id] = notice
         side = self.plan.side(agent)
-        entries = [self._entry(n, side) for n in last.values() if since is not None or n.phase != "DELETED"]
-        return {"revision": revision, "complete": since is None, "members": entries}
+        members = [
+            self._member(notice, side) for notice in latest.values() if since is not None or notice.phase != "DELETED"
+        ]
+        return {"revision": revision, "complete": since is None, "members": members}
 
-    async def wait(self, since: int, wait_us: int) -> None:
-        """Until there is something newer."""
+    async def wait_for_change(self, since: int, timeout_us: int) -> None:
+        """Wait for a revision above `since`, at most for the time-out."""
         try:
-            async with asyncio.timeout(wait_us / 1e6), self._changed:
-                await self._changed.wait_for(lambda: self.due() > since)
+            async with asyncio.timeout(timeout_us / 1e6), self._changed:
+                await self._changed.wait_for(lambda: self.update_revision() > since)
         except TimeoutError:
             pass
 
-    def told(self, agent: int, since: int | None, revision: int) -> None:
-        """Written to an agent: who drains or is gone counts as told from now on."""
-        for n in self.plan.notices[since or 0 : revision]:
-            if n.phase != "SERVING":
-                x = self.plan.incarnations[n.incarnation]
-                self.notifications.append(NotificationRecord(agent, f"{x.id}#{n.incarnation}", self.now()))
-
-    def _entry(self, n: Notice, side: int) -> dict[str, Any]:
-        x = self.plan.incarnations[n.incarnation]
-        up = 0 if x.start < 0 else self._unix_ms + x.start // 1000
+    def record_notifications(self, agent: int, since: int | None, revision: int) -> None:
+        """Record that an agent was told of all servers that drain or are gone in these revisions."""
+        for notice in self.plan.notices[since or 0 : revision]:
+            if notice.phase != "SERVING":
+                incarnation = self.plan.incarnations[notice.incarnation]
+                server = f"{incarnation.id}#{notice.incarnation}"
+                self.notifications.append(NotificationRecord(agent, server, self.now()))
+
+    def _member(self, notice: Notice, side: int) -> dict[str, Any]:
+        incarnation = self.plan.incarnations[notice.incarnation]
+        started_unix_ms = 0 if incarnation.start < 0 else self.began_unix_ms + incarnation.start // 1000
         return {
-            "id": x.id,
-            "host_port": f"{host(x.machine)}:{self._ports[x.machine, x.port, side]}",
+            "id": incarnation.id,
+            "host_port": f"{host(incarnation.machine)}:{self._ports[incarnation.machine, incarnation.port, side]}",
             "locality": "a",
             "flavor": "m",
             "cell": 0,
-            "phase": n.phase,
+            "phase": notice.phase,
             "size": 1.0,
-            "up_since_ms": up,
+            "up_since_ms": started_unix_ms,
         }
 
 
-def host(machine: int) -> str:
-    """The address of a machine."""
-    return f"127.77.{machine // 250}.{machine % 250 + 1}"
-
-
-class Link(Wire):
-    """A connection of one agent, known by the port that it came to."""
+class CatalogConnection(ServerConnection):
+    """A connection of one agent, which is known by the listener that it came to."""
 
     def __init__(self, catalog: Catalog, agent: int, listener: Listener) -> None:
         super().__init__(listener)
@@ -133,56 +163,63 @@
         self._task: asyncio.Task[None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Accept the connection; during an outage, reset it and record the attempt as a poll."""
         super().connection_made(transport)
-        if self._catalog.down():
+        if self._catalog.is_down():
             now = self._catalog.now()
-            self._catalog.polls.append(PollRecord(self._agent, now, now))  # it has tried
-            self.end()
+            self._catalog.polls.append(PollRecord(self._agent, now, now))
+            self.reset()
             return
-        self._catalog.links.add(self)
+        self._catalog.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Cancel a watch that still waits."""
         super().connection_lost(exc)
-        self._catalog.links.discard(self)
+        self._catalog.connections.discard(self)
         if self._task is not None:
             self._task.cancel()
 
     def data_received(self, data: bytes) -> None:
+        """Parse what the agent sends."""
         try:
             self._parser.feed_data(data)
         except HttpParserError:
-            self.end()
+            self.reset()
 
     def on_message_begin(self) -> None:
+        """Begin a request; called by the parser."""
         self._url = b""
 
     def on_url(self, url: bytes) -> None:
+        """Add to the URL; called by the parser."""
         self._url += url
 
     def on_message_complete(self) -> None:
-        self._task = asyncio.get_running_loop().create_task(self._answer(self._url.decode("latin-1")))
+        """Answer the request; called by the parser."""
+        self._task = asyncio.get_running_loop().create_task(self._record_poll(self._url.decode("latin-1")))
 
-    async def _answer(self, url: str) -> None:
-        ask = PollRecord(self._agent, self._catalog.now())
-        self._catalog.polls.append(ask)
+    async def _record_poll(self, url: str) -> None:
+        poll = PollRecord(self._agent, self._catalog.now())
+        self._catalog.polls.append(poll)
         try:
-            await self._tell(url)
+            await self._answer(url)
         finally:
-            ask.ended = self._catalog.now()
+            poll.ended = self._catalog.now()
 
-    async def _tell(self, url: str) -> None:
+    async def _answer(self, url: str) -> None:
         catalog = self._catalog
         query = parse_qs(url.partition("?")[2])
         since = int(query["index"][0]) if "index" in query else None
-        if since is not None and not 0 <= since <= catalog.due():
-            since = None  # of another life
+        if since is not None and not 0 <= since <= catalog.update_revision():
+            since = None  # the revision is of an earlier run of discovery
         if since is not None:
-            await catalog.wait(since, min(60_000, int(query.get("wait", ["0"])[0])) * 1000)
+            wait_ms = min(MAX_WATCH_MS, int(query.get("wait", ["0"])[0]))
+            await catalog.wait_for_change(since, wait_ms * 1000)
         listing = catalog.listing(since, self._agent)
-        if not await catalog.turn(len(listing["members"])):
+        if not await catalog.wait_for_capacity(len(listing["members"])):
             self.send(b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
             return
-        await self.listener.clear()  # nothing is told through a link that is cut
+        await self.listener.wait_for_egress()  # a notification behind a partition does not count
         body = json.dumps(listing).encode()
-        catalog.told(self._agent, since, listing["revision"])
+        catalog.record_notifications(self._agent, since, listing["revision"])
         self.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
--- a/lilacsill/emulator/sockets/listener.py
+++ b/lilacsill/emulator/sockets/listener.py
@@ -1,8 +1,9 @@
-"""A listener whose link can be cut, silently and one way or both, and heals: what is open stays open meanwhile.
+"""A listener whose link to the agents can be partitioned, in one direction or both, and heals.
 
-While it is cut a connect never comes up, as where no datagram gets through: nobody accepts, and the queue of those that
-wait for it is full. What agents have sent is not read; what is written to them waits. Once it is healed that goes on,
-but for connections that the agent has given up meanwhile: what those still hold was lost with them.
+While the link is partitioned no connect completes, as where no datagram passes: nobody accepts, and the queue of the
+connects that wait is full. Open connections stay open: what agents have sent is not read, and what is written to them
+waits. Once the link has healed, both continue, except for connections that the agent has closed meanwhile: what waits
+there is lost with them.
 """
 
 from __future__ import annotations
@@ -12,165 +13,190 @@
 from collections.abc import Callable
 
 BACKLOG = 512
-FILLERS = 3  # connects that fill a queue of none
-ESTABLISHED = 1  # of TCP_INFO's first byte
+"""Connects that wait to be accepted while the link is not partitioned."""
+FILLERS = 3
+"""Connects that fill the kernel's queue of a listener with a backlog of 0."""
+ESTABLISHED = 1
+"""The state of an open connection, the first byte of TCP_INFO (linux/tcp_states.h)."""
 
 
-class Wire(asyncio.Protocol):
-    """One connection that came to a listener. `send` and `end` wait while the way to the agent is cut."""
+class ServerConnection(asyncio.Protocol):
+    """One connection that a listener accepted; `send` and `reset` wait while egress is blocked."""
 
     def __init__(self, listener: Listener) -> None:
         self.listener = listener
         self.transport: asyncio.Transport | None = None
-        self._held: list[bytes] = []
-        self._ends = False
+        self._pending: list[bytes] = []
+        self._reset_pending = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Register with the listener."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.listener.wires.add(self)
-        if self._given_up():  # while it waited behind a cut to be accepted
+        self.listener.connections.add(self)
+        if self._closed_by_agent():  # while it waited to be accepted
             transport.abort()
-        elif self.listener.deaf:
+        elif self.listener.ingress_blocked:
             transport.pause_reading()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self.listener.wires.discard(self)
+        """Leave the listener."""
+        self.listener.connections.discard(self)
 
     def send(self, data: bytes) -> None:
+        """Write to the agent, at the latest once the link has healed."""
         if self.transport is None or self.transport.is_closing():
             return
-        if self.listener.dumb:
-            self._held.append(data)
+        if self.listener.egress_blocked:
+            self._pending.append(data)
         else:
             self.transport.write(data)
 
-    def end(self) -> None:
-        """By a reset, as of a process that is gone; the agent feels it once it can."""
+    def reset(self) -> None:
+        """Reset the connection, as the kernel does for a process that ended."""
         if self.transport is None:
             return
-        if self.listener.dumb:
-            self._ends = True
+        if self.listener.egress_blocked:
+            self._reset_pending = True
             self.transport.pause_reading()
         else:
             self.transport.abort()
 
-    def deafen(self) -> None:
+    def block_ingress(self) -> None:
+        """Stop reading what the agent sends."""
         if self.transport is not None and not self.transport.is_closing():
             self.transport.pause_reading()
 
-    def _given_up(self) -> bool:
-        """Whether the agent has closed, by what the kernel knows."""
-        assert self.transport is not None
-        sock: socket.socket = self.transport.get_extra_info("socket")
-        return sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != ESTABLISHED
-
-    def healed(self) -> None:
+    def resume(self) -> None:
+        """Continue after the end of a partition, as far as no other one remains."""
         if self.transport is None or self.transport.is_closing():
             return
-        if self._given_up():
+        if self._closed_by_agent():
             self.transport.abort()
             return
-        if not self.listener.dumb:
-            held, self._held = self._held, []
-            for data in held:
+        if not self.listener.egress_blocked:
+            pending, self._pending = self._pending, []
+            for data in pending:
                 self.transport.write(data)
-            if self._ends:
+            if self._reset_pending:
                 self.transport.abort()
                 return
-        if not self.listener.deaf and not self._ends:
+        if not self.listener.ingress_blocked and not self._reset_pending:
             self.transport.resume_reading()
 
+    def _closed_by_agent(self) -> bool:
+        """Ask the kernel, as a paused transport does not notice."""
+        assert self.transport is not None
+        connection: socket.socket = self.transport.get_extra_info("socket")
+        return connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 1)[0] != ESTABLISHED
+
 
 class Listener:
-    """One address; port 0 is the kernel's choice, known once it is open. Cuts may overlap: each ends by itself."""
+    """A listener at one address; for port 0 the kernel chooses, and `address` is right once it is open.
 
-    def __init__(self, make: Callable[[Listener], Wire], address: tuple[str, int]) -> None:
+    Partitions may overlap; each one ends by itself.
+    """
+
+    def __init__(self, make: Callable[[Listener], ServerConnection], address: tuple[str, int]) -> None:
         self._make = make
         self.address = address
-        self.wires: set[Wire] = set()
-        self._deaf = self._dumb = 0  # cuts by which nothing comes from the agents, and nothing goes to them
+        self.connections: set[ServerConnection] = set()
+        self._ingress_blocks = 0
+        self._egress_blocks = 0
         self._server: asyncio.Server | None = None
-        self._kept: socket.socket | None = None  # of a link that is cut
+        self._reserved: socket.socket | None = None  # keeps the address while the link is partitioned
         self._fillers: list[socket.socket] = []
-        self._clear = asyncio.Event()
-        self._clear.set()
+        self._egress_open = asyncio.Event()
+        self._egress_open.set()
 
     @property
     def listening(self) -> bool:
-        return self._server is not None or self._kept is not None
+        """Whether the address is bound; connects may still wait behind a partition."""
+        return self._server is not None or self._reserved is not None
 
     @property
-    def deaf(self) -> bool:
-        return self._deaf > 0
+    def ingress_blocked(self) -> bool:
+        """Whether nothing arrives from the agents."""
+        return self._ingress_blocks > 0
 
     @property
-    def dumb(self) -> bool:
-        return self._dumb > 0
+    def egress_blocked(self) -> bool:
+        """Whether nothing passes to the agents."""
+        return self._egress_blocks > 0
 
-    async def clear(self) -> None:
-        """Until what is written goes to the agents."""
-        await self._clear.wait()
+    async def wait_for_egress(self) -> None:
+        """Wait until what is written passes to the agents."""
+        await self._egress_open.wait()
 
     async def open(self) -> None:
-        """Once it was closed, at the same address again. Raises OSError."""
-        self._server = await asyncio.get_running_loop().create_server(
-            lambda: self._make(self), sock=_bound(self.address), backlog=BACKLOG
-        )
+        """Listen; after `close`, at the same address as before.
+
+        Raises:
+            OSError: The address cannot be bound.
+        """
+        await self._serve(_bound(self.address))
+        assert self._server is not None
         self.address = self._server.sockets[0].getsockname()
-        if self.deaf or self.dumb:
-            self.shut()
+        if self.ingress_blocked or self.egress_blocked:
+            self.stop_accepting()
 
-    def shut(self) -> None:
-        """Connects never come up any more; what is open stays."""
+    def stop_accepting(self) -> None:
+        """Let no connect complete any more; open connections stay open."""
         if self._server is None:
             return
-        self._kept = self._server.sockets[0].dup()
+        self._reserved = self._server.sockets[0].dup()
         self._server.close()
         self._server = None
-        self._kept.listen(0)
+        self._reserved.listen(0)
         for _ in range(FILLERS):
             filler = socket.socket()
             filler.setblocking(False)
             filler.connect_ex(self.address)
             self._fillers.append(filler)
 
-    def cut(self, deaf: bool, dumb: bool) -> None:
-        self._deaf += deaf
-        self._dumb += dumb
-        if self.dumb:
-            self._clear.clear()
-        self.shut()
-        for wire in self.wires if deaf else ():
-            wire.deafen()
-
-    async def heal(self, deaf: bool, dumb: bool) -> None:
-        """The end of a cut as it was. Raises OSError where the address is another's by now."""
-        self._deaf -= deaf
-        self._dumb -= dumb
-        assert self._deaf >= 0 and self._dumb >= 0
-        if not self.dumb:
-            self._clear.set()
-        if not self.deaf and not self.dumb:
+    def partition(self, ingress: bool, egress: bool) -> None:
+        """Block the link in these directions, until `heal` with the same arguments."""
+        self._ingress_blocks += ingress
+        self._egress_blocks += egress
+        if self.egress_blocked:
+            self._egress_open.clear()
+        self.stop_accepting()
+        for connection in self.connections if ingress else ():
+            connection.block_ingress()
+
+    async def heal(self, ingress: bool, egress: bool) -> None:
+        """End a partition that began with the same arguments.
+
+        Raises:
+            OSError: Another process has bound the address.
+        """
+        self._ingress_blocks -= ingress
+        self._egress_blocks -= egress
+        assert self._ingress_blocks >= 0 and self._egress_blocks >= 0
+        if not self.egress_blocked:
+            self._egress_open.set()
+        if not self.ingress_blocked and not self.egress_blocked:
             self._drop_fillers()
-            kept, self._kept = self._kept, None
-            if kept is not None:
-                self._server = await asyncio.get_running_loop().create_server(
-                    lambda: self._make(self), sock=kept, backlog=BACKLOG
-                )
-        for wire in list(self.wires):
-            wire.healed()
+            reserved, self._reserved = self._reserved, None
+            if reserved is not None:
+                await self._serve(reserved)
+        for connection in list(self.connections):
+            connection.resume()
 
     def close(self) -> None:
-        """Connects are refused; what is open stays."""
+        """Refuse connects; open connections stay open."""
         self._drop_fillers()
-        if self._kept is not None:
-            self._kept.close()
-            self._kept = None
+        if self._reserved is not None:
+            self._reserved.close()
+            self._reserved = None
         if self._server is not None:
             self._server.close()
             self._server = None
 
+    async def _serve(self, bound: socket.socket) -> None:
+        loop = asyncio.get_running_loop()
+        self._server = await loop.create_server(lambda: self._make(self), sock=bound, backlog=BACKLOG)
+
     def _drop_fillers(self) -> None:
         for filler in self._fillers:
             filler.close()
@@ -178,19 +204,19 @@
 
 
 def _bound(address: tuple[str, int]) -> socket.socket:
-    sock = socket.socket()
+    bound = socket.socket()
     try:
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        sock.bind(address)
+        bound.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+        bound.bind(address)
     except OSError:
-        sock.close()
+        bound.close()
         raise
-    return sock
+    return bound
 
 
-async def keep_cut(listener: Listener, deaf: bool, dumb: bool, begins_s: float, lasts_s: float) -> None:
-    """A cut and its end, from now on."""
-    await asyncio.sleep(max(0.0, begins_s))
-    listener.cut(deaf, dumb)
-    await asyncio.sleep(max(0.0, lasts_s))
-    await listener.heal(deaf, dumb)
+async def partition_for(listener: Listener, ingress: bool, egress: bool, delay_s: float, length_s: float) -> None:
+    """Partition the link of a listener after a delay, and heal it after a time."""
+    await asyncio.sleep(max(0.0, delay_s))
+    listener.partition(ingress, egress)
+    await asyncio.sleep(max(0.0, length_s))
+    await listener.heal(ingress, egress)
--- a/tests/test_emulator_faults.py
+++ b/tests/test_emulator_faults.py
@@ -32,8 +32,8 @@
 from lilacsill.emulator.parts import client_parts, server_parts
 from lilacsill.emulator.run import play
 from lilacsill.emulator.scenario_file import ScenarioError, load
-from lilacsill.emulator.sockets.listener import Listener, Wire
-from lilacsill.emulator.sockets.memory import SharedMemory
+from lilacsill.emulator.sockets.listener import Listener, ServerConnection
+from lilacsill.emulator.sockets.key_memory import SharedKeyMemory
 
 SECOND, MS = 1_000_000, 1_000
 HANG_S = 60
@@ -222,7 +222,7 @@
 # Links
 
 
-class Echo(Wire):
+class Echo(ServerConnection):
     """Says back what it hears, and keeps it."""
 
     heard = b""
@@ -238,7 +238,7 @@
     reader, writer = await asyncio.open_connection(*listener.address)
     writer.write(b"a")
     assert await reader.readexactly(1) == b"a"
-    (wire,) = listener.wires
+    (wire,) = listener.connections
     assert isinstance(wire, Echo)
     return listener, reader, writer, wire
 
@@ -253,7 +253,7 @@
 def test_a_cut_link_is_silent_and_goes_on_once_it_heals(deaf: bool, dumb: bool) -> None:
     async def run() -> None:
         listener, reader, writer, wire = await connected()
-        listener.cut(deaf, dumb)
+        listener.partition(deaf, dumb)
         writer.write(b"b")
         await turns()
         assert wire.heard == (b"a" if deaf else b"ab")
@@ -276,12 +276,12 @@
 def test_what_was_given_up_during_a_cut_is_lost_with_its_connection() -> None:
     async def run() -> None:
         listener, _, writer, wire = await connected()
-        listener.cut(True, True)
+        listener.partition(True, True)
         writer.write(b"b")
         writer.close()
         await writer.wait_closed()
         await listener.heal(True, True)
-        while listener.wires:
+        while listener.connections:
             await asyncio.sleep(0)
         assert wire.heard == b"a"
         listener.close()
@@ -292,15 +292,15 @@
 def test_cuts_overlap_and_a_server_that_dies_in_one_is_felt_after_it() -> None:
     async def run() -> None:
         listener, reader, writer, wire = await connected()
-        listener.cut(True, True)
-        listener.cut(True, False)
+        listener.partition(True, True)
+        listener.partition(True, False)
         await listener.heal(True, True)
         writer.write(b"b")
         await turns()
-        assert wire.heard == b"a" and listener.deaf and not listener.dumb
-        listener.cut(True, True)
+        assert wire.heard == b"a" and listener.ingress_blocked and not listener.egress_blocked
+        listener.partition(True, True)
         listener.close()
-        wire.end()
+        wire.reset()
         gone = asyncio.ensure_future(reader.read(1))
         await turns()
         assert not gone.done()
@@ -316,7 +316,7 @@
 
 def test_a_key_that_ran_in_one_process_is_a_repeat_in_another() -> None:
     async def run() -> None:
-        one, two = SharedMemory(SECOND, lambda: 0), SharedMemory(SECOND, lambda: 0)
+        one, two = SharedKeyMemory(SECOND, lambda: 0), SharedKeyMemory(SECOND, lambda: 0)
         for m in (one, two):
             m.join([one.port, two.port])
         assert not one.is_repeat("k", 0)
--- a/tests/test_emulator_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -17,9 +17,9 @@
 from lilacsill.emulator.models.scenario import Fleet, Load, Scenario
 from lilacsill.emulator.models.server import RepeatMemory, Span
 from lilacsill.emulator.run import _void
-from lilacsill.emulator.sockets.catalog import Catalog, Link
+from lilacsill.emulator.sockets.catalog import Catalog, CatalogConnection
 from lilacsill.emulator.sockets.clients import Pool
-from lilacsill.emulator.sockets.jobserver import ServerShell
+from lilacsill.emulator.sockets.jobserver import EmulatedServer
 from lilacsill.emulator.sockets.listener import Listener
 from tests.agent.loopback import Conversation
 
@@ -52,7 +52,7 @@
 async def discovery(plan: Plan, clock: Clock) -> AsyncIterator[tuple[Catalog, Conversation, list[NotificationRecord]]]:
     tellings: list[NotificationRecord] = []
     catalog = Catalog(plan, {(0, 0, 0): 7001, (0, 1, 0): 7002}, clock, 1_000_000, tellings)
-    server = Listener(partial(Link, catalog, 3), ("127.0.0.1", 0))
+    server = Listener(partial(CatalogConnection, catalog, 3), ("127.0.0.1", 0))
     await server.open()
     client = Conversation(*await asyncio.open_connection(*server.address))
     try:
@@ -104,7 +104,7 @@
             _,
         ):
             assert (await call(client))["complete"]
-            catalog._free = clock.at + 3 * SECOND
+            catalog.free_at = clock.at + 3 * SECOND
             assert await call(client) == 503
 
     asyncio.run(run())
@@ -119,10 +119,10 @@
         async with discovery(plan, clock) as (catalog, client, _):
             assert (await call(client))["complete"]
             clock.at = 1
-            await catalog.outages()
+            await catalog.reset_at_outages()
             await client.ended()
             clock.at = SECOND
-            assert not catalog.down()
+            assert not catalog.is_down()
 
     asyncio.run(run())
 
@@ -145,7 +145,7 @@
         self.attempts: list[AttemptRecord] = []
         self.fallen: list[tuple[int, str]] = []
         self.port = port or free_port()
-        self.shell = ServerShell(
+        self.shell = EmulatedServer(
             plan,
             index,
             [("127.0.0.1", self.port)],
@@ -230,7 +230,7 @@
         await client.ended()
         with pytest.raises(OSError):
             await s.client()
-        s.shell.close_books()
+        s.shell.finish_records()
         assert s.attempts[0].began is not None and s.attempts[0].answered is None
         other = Server(plan, 1, s.port)
         await other.shell.start()
@@ -296,13 +296,13 @@
     async def run() -> None:
         server = await asyncio.start_server(lambda r, w: None, "127.0.0.1", 0)
         pool = Pool(server.sockets[0].getsockname()[1], 2, lambda: 0)
-        taken = [await pool.take() for _ in range(3)]
+        taken = [await pool.acquire() for _ in range(3)]
         assert [c is not None for c in taken] == [True, True, False]
         assert taken[0] is not None
-        pool.give_back(taken[0])
-        assert await pool.take() is taken[0]
+        pool.release(taken[0])
+        assert await pool.acquire() is taken[0]
         pool.close()
         server.close()
-        assert await Pool(free_port(), 2, lambda: 0).take() is None  # nobody listens
+        assert await Pool(free_port(), 2, lambda: 0).acquire() is None  # nobody listens
 
     asyncio.run(asyncio.wait_for(run(), 60))
