--- a/benchmarks/beliefs.py
+++ b/benchmarks/beliefs.py
@@ -43,7 +43,7 @@
 def play(script: str, seed: int, control: str | None, folder: str) -> Figures:
     module = here() if control is None else at_commit(control, ROOT, Path(folder))
     w = SCRIPTS[script].play(module, seed)
-    drawn = w.servers["s0"].drawn if "s0" in w.servers else 0
+    drawn = w.servers["s0"].selected if "s0" in w.servers else 0
     return Figures(
         w.service(), w.refused(), w.refused(0, 1), 10.0 * len(w.idle_refused), drawn, sum(a.probes for a in w.agents)
     )
@@ -64,7 +64,7 @@
 def misses(script: str, new: Figures, old: Figures) -> list[str]:
     """The bars that do not hold, each with its figures."""
     found = []
-    if SCRIPTS[script].blackout and new.idle_ms > IDLE_MS:
+    if SCRIPTS[script].checks_idle_refusals and new.idle_ms > IDLE_MS:
         found.append(f"{script}: refused beside idle servers for {new.idle_ms:.0f} ms, bar {IDLE_MS}")
     if new.service < old.service - WORSE:
         found.append(f"{script}: service {new.service:.3f}, control {old.service:.3f}")
--- a/benchmarks/fleet_growth.py
+++ b/benchmarks/fleet_growth.py
@@ -18,9 +18,10 @@
 import sys
 import tempfile
 from concurrent.futures import ProcessPoolExecutor
-from dataclasses import asdict
 from pathlib import Path
 
+import msgspec
+
 from lilacsill.emulator.lab.fleet import FLEETS, Counts, play
 from lilacsill.emulator.lab.module import ModuleError, at_commit, here
 
@@ -38,7 +39,7 @@
 
 def mean(plays: list[Counts]) -> dict[str, float]:
     """The means; of what must never happen, the worst."""
-    rows = [asdict(p) for p in plays]
+    rows = [msgspec.to_builtins(p) for p in plays]
     worst = {"cold_share", "fallen", "calls_in_a_second"}
     return {k: max(r[k] for r in rows) if k in worst else sum(r[k] for r in rows) / len(rows) for k in rows[0]}
 
--- a/lilacsill/emulator/lab/module.py
+++ b/lilacsill/emulator/lab/module.py
@@ -1,4 +1,4 @@
-"""Which decision module is in the lab: this checkout's, or that of an earlier commit as a control."""
+"""Load the decision module that is tried in the lab: that of this checkout, or of an earlier commit as a control."""
 
 from __future__ import annotations
 
@@ -10,12 +10,10 @@
 from pathlib import Path
 from typing import Any
 
-SOURCES = (
-    "lilacsill/balancing",
-    "brasshead",
-)  # the library's folder in the repository, and its folder in earlier commits
+SOURCES = ("lilacsill/balancing", "brasshead")
+"""The library's folder in the repository, and its folder in earlier commits."""
 
-# The names that the lab uses of the interface, and what they were called in earlier commits.
+# The names of the interface that the lab uses, each with its name in earlier commits.
 EARLIER_TYPES = {
     "Idempotency": "Effect",
     "DedupScope": "Group",
@@ -66,18 +64,19 @@
 
 
 class ModuleError(Exception):
-    """The module cannot be had; the text says why."""
+    """The module cannot be loaded; the message says why."""
 
 
 @dataclass(frozen=True)
 class Module:
-    """A build of the decision module: its interface's names, and its Balancer."""
+    """A build of the decision module: the types of its interface, and its Balancer."""
 
     interface: Any
     balancer: Any
 
 
 def here() -> Module:
+    """Return the module of this checkout."""
     return Module(
         importlib.import_module("lilacsill.balancing.interface"),
         importlib.import_module("lilacsill.balancing.logic").Balancer,
@@ -85,8 +84,16 @@
 
 
 def at_commit(commit: str, repository: Path, folder: Path) -> Module:
-    """The module of a commit, unpacked into `folder` as a package of its own name beside this one. Raises
-    ModuleError: a shallow clone may not hold the commit."""
+    """Load the module of a commit.
+
+    Args:
+        commit: The commit.
+        repository: The repository to read it from.
+        folder: Gets the module's files, as a package with a name of its own.
+
+    Raises:
+        ModuleError: The commit cannot be read; a shallow clone may not contain it.
+    """
     name = f"balancing_{commit}"
     package = folder / name
     try:
@@ -105,8 +112,8 @@
             target = package / Path(path).relative_to(source)
             target.parent.mkdir(parents=True, exist_ok=True)
             target.write_bytes(text)
-    except (OSError, subprocess.CalledProcessError) as e:
-        raise ModuleError(f"commit {commit} cannot be read from {repository.name}: {e}") from None
+    except (OSError, subprocess.CalledProcessError) as error:
+        raise ModuleError(f"commit {commit} cannot be read from {repository.name}: {error}") from None
     sys.path.insert(0, str(folder))
     try:
         interface: Any = importlib.import_module(f"{name}.interface")
--- a/tests/balancing/test_beliefs.py
+++ b/tests/balancing/test_beliefs.py
@@ -260,16 +260,16 @@
     return SCRIPTS[name].play(here(), seed)
 
 
-@pytest.mark.parametrize("name", [s.name for s in SCRIPTS.values() if s.blackout])
+@pytest.mark.parametrize("name", [s.name for s in SCRIPTS.values() if s.checks_idle_refusals])
 def test_nobody_is_refused_beside_idle_servers_for_long(name: str) -> None:
     w = play(name)
     assert 10 * len(w.idle_refused) <= 100 and w.service() > 0.5
-    assert not [f for f in w.finals if f.status == "no answer"]
+    assert not [f for f in w.results if f.status == "no answer"]
 
 
 def test_a_crashed_server_and_a_liar_draw_little() -> None:
     assert play("crashed").service() > 0.9
-    assert play("liar").servers["s0"].drawn <= 30
+    assert play("liar").servers["s0"].selected <= 30
 
 
 def test_the_agents_hold_nothing_when_all_is_over() -> None:
@@ -281,7 +281,7 @@
 
 def test_answers_that_never_come_are_not_waited_for_where_they_may_be_repeated() -> None:
     w = play("hangs")
-    assert w.service() > 0.95 and sum(f.status == "no answer" for f in w.finals) == 0
+    assert w.service() > 0.95 and sum(f.status == "no answer" for f in w.results) == 0
 
 
 def test_broken_connections_cost_little() -> None:
@@ -291,12 +291,12 @@
 
 def test_a_world_plays_the_same_twice() -> None:
     one, other = play("cold_rush", 3), play("cold_rush", 3)
-    assert one.finals == other.finals
+    assert one.results == other.results
 
 
 def test_a_server_full_of_others_work_is_left_alone() -> None:
     w = play("full_of_others")
-    assert w.service() > 0.95 and w.servers["s0"].drawn < max(s.drawn for s in w.servers.values())
+    assert w.service() > 0.95 and w.servers["s0"].selected < max(s.selected for s in w.servers.values())
 
 
 def test_a_large_list_is_served_from_the_start() -> None:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -10,7 +10,7 @@
 from lilacsill.emulator.lab.discovery import Discovery
 from lilacsill.emulator.lab.fleet import FLEETS, Counts, play
 from lilacsill.emulator.lab.module import here
-from lilacsill.emulator.lab.stage import SECOND, LabSpec
+from lilacsill.emulator.lab.environment import SECOND, LabSpec
 from lilacsill.emulator.lab.world import World
 
 
@@ -28,11 +28,11 @@
 @pytest.mark.parametrize("name", sorted(FLEETS))
 def test_discovery_is_not_kept_full_by_calls_that_it_turns_away(name: str) -> None:
     counts = day(name)
-    assert counts.list_turned_away <= 0.1 * counts.list_calls
+    assert counts.list_rejections <= 0.1 * counts.list_calls
 
 
 def test_a_fleet_that_starts_together_does_not_call_together() -> None:
-    assert day("calm").calls_in_a_second <= 20
+    assert day("calm").max_calls_per_second <= 20
 
 
 def test_probes_that_cost_more_than_they_tell_are_left_out() -> None:
@@ -56,9 +56,9 @@
     heard: list[bool] = []
     for _ in range(5):  # 0.3 s each
         d.watch(0, heard.append)
-    assert d.turned_away.total() == 2 and not heard
-    d.changed(10)
-    while world._events and len(heard) < 5:
-        world.now, _, what = heappop(world._events)
+    assert d.rejections.total() == 2 and not heard
+    d.add_revision(10)
+    while world.events and len(heard) < 5:
+        world.now, _, what = heappop(world.events)
         what()
     assert heard.count(False) >= 2 and world.now <= world.start + 2 * SECOND
