--- a/benchmarks/peers.py
+++ b/benchmarks/peers.py
@@ -24,7 +24,7 @@
 from statistics import median
 from typing import Any
 
-from lilacsill.emulator.processes.rig import Child, Rig, rig
+from lilacsill.emulator.processes.rig import AgentProcess, Rig, rig
 from lilacsill.agent.peers.suspicion import min_suspicion_us
 
 from .peers_ill import ratio
@@ -61,7 +61,7 @@
     began = time.monotonic()
     children = [r.begin(n) for n in range(agents)]
     for child in children:
-        await r.ready(child)
+        await r.wait_ready(child)
     return time.monotonic() - began
 
 
@@ -116,7 +116,7 @@
     return row
 
 
-async def request_us(child: Child, requests: int) -> float:
+async def request_us(child: AgentProcess, requests: int) -> float:
     """CPU of one agent for one request, one after the other on one connection."""
     reader, writer = await asyncio.open_connection("127.0.0.1", child.port)
 
--- a/benchmarks/peers_ill.py
+++ b/benchmarks/peers_ill.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacsill.emulator.processes.rig import Child, Rig, rig
+from lilacsill.emulator.processes.rig import AgentProcess, Rig, rig
 
 from .storming import request
 
@@ -62,7 +62,7 @@
             b.stop()
 
 
-async def client(child: Child) -> None:
+async def client(child: AgentProcess) -> None:
     """One request at a time, on one connection, at an even rate."""
     reader, writer = await asyncio.open_connection("127.0.0.1", child.port)
     try:
@@ -77,7 +77,7 @@
         writer.close()
 
 
-async def left(r: Rig, child: Child, on: bool, began: float, most_s: float) -> float:
+async def left(r: Rig, child: AgentProcess, on: bool, began: float, most_s: float) -> float:
     """When that agent sent nothing more to it, but for trials: by its own finding or by others'."""
     while time.monotonic() - began < most_s:
         if any("server s0 excluded" in line for line in child.lines):
@@ -116,7 +116,7 @@
             async with rig(agents, Path(folder), of, file) as r:
                 children = [r.begin(n) for n in range(agents)]
                 for c in children:
-                    await r.ready(c)
+                    await r.wait_ready(c)
                 traffic = [asyncio.create_task(client(c)) for c in children]
                 await asyncio.sleep(2.0)  # entries and latencies are known
                 backends[0].ill, began = True, time.monotonic()
--- a/benchmarks/peers_virtual.py
+++ b/benchmarks/peers_virtual.py
@@ -59,7 +59,7 @@
             nonlocal most
             most = max(most, w.spendable(COLD) / (agents * SHARE_UNITS))
 
-        w.watch = watch
+        w.on_step = watch
         for step in range(12):  # demand goes round
             needs(w, lambda n, step=step: 6.0 if n % 4 == step % 4 else 0.2)  # type: ignore[misc]
             w.run(w.now + 5 * SECOND)
--- a/lilacsill/emulator/herd.py
+++ b/lilacsill/emulator/herd.py
@@ -21,7 +21,7 @@
 from .models.plan import Plan
 from .models.scenario import SERVICES
 from .parts import Fleet
-from .processes.rig import Child, Rig, rig
+from .processes.rig import AgentProcess, Rig, rig
 
 LINE_MOST = 16  # agents that are started by the run line, where nothing asks for more
 TOGETHER = 32  # of those from the rig start at once
@@ -96,18 +96,18 @@
     async def quit(self, number: int) -> None:
         """As an operator stops it: it answers what it holds first."""
         self._down.add(number)
-        self.rig.agents[number].send(signal.SIGTERM)
-        await self.rig.agents[number].ended()
+        self.rig.agents[number].send_signal(signal.SIGTERM)
+        await self.rig.agents[number].wait_for_end()
 
     async def again(self, number: int) -> None:
         await self.rig.start(number)
         self._down.discard(number)
 
     async def stop(self) -> None:
-        async def one(child: Child) -> None:
-            child.send(signal.SIGCONT)
-            child.send(signal.SIGTERM)
-            await child.ended()
+        async def one(child: AgentProcess) -> None:
+            child.send_signal(signal.SIGCONT)
+            child.send_signal(signal.SIGTERM)
+            await child.wait_for_end()
 
         await asyncio.gather(*(one(c) for c in self.rig.running()))
 
--- a/lilacsill/emulator/parts.py
+++ b/lilacsill/emulator/parts.py
@@ -58,7 +58,7 @@
 
     def begin(self, t0: int) -> None:
         for part in self.parts:
-            part.say({"t0": t0})
+            part.send({"t0": t0})
 
     def order(self, line: bytes) -> None:
         stdin = self.parts[0].process.stdin
@@ -95,7 +95,7 @@
                 )
             told = [await part.expect() for part in fleet.parts]
             for part in fleet.parts:
-                part.say({"ports": [row for t in told for row in t["ports"]], "memory": [t["memory"] for t in told]})
+                part.send({"ports": [row for t in told for row in t["ports"]], "memory": [t["memory"] for t in told]})
             ready = [await part.expect() for part in fleet.parts]
     except TimeoutError:
         await fleet.end()
@@ -121,7 +121,7 @@
 
     def begin(self, addresses: list[tuple[str, int]], t0: int) -> None:
         for part in self.parts:
-            part.say({"addresses": addresses, "t0": t0})
+            part.send({"addresses": addresses, "t0": t0})
 
     async def run(self, progress: Callable[[int, int], None]) -> None:
         """Until the last answer; `progress` hears how many were sent and served in time. Raises PipeError."""
--- a/lilacsill/emulator/run.py
+++ b/lilacsill/emulator/run.py
@@ -109,7 +109,7 @@
     fleet.begin(t0)
     crowd.begin(herd.addresses(), t0)
     if isinstance(herd, herds.Many):
-        await herd.rig.rules(herds.relay_rules(plan.link_faults, now()))
+        await herd.rig.set_rules(herds.relay_rules(plan.link_faults, now()))
     away: list[Absence] = []
 
     def tell(sent: int, served: int) -> None:
--- a/tests/agent/peers/fleets.py
+++ b/tests/agent/peers/fleets.py
@@ -11,7 +11,7 @@
 from pathlib import Path
 from typing import Any
 
-from lilacsill.emulator.processes.rig import Child, Rig, rig
+from lilacsill.emulator.processes.rig import AgentProcess, Rig, rig
 from tests.agent.loopback import Conversation, Message, Peer, config_doc, member, post
 
 HANG_S = 120  # a hang fails the test; nothing is timed by this
@@ -95,7 +95,7 @@
             if begin:
                 children = [r.begin(n) for n in range(agents)]
                 for child in children:
-                    await r.ready(child)
+                    await r.wait_ready(child)
                 await met(r)
             yield r
     finally:
@@ -129,7 +129,7 @@
         )
 
 
-async def ask(child: Child, requests: int = 1) -> list[int]:
+async def ask(child: AgentProcess, requests: int = 1) -> list[int]:
     """One after the other on one connection; the statuses."""
     client = Conversation(*await asyncio.open_connection("127.0.0.1", child.port))
     try:
@@ -143,6 +143,6 @@
         client.close()
 
 
-async def burst(child: Child, requests: int = 12) -> None:
+async def burst(child: AgentProcess, requests: int = 12) -> None:
     """All at once, so that no backend that is let in stays idle."""
     await asyncio.gather(*(ask(child) for _ in range(requests)))
--- a/tests/agent/peers/test_escrow.py
+++ b/tests/agent/peers/test_escrow.py
@@ -349,7 +349,7 @@
     def watch() -> None:
         assert world.spendable(0) <= n * SHARE_UNITS
 
-    world.watch = watch
+    world.on_step = watch
     died = 0
     for _ in range(400):
         world.run(world.now + LEASE // 50)
--- a/tests/agent/peers/test_membership.py
+++ b/tests/agent/peers/test_membership.py
@@ -153,7 +153,7 @@
     w = world()
     p = w.processes[2]
     p.fleet.leave(p.clock(w.now))
-    w._flush(p)
+    w.flush(p)
     w.kill(2)
     until(w, lambda: set(state(w, 2).values()) == {MemberState.LEFT}, 2)
 
--- a/tests/agent/peers/test_processes.py
+++ b/tests/agent/peers/test_processes.py
@@ -35,7 +35,7 @@
 def test_halves_of_a_partition_keep_their_shares_and_counts_merge_after_it(tmp_path: Path) -> None:
     async def run() -> None:
         async with fleet(N, tmp_path, backends=4, started_s=19) as r:
-            await r.rules([{"from": sorted(HALF), "to": sorted(REST), "cut": True}])
+            await r.set_rules([{"from": sorted(HALF), "to": sorted(REST), "cut": True}])
             for half, rest in ((HALF, REST), (REST, HALF)):
                 for n in half:
                     await until(r, n, lambda t, rest=rest: all(sees(k, "dead", t) for k in rest))  # type: ignore[misc]
@@ -49,7 +49,7 @@
                 assert all(t["siblings"]["used"] == N for t in told)
                 assert all(right(t) <= len(half) for t in told)
                 assert all(t["counts"]["requests"] <= 5 for t in told)
-            await r.rules([])
+            await r.set_rules([])
             await met(r)
             for n in range(N):
                 await until(r, n, lambda t: t["counts"]["requests"] >= 10)
@@ -106,7 +106,7 @@
     async def run() -> None:
         n = 16
         async with fleet(n, tmp_path) as r:
-            await r.rules(
+            await r.set_rules(
                 [
                     {
                         "from": list(range(n)),
@@ -123,7 +123,7 @@
                 await until(r, 0, lambda t, k=number: not sees(k, "alive", t))  # type: ignore[misc]
                 r.stall(number, False)
                 await until(r, 0, lambda t, k=number: sees(k, "alive", t))  # type: ignore[misc]
-            await r.rules([])
+            await r.set_rules([])
             await met(r)
             dropped = [(await r.peers(k))["dropped"] for k in range(n)]
             assert sum(d.get("repeated", 0) for d in dropped) > 0
@@ -195,9 +195,9 @@
                 path.write_text(text)
                 seen = [len(c.lines) for c in r.running()]
                 for c in r.running():
-                    c.send(signal.SIGHUP)
+                    c.send_signal(signal.SIGHUP)
                 for c, before in zip(r.running(), seen, strict=True):
-                    await c.until(
+                    await c.wait_until(
                         lambda c=c, before=before, lines=lines: any(  # type: ignore[misc]
                             f"read again: {lines}" in x for x in c.lines[before:]
                         )
@@ -222,11 +222,11 @@
             first = r.agents[1]
             life = (await r.peers(1))["life"]
             second = r.begin(1)
-            await r.ready(second)
-            await second.line("takes no part between agents")
+            await r.wait_ready(second)
+            await second.wait_for_line("takes no part between agents")
             assert not (await r.peers(1))["open"]
-            first.send(signal.SIGTERM)
-            await first.ended()
+            first.send_signal(signal.SIGTERM)
+            await first.wait_for_end()
             await until(r, 1, lambda t: bool(t["open"]))
             await met(r)
             assert (await r.peers(1))["life"] > life
--- a/tests/agent/recovery/test_power_loss.py
+++ b/tests/agent/recovery/test_power_loss.py
@@ -15,7 +15,7 @@
 
 from lilacsill.agent.recovery.state import SavedState, decode
 from lilacsill.emulator.processes.pipe import ROOT
-from lilacsill.emulator.processes.rig import Rig, ask_door, rig
+from lilacsill.emulator.processes.rig import Rig, call_admin, rig
 from tests.agent.loopback import Message, Peer, config_doc, member
 from tests.agent.peers.fleets import Worker, ask
 
@@ -107,7 +107,7 @@
             for n in range(6):
                 await saved(tmp_path, n, lambda s: s.revision == 60)
             await asyncio.gather(*(ask(r.agents[n], 30) for n in range(6)))
-            await ask_door(r.agents[0].door, "/-/backends/new/disable", "POST")
+            await call_admin(r.agents[0].admin_port, "/-/backends/new/disable", "POST")
             for n in range(6):  # a pace is written again once it rests on twice as many answers
                 await saved(tmp_path, n, lambda s: s.latency_model.answers >= 15)
             await saved(tmp_path, 0, lambda s: s.disabled_backends == ["new"])
@@ -122,7 +122,7 @@
                 assert t["life"] > first[n]["life"] and t["pace"]["answers"] > 0
                 assert t["out"] == (["new"] if n == 0 else [])
                 assert await ask(r.agents[n], 20) == [200] * 20
-            ready = await ask_door(r.agents[0].door, "/-/ready")
+            ready = await call_admin(r.agents[0].admin_port, "/-/ready")
             assert ready["out"] == ["new"]
 
     asyncio.run(run())
@@ -146,10 +146,10 @@
             t = await told(r, 0)
             assert (t["loaded"]["generation"], t["pace"]["answers"]) == (1, before.latency_model.answers)
             assert "torn" in t["loaded"]["left_aside"][0]["why"]
-            await r.agents[0].line("generation 0 is left aside")
+            await r.agents[0].wait_for_line("generation 0 is left aside")
             t = await told(r, 1)
             assert not t["loaded"]["used"] and "of agent 'n0'" in t["loaded"]["left_aside"][0]["why"]
-            door = f"127.0.0.1:{r.agents[0].door}"
+            door = f"127.0.0.1:{r.agents[0].admin_port}"
             out = await asyncio.to_thread(
                 subprocess.run,
                 [sys.executable, "-m", "lilacsill", "recovery", door],
@@ -169,10 +169,10 @@
             (tmp_path / "saved").rmdir()
             await r.start(0)
             assert await ask(r.agents[0], 5) == [200] * 5
-            await r.agents[0].line("the state cannot be saved")
+            await r.agents[0].wait_for_line("the state cannot be saved")
             assert await ask(r.agents[0], 5) == [200] * 5
             (tmp_path / "saved").mkdir()
-            await r.agents[0].line("the state is saved again")
+            await r.agents[0].wait_for_line("the state is saved again")
             assert sum("cannot be saved" in line for line in r.agents[0].lines) == 1
 
     asyncio.run(run())
