--- a/lilacsill/hosted/api/calls.py
+++ b/lilacsill/hosted/api/calls.py
@@ -12,8 +12,8 @@
 from starlette.responses import Response
 
 from ..resources import NAME_PATTERN, Kind, Resource
-from ..store.interface import Author, Remembered
-from ..store.sqlite import told
+from ..store.interface import Author, RememberedAnswer
+from ..store.sqlite import public_spec
 from .callers import Caller
 from .problems import Problem
 
@@ -121,7 +121,7 @@
     return f"{caller.id} {key}", print_
 
 
-def repeated(found: Remembered | None, fingerprint: str) -> Response | None:
+def repeated(found: RememberedAnswer | None, fingerprint: str) -> Response | None:
     """The first answer again; 422 where the key came with another call."""
     if found is None:
         return None
@@ -133,7 +133,7 @@
 def shown(r: Resource) -> dict[str, Any]:
     """A resource as the API tells it; a credential without its digest."""
     head: dict[str, Any] = {"id" if r.kind is Kind.CREDENTIAL else "name": r.name, "revision": r.revision}
-    return {**head, **told(r.spec)}
+    return {**head, **public_spec(r.spec)}
 
 
 def answer(r: Resource, status: int = 200, **more: Any) -> Response:
--- a/lilacsill/hosted/api/handlers.py
+++ b/lilacsill/hosted/api/handlers.py
@@ -10,7 +10,7 @@
 from starlette.responses import Response
 
 from ..resources import CredentialSpec, Kind, Name, PoolSpec, Resource, Role, Spec, State, TenantSpec, decode_spec
-from ..store.interface import Change, Remembered
+from ..store.interface import Change, RememberedAnswer
 from ..supervisor.service import Service
 from ..supervisor.workers import Workers
 from . import calls
@@ -85,7 +85,7 @@
         if key is not None and not dry:
             # Of the answer only what is sure beforehand is remembered: a repeat asks for the rest.
             text = msgspec.json.encode({"name": name, **msgspec.to_builtins(spec)})
-            remember = key[0], Remembered(key[1], 201, text)
+            remember = key[0], RememberedAnswer(key[1], 201, text)
         made = self._service.create(kind, name, spec, calls.author(request, caller), dry, remember)
         return await self._in_force(made, 200 if dry else 201, dry)
 
@@ -122,10 +122,10 @@
         if caller.role is Role.TENANT_ADMIN and (asked.tenant != caller.tenant or asked.role is not Role.CLIENT):
             raise Problem(403, "a tenant admin makes client credentials of its own tenant")
 
-        def remembered(made: Resource) -> tuple[str, Remembered]:
+        def remembered(made: Resource) -> tuple[str, RememberedAnswer]:
             # Without the secret, which is shown once: who lost it removes this one and makes another.
             assert key is not None
-            return key[0], Remembered(key[1], 201, msgspec.json.encode({**calls.shown(made), "secret": None}))
+            return key[0], RememberedAnswer(key[1], 201, msgspec.json.encode({**calls.shown(made), "secret": None}))
 
         try:
             made, secret = self._service.issue(
--- a/lilacsill/hosted/store/schema.py
+++ b/lilacsill/hosted/store/schema.py
@@ -1,8 +1,11 @@
-"""The schema of the SQLite store, as steps from one version to the next. A step that was released is never edited."""
+"""The schema of the SQLite store, as migrations from one version to the next.
+
+A migration that was released is never edited.
+"""
 
 from __future__ import annotations
 
-STEPS: tuple[str, ...] = (
+MIGRATIONS: tuple[str, ...] = (
     """
     CREATE TABLE resources (
         kind TEXT NOT NULL, name TEXT NOT NULL, uid INTEGER NOT NULL UNIQUE, revision INTEGER NOT NULL,
@@ -23,5 +26,7 @@
     CREATE INDEX remembered_by_age ON remembered (at_ms);
     """,
 )
-VERSION = len(STEPS)
-APPLICATION_ID = 0x6C736C6C  # "lsll", in the header of the file (SQLite, PRAGMA application_id)
+VERSION = len(MIGRATIONS)
+"""The version of the schema (SQLite, PRAGMA user_version)."""
+APPLICATION_ID = 0x6C736C6C
+"""The text "lsll" in the header of the file (SQLite, PRAGMA application_id)."""
--- a/lilacsill/hosted/store/sqlite.py
+++ b/lilacsill/hosted/store/sqlite.py
@@ -1,7 +1,7 @@
 """The embedded store: SQLite in WAL mode, full sync, one writer.
 
-Every change and its line in the log are one transaction, so that a crash leaves both or neither. The chain of hashes
-makes an edited or missing line visible to `verify`; the triggers stop an accident, the chain shows an intent.
+A change and its line in the log are one transaction: a crash leaves both or neither. Triggers refuse to edit the log by
+accident; the chain of hashes lets `verify` find a line that was edited or removed on purpose.
 """
 
 from __future__ import annotations
@@ -16,96 +16,100 @@
 import msgspec
 
 from ..resources import CredentialSpec, Kind, Resource, Spec, decode_spec
-from .interface import Author, Change, Conflict, Drop, Put, Remembered, StoreError, Unavailable, Write
-from .schema import APPLICATION_ID, STEPS, VERSION
+from .interface import Author, Change, Conflict, Drop, Put, RememberedAnswer, StoreError, Unavailable, Verb, Write
+from .schema import APPLICATION_ID, MIGRATIONS, VERSION
 
-FIRST = "0" * 64  # what the first line of the log names as the one before
-REMEMBERED_MS = 24 * 3600 * 1000  # answers to calls with an Idempotency-Key
+GENESIS_HASH = "0" * 64
+"""The hash that the first line of the log names as the one before."""
+REMEMBERED_MS = 24 * 3600 * 1000
+"""Answers to calls with an Idempotency-Key are kept for so many milliseconds: a day."""
 _COLUMNS = "revision, at_ms, actor, request_id, verb, kind, name, uid, before, after, previous, hash"
 
 
 class SqliteStore:
-    """One process writes; `step` is called before each step of a commit, so that tests can crash there."""
+    """A store in one SQLite file, for one writing process.
+
+    Args:
+        path: The file; it is created where it does not exist.
+        wall_ms: Reads the wall clock, in milliseconds of Unix time.
+        step: Is called before each step of a commit, so that tests can crash there.
+
+    Raises:
+        StoreError: The file cannot be used: another program's, damaged, or of a newer version.
+    """
 
     def __init__(self, path: str, wall_ms: Callable[[], int], step: Callable[[str], None] = lambda _: None) -> None:
-        self.path, self._wall_ms, self._step = path, wall_ms, step
+        self.path = path
+        self._wall_ms = wall_ms
+        self._step = step
         try:
             self._db = sqlite3.connect(path, isolation_level=None, check_same_thread=False)
             self._open()
-        except sqlite3.DatabaseError as e:
-            raise StoreError(f"{path}: {e}") from None
+        except sqlite3.DatabaseError as error:
+            raise StoreError(f"{path}: {error}") from None
 
     def _open(self) -> None:
-        db = self._db
-        db.execute("PRAGMA busy_timeout = 2000")
-        (application,) = db.execute("PRAGMA application_id").fetchone()
-        (version,) = db.execute("PRAGMA user_version").fetchone()
-        (tables,) = db.execute("SELECT count(*) FROM sqlite_master").fetchone()
+        self._db.execute("PRAGMA busy_timeout = 2000")
+        version = self._check_file()
+        self._db.execute("PRAGMA journal_mode = WAL")
+        self._db.execute("PRAGMA synchronous = FULL")
+        for number in range(version, VERSION):
+            # Each migration is one transaction: a crash leaves the version before it or the one after.
+            self._db.executescript(
+                f"BEGIN IMMEDIATE; {MIGRATIONS[number]} PRAGMA user_version = {number + 1}; "
+                f"PRAGMA application_id = {APPLICATION_ID}; COMMIT;"
+            )
+
+    def _check_file(self) -> int:
+        """Check that the file is a usable store. Returns the version of its schema."""
+        (application,) = self._db.execute("PRAGMA application_id").fetchone()
+        (version,) = self._db.execute("PRAGMA user_version").fetchone()
+        (tables,) = self._db.execute("SELECT count(*) FROM sqlite_master").fetchone()
         if tables and application != APPLICATION_ID:
             raise StoreError(f"{self.path}: a database, but none of lilacsill's")
         if version > VERSION:
             raise StoreError(f"{self.path}: schema {version} is newer than this program's, {VERSION}; left as it is")
-        (health,) = db.execute("PRAGMA quick_check(1)").fetchone()
+        (health,) = self._db.execute("PRAGMA quick_check(1)").fetchone()
         if health != "ok":
             raise StoreError(f"{self.path}: corrupt: {health}; restore a backup")
-        db.execute("PRAGMA journal_mode = WAL")
-        db.execute("PRAGMA synchronous = FULL")
-        for number in range(version, VERSION):
-            # One step, one transaction: a crash in between leaves the version before or the one after.
-            db.executescript(
-                f"BEGIN IMMEDIATE; {STEPS[number]} PRAGMA user_version = {number + 1}; "
-                f"PRAGMA application_id = {APPLICATION_ID}; COMMIT;"
-            )
+        return int(version)
 
     @property
     def revision(self) -> int:
+        """The revision of the last change; 0 in an empty store."""
         return int(self._db.execute("SELECT coalesce(max(revision), 0) FROM changes").fetchone()[0])
 
-    # Writes
-
     def commit(
-        self, writes: Sequence[Write], author: Author, remember: tuple[str, Remembered] | None = None
+        self, writes: Sequence[Write], author: Author, remember: tuple[str, RememberedAnswer] | None = None
     ) -> list[Change]:
-        db = self._db
+        """Apply all writes in one transaction; see `Store.commit`."""
         try:
             self._step("begin")
-            db.execute("BEGIN IMMEDIATE")
+            self._db.execute("BEGIN IMMEDIATE")
             try:
-                changes = [self._write(w, author) for w in writes]
+                changes = [self._apply(write, author) for write in writes]
                 if remember is not None:
                     self._remember(*remember)
                 self._step("commit")
-                db.execute("COMMIT")
+                self._db.execute("COMMIT")
             except BaseException:
                 with suppress(sqlite3.Error):
-                    db.execute("ROLLBACK")
+                    self._db.execute("ROLLBACK")
                 raise
             self._step("committed")
-        except sqlite3.Error as e:
-            raise Unavailable(f"{self.path}: {e}; nothing was changed") from None
+        except sqlite3.Error as error:
+            raise Unavailable(f"{self.path}: {error}; nothing was changed") from None
         return changes
 
-    def _write(self, w: Write, author: Author) -> Change:
-        now = self.get(w.kind, w.name)
-        if w.expected == 0 and now is not None:
-            raise Conflict(f"{w.kind.value} {w.name} is there already", exists=True)
-        if (isinstance(w, Drop) or w.expected) and now is None:
-            raise Conflict(f"there is no {w.kind.value} {w.name}", exists=False)
-        if w.expected and now is not None and now.revision != w.expected:
-            raise Conflict(f"{w.kind.value} {w.name} is at revision {now.revision}, not {w.expected}", exists=True)
+    def _apply(self, write: Write, author: Author) -> Change:
+        current = self.get(write.kind, write.name)
+        _check_expected(write, current)
         revision = self.revision + 1
-        uid = now.uid if now is not None else revision  # a revision is used once, and so is a uid made of it
-        after: Spec | None = None
+        uid = current.uid if current is not None else revision  # a revision is unique, and so is a uid made of it
+        spec = write.spec if isinstance(write, Put) else None
         self._step("resource")
-        if isinstance(w, Put):
-            after = w.spec
-            self._db.execute(
-                "INSERT OR REPLACE INTO resources VALUES (?, ?, ?, ?, ?)",
-                (w.kind.value, w.name, uid, revision, msgspec.json.encode(after)),
-            )
-        else:
-            self._db.execute("DELETE FROM resources WHERE kind = ? AND name = ?", (w.kind.value, w.name))
-        verb = "removed" if after is None else "created" if now is None else "changed"
+        self._write_resource(write.kind, write.name, uid, revision, spec)
+        verb = Verb.REMOVED if spec is None else Verb.CREATED if current is None else Verb.CHANGED
         previous = self._db.execute("SELECT hash FROM changes ORDER BY revision DESC LIMIT 1").fetchone()
         change = seal(
             Change(
@@ -113,17 +117,30 @@
                 self._wall_ms(),
                 author.actor,
                 author.request_id,
-                verb,
-                w.kind,
-                w.name,
+                verb.value,
+                write.kind,
+                write.name,
                 uid,
-                told(now.spec) if now is not None else None,
-                told(after) if after is not None else None,
-                previous[0] if previous is not None else FIRST,
+                public_spec(current.spec) if current is not None else None,
+                public_spec(spec) if spec is not None else None,
+                previous[0] if previous is not None else GENESIS_HASH,
                 "",
             )
         )
         self._step("log")
+        self._write_change(change)
+        return change
+
+    def _write_resource(self, kind: Kind, name: str, uid: int, revision: int, spec: Spec | None) -> None:
+        if spec is None:
+            self._db.execute("DELETE FROM resources WHERE kind = ? AND name = ?", (kind.value, name))
+        else:
+            self._db.execute(
+                "INSERT OR REPLACE INTO resources VALUES (?, ?, ?, ?, ?)",
+                (kind.value, name, uid, revision, msgspec.json.encode(spec)),
+            )
+
+    def _write_change(self, change: Change) -> None:
         self._db.execute(
             f"INSERT INTO changes ({_COLUMNS}) VALUES (?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?, ?)",
             (
@@ -141,9 +158,8 @@
                 change.hash,
             ),
         )
-        return change
 
-    def _remember(self, key: str, answer: Remembered) -> None:
+    def _remember(self, key: str, answer: RememberedAnswer) -> None:
         now = self._wall_ms()
         self._db.execute("DELETE FROM remembered WHERE at_ms < ?", (now - REMEMBERED_MS,))
         self._db.execute(
@@ -151,15 +167,15 @@
             (key, now, answer.fingerprint, answer.status, answer.body),
         )
 
-    # Reads
-
     def get(self, kind: Kind, name: str) -> Resource | None:
+        """Read a resource."""
         row = self._db.execute(
             "SELECT kind, name, uid, revision, spec FROM resources WHERE kind = ? AND name = ?", (kind.value, name)
         ).fetchone()
         return _resource(row) if row is not None else None
 
     def page(self, kind: Kind, after: str = "", limit: int = 0) -> list[Resource]:
+        """List resources by name, those after the name `after`; limit 0: all."""
         return [
             _resource(row)
             for row in self._db.execute(
@@ -170,6 +186,7 @@
         ]
 
     def changes(self, after: int, limit: int = 0) -> list[Change]:
+        """List the log's lines after a revision; limit 0: all."""
         return [
             _change(row)
             for row in self._db.execute(
@@ -177,15 +194,17 @@
             )
         ]
 
-    def remembered(self, key: str) -> Remembered | None:
+    def remembered(self, key: str) -> RememberedAnswer | None:
+        """Find the answer that was stored with an idempotency key, at most a day ago."""
         row = self._db.execute(
             "SELECT fingerprint, status, body FROM remembered WHERE key = ? AND at_ms >= ?",
             (key, self._wall_ms() - REMEMBERED_MS),
         ).fetchone()
-        return Remembered(*row) if row is not None else None
+        return RememberedAnswer(*row) if row is not None else None
 
     def verify(self) -> int:
-        previous, count = FIRST, 0
+        """Check the chain of hashes of the log; see `Store.verify`."""
+        previous, count = GENESIS_HASH, 0
         for change in self.changes(0):
             if change.previous != previous or seal(change).hash != change.hash:
                 raise StoreError(f"{self.path}: the log is broken at revision {change.revision}")
@@ -193,29 +212,39 @@
         return count
 
     def backup(self, path: str) -> None:
+        """Write a consistent copy, which replaces the file at `path` when it is complete."""
         fresh = Path(path).with_name(Path(path).name + ".part")
         try:
             with closing(sqlite3.connect(fresh)) as copy:
                 self._db.backup(copy)
             fresh.replace(path)
-        except (sqlite3.Error, OSError) as e:
+        except (sqlite3.Error, OSError) as error:
             with suppress(OSError):
                 fresh.unlink()
-            raise StoreError(f"{path}: {e}") from None
+            raise StoreError(f"{path}: {error}") from None
 
     def close(self) -> None:
+        """Close the file."""
         self._db.close()
 
 
 def restore(backup: str, path: str, wall_ms: Callable[[], int]) -> int:
-    """Put a verified backup in the place of a store that is not in use. Returns its revision; the old one is kept
-    beside it under `.before-restore`."""
+    """Replace a store that is not in use by a verified backup.
+
+    The replaced file is kept beside it, with the suffix `.before-restore`.
+
+    Returns:
+        The revision of the backup.
+
+    Raises:
+        StoreError: The backup is damaged, or could not be copied; the store is as before.
+    """
     checked = SqliteStore(backup, wall_ms)
     try:
         checked.verify()
         revision = checked.revision
-        fresh = Path(path).with_name(Path(path).name + ".restored")
-        checked.backup(str(fresh))
+        copy = Path(path).with_name(Path(path).name + ".restored")
+        checked.backup(str(copy))
     finally:
         checked.close()
     target = Path(path)
@@ -223,33 +252,58 @@
         target.replace(target.with_name(target.name + ".before-restore"))
     for leftover in ("-wal", "-shm"):
         target.with_name(target.name + leftover).unlink(missing_ok=True)
-    fresh.replace(target)
+    copy.replace(target)
     return revision
 
 
-def told(spec: Spec) -> dict[str, Any]:
-    """A spec as the log tells it: digests are left out."""
-    found: dict[str, Any] = msgspec.to_builtins(spec)
+def public_spec(spec: Spec) -> dict[str, Any]:
+    """Convert a spec for the log and the API: without the digest of a credential."""
+    fields: dict[str, Any] = msgspec.to_builtins(spec)
     if isinstance(spec, CredentialSpec):
-        found.pop("digest")
-    return found
+        fields.pop("digest")
+    return fields
 
 
 def seal(change: Change) -> Change:
-    """The same line with its hash."""
+    """Compute the hash of a log line. Returns the line with its hash."""
     text = msgspec.json.encode(msgspec.structs.replace(change, hash=""), order="deterministic")
     return msgspec.structs.replace(change, hash=sha256(text).hexdigest())
 
 
-def _blob(what: dict[str, Any] | None) -> bytes | None:
-    return msgspec.json.encode(what) if what is not None else None
+def _check_expected(write: Write, current: Resource | None) -> None:
+    label = f"{write.kind.value} {write.name}"
+    if write.expected == 0 and current is not None:
+        raise Conflict(f"{label} is there already", exists=True)
+    if current is None:
+        if isinstance(write, Drop) or write.expected:
+            raise Conflict(f"there is no {label}", exists=False)
+    elif write.expected and current.revision != write.expected:
+        raise Conflict(f"{label} is at revision {current.revision}, not {write.expected}", exists=True)
+
+
+def _blob(fields: dict[str, Any] | None) -> bytes | None:
+    return msgspec.json.encode(fields) if fields is not None else None
 
 
 def _resource(row: tuple[Any, ...]) -> Resource:
-    kind = Kind(row[0])
-    return Resource(kind, row[1], row[2], row[3], decode_spec(kind, row[4]))
+    kind, name, uid, revision, spec = row
+    return Resource(Kind(kind), name, uid, revision, decode_spec(Kind(kind), spec))
 
 
 def _change(row: tuple[Any, ...]) -> Change:
-    before, after = (msgspec.json.decode(x) if x is not None else None for x in row[8:10])
-    return Change(row[0], row[1], row[2], row[3], row[4], Kind(row[5]), row[6], row[7], before, after, row[10], row[11])
+    """Decode a row of `_COLUMNS`."""
+    revision, at_ms, actor, request_id, verb, kind, name, uid, before, after, previous, line_hash = row
+    return Change(
+        revision,
+        at_ms,
+        actor,
+        request_id,
+        verb,
+        Kind(kind),
+        name,
+        uid,
+        msgspec.json.decode(before) if before is not None else None,
+        msgspec.json.decode(after) if after is not None else None,
+        previous,
+        line_hash,
+    )
--- a/lilacsill/hosted/supervisor/service.py
+++ b/lilacsill/hosted/supervisor/service.py
@@ -25,7 +25,7 @@
     TenantSpec,
     decode_spec,
 )
-from ..store.interface import Author, Change, Conflict, Drop, Put, Remembered, Store, Write
+from ..store.interface import Author, Change, Conflict, Drop, Put, RememberedAnswer, Store, Write
 
 SYSTEM = "system"
 
@@ -56,7 +56,7 @@
         spec: Spec,
         author: Author,
         dry: bool = False,
-        remember: tuple[str, Remembered] | None = None,
+        remember: tuple[str, RememberedAnswer] | None = None,
     ) -> Resource:
         self._check(kind, name, spec, None)
         return self._put(kind, name, spec, 0, author, dry, remember)
@@ -109,7 +109,7 @@
         description: str,
         author: Author,
         dry: bool = False,
-        remember: Callable[[Resource], tuple[str, Remembered]] | None = None,
+        remember: Callable[[Resource], tuple[str, RememberedAnswer]] | None = None,
     ) -> tuple[Resource, str]:
         """A new credential and its secret, which nobody can be told again."""
         name, token = make_token(self._random(6), self._random(32))
@@ -155,7 +155,7 @@
         expected: int,
         author: Author,
         dry: bool,
-        remember: tuple[str, Remembered] | None = None,
+        remember: tuple[str, RememberedAnswer] | None = None,
     ) -> Resource:
         if dry:
             now = self.store.get(kind, name)
@@ -166,7 +166,7 @@
         return Resource(kind, name, change.uid, change.revision, spec)
 
     def _commit(
-        self, writes: Sequence[Write], author: Author, remember: tuple[str, Remembered] | None = None
+        self, writes: Sequence[Write], author: Author, remember: tuple[str, RememberedAnswer] | None = None
     ) -> list[Change]:
         changes = self.store.commit(writes, author, remember)
         for change, w in zip(changes, writes, strict=True):
--- a/tests/hosted/test_store.py
+++ b/tests/hosted/test_store.py
@@ -13,7 +13,7 @@
 from hypothesis import strategies as st
 
 from lilacsill.hosted.resources import Kind, TenantSpec
-from lilacsill.hosted.store.interface import Author, Conflict, Drop, Put, Remembered, StoreError, Unavailable
+from lilacsill.hosted.store.interface import Author, Conflict, Drop, Put, RememberedAnswer, StoreError, Unavailable
 from lilacsill.hosted.store.schema import VERSION
 from lilacsill.hosted.store.sqlite import SqliteStore, restore
 
@@ -172,7 +172,7 @@
 def test_an_answer_is_remembered_with_its_change_or_not_at_all(tmp_path: Path) -> None:
     now = [1]
     store = SqliteStore(str(tmp_path / "s"), lambda: now[0])
-    answer = Remembered("print", 201, b"{}")
+    answer = RememberedAnswer("print", 201, b"{}")
     store.commit([Put(Kind.TENANT, "a", tenant(), 0)], ME, ("k", answer))
     with pytest.raises(Conflict):
         store.commit([Put(Kind.TENANT, "a", tenant(), 0)], ME, ("other", answer))
