--- a/lilacsill/hosted/supervisor/workers.py
+++ b/lilacsill/hosted/supervisor/workers.py
@@ -69,7 +69,7 @@
     ) -> None:
         self._store, self._listen, self._configs = store, listen, configs
         self._on_drained = on_drained
-        self.states = [WorkerState(c.me) for c in configs]
+        self.states = [WorkerState(c.index) for c in configs]
         self.account = UsageAccount()
         self._changed = asyncio.Condition()
         self._tasks: list[asyncio.Task[None]] = []
--- a/lilacsill/hosted/worker/__init__.py
+++ b/lilacsill/hosted/worker/__init__.py
@@ -1,1 +1,1 @@
-"""A worker: one process that serves tenants' requests, told what to serve by the supervisor."""
+"""A worker: one process that serves requests of tenants; the supervisor sends it the state that it serves by."""
--- a/lilacsill/hosted/worker/pools.py
+++ b/lilacsill/hosted/worker/pools.py
@@ -1,4 +1,4 @@
-"""The pools of a worker: for each a decision module, its list of servers and its connections."""
+"""The pools of a worker: each has a decision module, a list of servers from discovery, and connections to them."""
 
 from __future__ import annotations
 
@@ -28,32 +28,45 @@
 
 
 class PoolRuntime:
-    """One pool, running. Replaced as a whole when its settings change; the old one ends with its last request."""
+    """One pool in this worker.
+
+    A pool whose settings change gets a new runtime; the old one is retired and ends with its last request.
+
+    Args:
+        pool: The pool.
+        clock: The clock of the event loop, in microseconds.
+        account: Counts the descriptors of the process.
+        seed: Of the random numbers of the decision module and of discovery.
+        workers: The number of workers.
+        worker_index: The index of this one.
+        evict_downstream: Closes a client's connection where descriptors are short; returns whether there was one.
+        descriptors_exhausted: Is called with what a descriptor was needed for and how many, where the kernel had none.
+    """
 
     def __init__(
         self,
         pool: Pool,
         clock: Clock,
-        ledger: DescriptorAccount,
+        account: DescriptorAccount,
         seed: int,
         workers: int,
-        me: int,
-        downstream_makes_way: Callable[[], bool],
-        short: Callable[[str, int], None],
+        worker_index: int,
+        evict_downstream: Callable[[], bool],
+        descriptors_exhausted: Callable[[str, int], None],
     ) -> None:
         self.pool = pool
         facts = pool.spec.settings
         settings = replace(parse_settings(facts), can_message_peers=False, tenants=())
-        # Every worker is a balancer of its own to the fleet, beside those that the settings name.
+        # Each worker is one balancer to the fleet, beside the balancers that the settings name.
         self.settings = replace(
             settings,
             balancer_count=settings.balancer_count * workers,
-            balancer_index=settings.balancer_index * workers + me,
+            balancer_index=settings.balancer_index * workers + worker_index,
         )
         allowed = facts["allowed"]
-        self.connections = Connections(clock, allowed["connectTimeoutUs"], allowed["connIdleUs"], ledger)
-        self.connections.evict_downstream = downstream_makes_way
-        self.connections.descriptors_exhausted = lambda what: short(what, 0)
+        self.connections = Connections(clock, allowed["connectTimeoutUs"], allowed["connIdleUs"], account)
+        self.connections.evict_downstream = evict_downstream
+        self.connections.descriptors_exhausted = lambda what: descriptors_exhausted(what, 0)
         backends = Backends(clock, settings.report_fields, self.connections)
         parser = ListingParser(clock, tuple(facts.get("localities") or ()), tuple(facts.get("skus") or ()))
         self._discovery = Discovery(
@@ -65,82 +78,89 @@
             settings.discovery is DiscoveryMode.PUSH,
             seed,
         )
-        self._discovery.descriptors_exhausted = short
+        self._discovery.descriptors_exhausted = descriptors_exhausted
         self.agent = Agent(Balancer(self.settings, seed), clock, backends, self._discovery)
         self.validator = RequestValidator(settings.classes, ())
-        self.in_hand = 0
         self.excess = ExcessWindow()
-        self._by_tenant: dict[int, int] = {}  # requests in hand
+        self._in_flight = 0
+        self._in_flight_by_tenant: dict[int, int] = {}
         self._weights: dict[int, float] = {}
-        self._quotas: dict[int, float] = {}
-        self._leaving = False
+        self._quotas_per_s: dict[int, float] = {}
+        self._is_retired = False
 
     def start(self) -> None:
-        """With no list at all: the first call fetches the whole of it."""
+        """Start with an empty list: the first call to discovery fetches the complete one."""
         self.agent.start(Listing(0, True, ()))
 
-    def knows(self, tenant: Tenant) -> None:
-        """The tenant's requests may come here from now on, with this quota."""
-        quota = tenant.spec.quota_per_s
+    def set_tenant(self, tenant: Tenant) -> None:
+        """Note a tenant that uses the pool, with its weight and quota."""
+        quota_per_s = tenant.spec.quota_per_s
         self._weights[tenant.uid] = tenant.spec.weight
-        if self._quotas.get(tenant.uid) != quota:
-            self._quotas[tenant.uid] = quota
-            self.agent.tenant_changed(tenant.uid, TenantQuota(tenant.name, quota))
+        if self._quotas_per_s.get(tenant.uid) != quota_per_s:
+            self._quotas_per_s[tenant.uid] = quota_per_s
+            self.agent.tenant_changed(tenant.uid, TenantQuota(tenant.name, quota_per_s))
 
-    def forget(self, uid: int) -> None:
+    def forget_tenant(self, uid: int) -> None:
+        """Forget the weight and quota of a tenant."""
         self._weights.pop(uid, None)
-        if self._quotas.pop(uid, None) is not None:
+        if self._quotas_per_s.pop(uid, None) is not None:
             self.agent.tenant_changed(uid, None)
 
-    def same_settings(self, pool: Pool) -> bool:
-        """Whether a change of the pool can be taken over by the running module."""
+    def has_settings_of(self, pool: Pool) -> bool:
+        """Say whether the running decision module can serve a changed pool: the settings are the same."""
         return msgspec.json.encode(pool.spec.settings) == msgspec.json.encode(self.pool.spec.settings)
 
-    def move(self, pool: Pool) -> None:
+    def set_discovery(self, pool: Pool) -> None:
+        """Apply a changed pool with the same settings: learn the servers at its address."""
         self.pool = pool
         self.agent.set_discovery(parse_address(pool.spec.discovery))
 
-    def leave(self) -> None:
-        """Nothing new comes; all goes with the last request in hand."""
-        self._leaving = True
-        self._end_if_idle()
-
-    def beyond_share(self, uid: int, holdings: TenantLimiter, now: int) -> bool:
-        """Whether one more request is beyond the tenant's share: by its quota, or else by its weight among those that
-        have something in hand."""
-        quota = self._quotas.get(uid, 0.0)
-        if quota:
-            return holdings.exceeds_quota(now, quota)
-        mine = self._by_tenant.get(uid, 0)
-        others = sum(self._weights.get(t, 0.0) for t in self._by_tenant if t != uid)
-        return exceeds_weight(mine, self._weights.get(uid, 1.0), self.in_hand - mine, others)
-
-    def taken(self, uid: int) -> None:
-        self.in_hand += 1
-        self._by_tenant[uid] = self._by_tenant.get(uid, 0) + 1
-
-    def released(self, uid: int) -> None:
-        self.in_hand -= 1
-        left = self._by_tenant[uid] - 1
-        if left:
-            self._by_tenant[uid] = left
+    def retire(self) -> None:
+        """Stop once the last request in flight has ended; no new requests follow."""
+        self._is_retired = True
+        self._stop_if_drained()
+
+    def exceeds_share(self, uid: int, limiter: TenantLimiter, now_us: int) -> bool:
+        """Say whether one more request is beyond the tenant's share of the pool.
+
+        The share is the tenant's quota or, without one, its weight among the tenants that have requests in flight.
+        """
+        quota_per_s = self._quotas_per_s.get(uid, 0.0)
+        if quota_per_s:
+            return limiter.exceeds_quota(now_us, quota_per_s)
+        in_flight = self._in_flight_by_tenant.get(uid, 0)
+        others_weight = sum(self._weights.get(other, 0.0) for other in self._in_flight_by_tenant if other != uid)
+        return exceeds_weight(in_flight, self._weights.get(uid, 1.0), self._in_flight - in_flight, others_weight)
+
+    def request_started(self, uid: int) -> None:
+        """Count a request of a tenant as in flight."""
+        self._in_flight += 1
+        self._in_flight_by_tenant[uid] = self._in_flight_by_tenant.get(uid, 0) + 1
+
+    def request_ended(self, uid: int) -> None:
+        """Count a request of a tenant as ended."""
+        self._in_flight -= 1
+        remaining = self._in_flight_by_tenant[uid] - 1
+        if remaining:
+            self._in_flight_by_tenant[uid] = remaining
         else:
-            del self._by_tenant[uid]
-        self._end_if_idle()
+            del self._in_flight_by_tenant[uid]
+        self._stop_if_drained()
 
-    def figures(self) -> PoolStatistics:
-        beliefs, excess = self.agent.estimates(), self.excess
+    def statistics(self) -> PoolStatistics:
+        """Collect the state of the pool for a report."""
+        estimates, excess = self.agent.estimates(), self.excess
         return PoolStatistics(
-            len(beliefs),
-            sum(b.healthy for b in beliefs),
-            self.in_hand,
+            len(estimates),
+            sum(estimate.healthy for estimate in estimates),
+            self._in_flight,
             excess.in_flight,
             round(excess.window, 1),
             round(excess.latency_us / 1000, 1),
             round(excess.base_us / 1000, 1),
         )
 
-    def _end_if_idle(self) -> None:
-        if self._leaving and not self.in_hand:
+    def _stop_if_drained(self) -> None:
+        if self._is_retired and not self._in_flight:
             self._discovery.stop()
             self.connections.close()
--- a/tests/hosted/test_turns.py
+++ b/tests/hosted/test_turns.py
@@ -17,9 +17,9 @@
 from lilacsill.hosted.decisions.secrets import digest_of, make_token
 from lilacsill.hosted.messages import Ready, Snapshot, StoredResource, Update, read_from_worker
 from lilacsill.hosted.resources import CredentialSpec, Kind, PoolSpec, Role, Spec, TenantSpec
-from lilacsill.hosted.worker import front
+from lilacsill.hosted.worker import server as tenant_server
 from lilacsill.hosted.worker.process import FREEZE_AT, Worker, WorkerConfig
-from lilacsill.hosted.worker.tenancy import ANONYMOUS, refused_turn
+from lilacsill.hosted.worker.tenancy import ANONYMOUS, refused_flow
 from tests.hosted.service import Fleet, call, facts
 from tests.loopback import Conversation
 
@@ -38,7 +38,7 @@
 
     def __init__(self, fleet: Fleet, worker: Worker, port: int) -> None:
         self.fleet, self.worker, self.port = fleet, worker, port
-        self.tenancy, self.turns = worker._tenancy, worker._tenancy.turns
+        self.tenancy, self.fair_queue = worker._tenancy, worker._tenancy.fair_queue
         self._busy: asyncio.Task[None] | None = None
         self._number = 0
 
@@ -55,17 +55,17 @@
         await self.ask(client, uid)
         return (await client.read()).status
 
-    def ahead(self, turn: int) -> None:
+    def ahead(self, flow: int) -> None:
         """This account has had more than its part, and another uses the core in every turn of the loop."""
-        self.turns.join(QUIET, 1.0)
+        self.fair_queue.join(QUIET, 1.0)
         if self._busy is None:
             self._busy = asyncio.create_task(self._work())
-        self.turns.charge(QUIET, 1.0, self.tenancy.now())
-        self.turns.charge(turn, AHEAD_US, self.tenancy.now())
+        self.fair_queue.charge(QUIET, 1.0, self.tenancy.now_us())
+        self.fair_queue.charge(flow, AHEAD_US, self.tenancy.now_us())
 
     async def _work(self) -> None:
         while True:
-            self.turns.charge(QUIET, 1e-6, self.tenancy.now())
+            self.fair_queue.charge(QUIET, 1e-6, self.tenancy.now_us())
             await asyncio.sleep(0)
 
     def rest(self) -> None:
@@ -91,7 +91,7 @@
     reader, writer = await asyncio.open_connection(sock=theirs)
     told, _ = await asyncio.open_connection(sock=ours)
     worker = Worker(WorkerConfig("127.0.0.1:0", 0, 1, sockets, 1), reader, writer)
-    worker._hear(Snapshot(1, resources))
+    worker._on_message(Snapshot(1, resources))
     ready = read_from_worker(await told.readline())
     assert isinstance(ready, Ready)
     w = World(fleet, worker, ready.port)
@@ -105,14 +105,14 @@
             for connection in list(worker._server.connections.values()):
                 connection.drop()
             for runtime in w.tenancy.pools.values():
-                runtime.leave()
+                runtime.retire()
             writer.close()
             _.close()
             await fleet.stop()
 
 
 def test_who_is_ahead_waits_unread_and_is_told_so_in_time(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "TURN_US", 20_000)
+    monkeypatch.setattr(tenant_server, "MAX_WAIT_US", 20_000)
 
     async def run() -> None:
         async with world() as w:
@@ -132,7 +132,7 @@
 
 
 def test_who_waits_goes_on_when_nobody_else_uses_the_core(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(front, "TURN_US", HOUR_US)
+    monkeypatch.setattr(tenant_server, "MAX_WAIT_US", HOUR_US)
 
     async def run() -> None:
         async with world() as w:
@@ -143,14 +143,14 @@
             w.ahead(LOUD)
             for c in clients:
                 await w.ask(c, LOUD)
-            while len(w.worker._server._order) < 3:
+            while len(w.worker._server._deadlines) < 3:
                 await asyncio.sleep(0)
             assert await w.served(quiet, QUIET) == 200
             assert w.tenancy.account.total(LOUD).requests == 3
             w.rest()
             for c in clients:
                 assert (await c.read()).status == 200
-            assert not w.turns.waiting and not w.worker._server._waiting
+            assert not w.fair_queue.waiting and not w.worker._server._waiting
 
     asyncio.run(run())
 
@@ -159,7 +159,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Its turn is still named once, since a request of it is in hand, and names nobody; whoever is behind goes on."""
-    monkeypatch.setattr(front, "TURN_US", HOUR_US)
+    monkeypatch.setattr(tenant_server, "MAX_WAIT_US", HOUR_US)
 
     async def run() -> None:
         async with world(prompt=False) as w:
@@ -174,7 +174,7 @@
             w.ahead(LOUD)
             for c in clients:
                 await w.ask(c, LOUD)
-            while len(server._order) < 3:
+            while len(server._deadlines) < 3:
                 await asyncio.sleep(0)
             w.ahead(ANONYMOUS)
             w.ahead(ANONYMOUS)
@@ -183,28 +183,28 @@
             while ANONYMOUS not in server._waiting:
                 await asyncio.sleep(0)
             leaving = msgspec.convert({"pool": "p", "state": "removing"}, TenantSpec)
-            w.worker._hear(Update(50, [stored(Kind.TENANT, "loud", LOUD, leaving)]))
+            w.worker._on_message(Update(50, [stored(Kind.TENANT, "loud", LOUD, leaving)]))
             for c in clients:
                 answer = await c.read()
                 assert answer.status == 403 and answer.headers["connection"] == "close"
                 await c.ended()
-            assert w.turns.waiting
+            assert w.fair_queue.waiting
             w.rest()
             await (await w.fleet.backend.requests.get()).answer()
             assert (await behind.read()).status == 200
             await got.answer()
             assert (await taken.read()).status == 200
             await taken.ended()
-            while LOUD in w.tenancy.held:
+            while LOUD in w.tenancy.states:
                 await asyncio.sleep(0)
-            assert not server._waiting and not server._order
+            assert not server._waiting and not server._deadlines
 
     asyncio.run(run())
 
 
 def test_a_client_that_was_refused_asks_again_at_its_own_cost(monkeypatch: pytest.MonkeyPatch) -> None:
     """Those of its tenant that were not refused do not wait for it."""
-    monkeypatch.setattr(front, "TURN_US", HOUR_US)
+    monkeypatch.setattr(tenant_server, "MAX_WAIT_US", HOUR_US)
 
     async def run() -> None:
         async with world(prompt=False, limits={"in_flight": 1}) as w:
@@ -214,9 +214,9 @@
             assert await w.served(refused, LOUD) == 429
             await got.answer()
             assert (await taken.read()).status == 200
-            w.ahead(refused_turn(LOUD))
+            w.ahead(refused_flow(LOUD))
             await w.ask(refused, LOUD)
-            while not w.turns.waiting:
+            while not w.fair_queue.waiting:
                 await asyncio.sleep(0)
             await w.ask(taken, LOUD)
             await (await w.fleet.backend.requests.get()).answer()
@@ -225,8 +225,8 @@
             await (await w.fleet.backend.requests.get()).answer()
             assert (await refused.read()).status == 200
             # Served again, it is as the others are.
-            turns = {c.turn for c in w.worker._server.connections.values()}  # type: ignore[attr-defined]
-            assert turns == {LOUD}
+            flows = {c.flow for c in w.worker._server.connections.values()}  # type: ignore[attr-defined]
+            assert flows == {LOUD}
 
     asyncio.run(run())
 
@@ -237,11 +237,11 @@
             client = await w.client()
             await w.ask(client, LOUD)
             got = await w.fleet.backend.requests.get()
-            held = w.tenancy.held[LOUD]
-            assert held.holdings.in_flight == 1
+            state = w.tenancy.states[LOUD]
+            assert state.limiter.in_flight == 1
             w.ahead(LOUD)
             client.close()
-            while held.holdings.in_flight:
+            while state.limiter.in_flight:
                 await asyncio.sleep(0)
             await got.peer.ended()
 
@@ -251,7 +251,7 @@
 def test_in_a_storm_of_new_connections_those_that_are_open_are_served(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(front, "TURN_US", HOUR_US)
+    monkeypatch.setattr(tenant_server, "MAX_WAIT_US", HOUR_US)
 
     async def run() -> None:
         async with world() as w:
@@ -262,13 +262,13 @@
             new = [await w.client() for _ in range(20)]
             for c in new:
                 await w.ask(c, LOUD)
-            while len(w.worker._server._order) < 20:
+            while len(w.worker._server._deadlines) < 20:
                 await asyncio.sleep(0)
-            assert await w.served(quiet, QUIET) == 200 and LOUD not in w.tenancy.held
+            assert await w.served(quiet, QUIET) == 200 and LOUD not in w.tenancy.states
             w.rest()
             for c in new:
                 assert (await c.read()).status in (200, 429)
-            assert w.worker._server.may_accept_more() or w.turns.is_ahead(ANONYMOUS)
+            assert w.worker._server.may_accept_more() or w.fair_queue.is_ahead(ANONYMOUS)
 
     asyncio.run(run())
 
@@ -297,14 +297,14 @@
         async with world() as w:
             before = gc.get_freeze_count()
             idle = [stored(Kind.TENANT, f"idle{i}", 100 + i, TenantSpec(pool="p")) for i in range(FREEZE_AT)]
-            w.worker._hear(Update(2, idle))
-            w.worker._spare_the_collector()
+            w.worker._on_message(Update(2, idle))
+            w.worker._freeze_resources()
             frozen = gc.get_freeze_count()
             assert frozen > before + FREEZE_AT
-            w.worker._spare_the_collector()
+            w.worker._freeze_resources()
             assert gc.get_freeze_count() == frozen  # again only for as many more
             # What was set aside still goes by its counts.
-            w.worker._hear(Update(3, [], [(Kind.TENANT, f"idle{i}") for i in range(FREEZE_AT)]))
+            w.worker._on_message(Update(3, [], [(Kind.TENANT, f"idle{i}") for i in range(FREEZE_AT)]))
             assert gc.get_freeze_count() < frozen
 
     try:
