--- a/benchmarks/emulator.py
+++ b/benchmarks/emulator.py
@@ -22,7 +22,7 @@
 
 from lilacsill.emulator.models.plan import make_plan
 from lilacsill.emulator.models.server import Job, JobServer, RepeatMemory, ServerSpec
-from lilacsill.emulator.parts import start_fleet
+from lilacsill.emulator.own_processes import start_servers
 from lilacsill.emulator.scenario_file import load
 from lilacsill.emulator.sockets.clients import Clients, Pool
 from lilacsill.emulator.sockets.precise_timers import run_with_precise_timers
@@ -104,7 +104,7 @@
         path = Path(folder) / "load.toml"
         path.write_text(LOAD.format(rate=rate, seconds=seconds))
         plan = make_plan(load(str(path)))
-        fleet = await start_fleet(str(path), plan)
+        fleet = await start_servers(str(path), plan)
         try:
             loop = asyncio.get_running_loop()
             t0 = int(loop.time() * 1e6) + 500_000
@@ -120,7 +120,7 @@
             print(f"load: {rate} requests a second for {seconds:.0f} s", file=sys.stderr, flush=True)
             await clients.run(lambda: None)
             cores = (time.process_time() - cpu) / (time.monotonic() - wall)
-            books = await fleet.books()
+            books = await fleet.records()
             for pool in pools:
                 pool.close()
         finally:
--- a/benchmarks/hosting.py
+++ b/benchmarks/hosting.py
@@ -20,7 +20,7 @@
 from lilacsill.emulator.models.plan import make_plan
 from lilacsill.emulator.models.scenario import Class, Fleet, Load, Scenario
 from lilacsill.emulator.plan_file import SUFFIX, write
-from lilacsill.emulator.parts import start_fleet
+from lilacsill.emulator.own_processes import start_servers
 
 LEAD_S = 0.3
 PHASE = 10**8  # request numbers of one phase: a number that came before would be answered from memory
@@ -73,8 +73,8 @@
     plan = make_plan(scenario(servers, work_ms, seconds), 1)
     path = folder / f"fleet{SUFFIX}"
     write(plan, path)
-    started = await start_fleet(str(path), plan)
-    FLEETS.extend(part.process.pid for part in started.parts)
+    started = await start_servers(str(path), plan)
+    FLEETS.extend(part.process.pid for part in started.pipes)
     started.begin(time.monotonic_ns() // 1000)
     facts = settings(plan.scenario, 0)
     facts.pop("tenants")
--- a/lilacsill/emulator/__main__.py
+++ b/lilacsill/emulator/__main__.py
@@ -8,7 +8,7 @@
 import signal
 import sys
 import tempfile
-from collections.abc import Coroutine
+from collections.abc import Callable, Coroutine
 from dataclasses import asdict
 from pathlib import Path
 from typing import Any
@@ -18,11 +18,13 @@
 from .compare import compare
 from .models import explained, fleet_counts, stories
 from .models.plan import Plan
-from .parts import RunError
+from .own_processes import RunError
 from .result import table
 from .run import play, serve
 from .sockets.precise_timers import run_with_precise_timers
 
+# Exit statuses; the last one follows SIGINT and SIGTERM.
+RULES_KEPT, RULES_BROKEN, UNUSABLE, VOID, INTERRUPTED = 0, 1, 2, 3, 130
 EXAMPLES = """examples:
   python -m lilacsill.emulator list
   python -m lilacsill.emulator run mass_death
@@ -52,11 +54,11 @@
     run.add_argument("--report", metavar="FILE", help="write an HTML page with plots")
     run.add_argument("--record", metavar="FOLDER", help="the agents record what they see there, for replay")
     run.add_argument("--json", action="store_true", help="the result as one JSON line, for programs")
-    again = commands.add_parser("replay", help="make a plan of recordings and play it")
-    again.add_argument("recording", nargs="+", help="one file of each agent; the older half FILE.1 is read with it")
-    again.add_argument("--seed", type=int, default=1)
-    again.add_argument("--report", metavar="FILE", help="write an HTML page with plots")
-    again.add_argument("--json", action="store_true", help="the result as one JSON line, for programs")
+    replay = commands.add_parser("replay", help="make a plan of recordings and play it")
+    replay.add_argument("recording", nargs="+", help="one file of each agent; the older half FILE.1 is read with it")
+    replay.add_argument("--seed", type=int, default=1)
+    replay.add_argument("--report", metavar="FILE", help="write an HTML page with plots")
+    replay.add_argument("--json", action="store_true", help="the result as one JSON line, for programs")
     explain = commands.add_parser("explain", help="why requests were refused in a run played with --record")
     explain.add_argument("folder", help="where --record wrote")
     explain.add_argument("--top", type=int, default=8, help="servers shown for each wave, worst first (8)")
@@ -71,12 +73,12 @@
     fleet.add_argument("--json", action="store_true", help="one JSON line, for programs")
     check = commands.add_parser("check", help="check a scenario without playing it")
     check.add_argument("scenario")
-    serve_ = commands.add_parser("serve", help="keep a fleet and one agent up, to try by hand")
-    serve_.add_argument("scenario", nargs="?", default="calm")
+    serve_command = commands.add_parser("serve", help="keep a fleet and one agent up, to try by hand")
+    serve_command.add_argument("scenario", nargs="?", default="calm")
     commands.add_parser("list", help="the scenarios that come with the program")
-    against = commands.add_parser("compare", help="two results of `run --json` side by side")
-    against.add_argument("a")
-    against.add_argument("b")
+    compare_command = commands.add_parser("compare", help="two results of `run --json` side by side")
+    compare_command.add_argument("a")
+    compare_command.add_argument("b")
     return parser
 
 
@@ -98,30 +100,47 @@
 def _explain(arguments: argparse.Namespace) -> int:
     waves = plan_file.explain_run(Path(arguments.folder))
     if arguments.json:
-        print(json.dumps([asdict(w) for w in waves]))
+        print(json.dumps([asdict(wave) for wave in waves]))
     else:
         print(explained.table(waves, arguments.top))
-    return 0
+    return RULES_KEPT
 
 
 def _fleet(arguments: argparse.Namespace) -> int:
     folder = Path(arguments.folder)
-    told = plan_file.join_stories(folder)
+    joined = plan_file.join_stories(folder)
     # Agents may have written the one without the other; a folder with neither is a mistake.
-    counts = None if told and not list(folder.glob("*.rec")) else plan_file.count_fleet(folder)
+    counts = None if joined and not list(folder.glob("*.rec")) else plan_file.count_fleet(folder)
     if arguments.json:
-        print(json.dumps({**(fleet_counts.rows(counts) if counts else {}), "stories": stories.rows(told)}))
-        return 0
-    parts = [fleet_counts.table(counts, arguments.top)] if counts else []
-    print("\n\n".join(parts + ([stories.table(told, arguments.top)] if told else [])))
-    return 0
+        print(json.dumps({**(fleet_counts.rows(counts) if counts else {}), "stories": stories.rows(joined)}))
+        return RULES_KEPT
+    tables = [fleet_counts.table(counts, arguments.top)] if counts else []
+    print("\n\n".join(tables + ([stories.table(joined, arguments.top)] if joined else [])))
+    return RULES_KEPT
+
+
+def _check(arguments: argparse.Namespace) -> int:
+    scenario_file.load(arguments.scenario)
+    print(f"{arguments.scenario}: ok")
+    return RULES_KEPT
+
+
+def _list(_arguments: argparse.Namespace) -> int:
+    for name in scenario_file.names():
+        print(f"{name:<20} {scenario_file.load(name).about}")
+    return RULES_KEPT
+
+
+def _compare(arguments: argparse.Namespace) -> int:
+    print(compare(arguments.a, arguments.b))
+    return RULES_KEPT
 
 
 def _play(arguments: argparse.Namespace, path: str, plan: Plan, record: Path | None) -> int:
     if arguments.report and not Path(arguments.report).parent.is_dir():
         raise scenario_file.ScenarioError(f"--report {arguments.report}: its folder does not exist")
 
-    async def whole() -> int:
+    async def play_and_print() -> int:
         result = await play(path, plan, lambda text: print(text, file=sys.stderr, flush=True), record)
         if arguments.report:
             Path(arguments.report).write_text(report.page(result))
@@ -131,25 +150,27 @@
             print(table(result))
             if arguments.report:
                 print(f"report: {arguments.report}")
-        return 3 if result.void else 1 if result.breaches else 0
+        if result.void:
+            return VOID
+        return RULES_BROKEN if result.breaches else RULES_KEPT
 
-    return _until_stopped(whole())
+    return _run_until_signal(play_and_print())
 
 
-def _serve(name: str) -> int:
-    scenario = scenario_file.load(name)
+def _serve(arguments: argparse.Namespace) -> int:
+    scenario = scenario_file.load(arguments.scenario)
 
-    async def whole() -> int:
-        await serve(name, scenario, lambda text: print(text, flush=True))
-        return 0
+    async def serve_until_end() -> int:
+        await serve(arguments.scenario, scenario, lambda text: print(text, flush=True))
+        return RULES_KEPT
 
-    return _until_stopped(whole())
+    return _run_until_signal(serve_until_end())
 
 
-def _until_stopped(work: Coroutine[Any, Any, int]) -> int:
-    """Ctrl-C and SIGTERM cancel it, and it ends what it has started."""
+def _run_until_signal(work: Coroutine[Any, Any, int]) -> int:
+    """Run a coroutine; SIGINT and SIGTERM cancel it, and it ends what it has started."""
 
-    async def whole() -> int:
+    async def run_cancellable() -> int:
         task = asyncio.current_task()
         assert task is not None
         for number in (signal.SIGINT, signal.SIGTERM):
@@ -157,37 +178,36 @@
         return await work
 
     try:
-        return run_with_precise_timers(whole())
+        return run_with_precise_timers(run_cancellable())
     except asyncio.CancelledError:
         print("stopped; all that was started has ended", file=sys.stderr)
-        return 130
+        return INTERRUPTED
+
+
+COMMANDS: dict[str, Callable[[argparse.Namespace], int]] = {
+    "run": _run,
+    "replay": _replay,
+    "explain": _explain,
+    "fleet": _fleet,
+    "check": _check,
+    "serve": _serve,
+    "list": _list,
+    "compare": _compare,
+}
 
 
 def main(argv: list[str] | None = None) -> int:
+    """Execute a command and return the exit status.
+
+    Args:
+        argv: The arguments; None: those of the process.
+    """
     arguments = _parser().parse_args(argv)
     try:
-        if arguments.command == "run":
-            return _run(arguments)
-        if arguments.command == "explain":
-            return _explain(arguments)
-        if arguments.command == "fleet":
-            return _fleet(arguments)
-        if arguments.command == "replay":
-            return _replay(arguments)
-        if arguments.command == "serve":
-            return _serve(arguments.scenario)
-        if arguments.command == "check":
-            scenario_file.load(arguments.scenario)
-            print(f"{arguments.scenario}: ok")
-        elif arguments.command == "list":
-            for name in scenario_file.names():
-                print(f"{name:<20} {scenario_file.load(name).about}")
-        else:
-            print(compare(arguments.a, arguments.b))
-        return 0
-    except (scenario_file.ScenarioError, AgentError, RunError) as e:
-        print(f"emulator: {e}", file=sys.stderr)
-        return 2
+        return COMMANDS[arguments.command](arguments)
+    except (scenario_file.ScenarioError, AgentError, RunError) as error:
+        print(f"emulator: {error}", file=sys.stderr)
+        return UNUSABLE
 
 
 if __name__ == "__main__":
--- a/lilacsill/emulator/agents.py
+++ b/lilacsill/emulator/agents.py
@@ -17,53 +17,68 @@
 
 ROOT = Path(__file__).parents[2]
 EFFECTS = {"safe": "retryable", "keyed": "dedup", "unsafe": "fragile"}
+"""The effects of classes, and the platform's names of them."""
+QUOTA_MARGIN = 1.2
+"""A tenant's quota is its usual rate times this."""
+STOP_TIMEOUT_S = 10.0
+MAX_LOG_LINES = 5000
+FIRST_SEED = 0x8C1F
+"""The seed of the first agent; the next ones follow."""
 
 
 class AgentError(Exception):
-    """An agent did not start; the text has the end of its log."""
+    """An agent did not start; the message has the end of its log."""
 
 
-def settings(s: Scenario, me: int) -> dict[str, Any]:
-    """The settings as the platform states them, from a scenario."""
-    f, most_us = s.fleet, int(s.load.retry_after_max_s * 1e6)
+def settings(scenario: Scenario, number: int) -> dict[str, Any]:
+    """Return the settings of an agent as the platform writes them.
+
+    Args:
+        scenario: What is played.
+        number: Of the agent.
+    """
+    fleet, load = scenario.fleet, scenario.load
     return {
         "allowed": {
             "cancel": True,
-            "connIdleUs": int(f.idle_s * 1e6),
+            "connIdleUs": int(fleet.idle_s * 1e6),
             "connectTimeoutUs": 250_000,
             "maxAttempts": 5,
-            "peers": s.peers.enabled,
+            "peers": scenario.peers.enabled,
             "probes": True,
             "retryAfter": True,
-            "maxRetryAfterUs": most_us,
+            "maxRetryAfterUs": int(load.retry_after_max_s * 1e6),
             "secondCopies": False,
         },
         "profiles": [
             {
-                "name": c.name,
-                "aimUs": int(c.aim_ms * 1000),
-                "deadlineUs": int(c.deadline_ms * 1000),
-                "repeat": EFFECTS[c.effect],
+                "name": request_class.name,
+                "aimUs": int(request_class.aim_ms * 1000),
+                "deadlineUs": int(request_class.deadline_ms * 1000),
+                "repeat": EFFECTS[request_class.effect],
                 "dedupScope": "all",
-                "memorySpanUs": int(f.memory_s * 1e6),
-                "value": c.worth,
+                "memorySpanUs": int(fleet.memory_s * 1e6),
+                "value": request_class.worth,
             }
-            for c in s.classes
+            for request_class in scenario.classes
+        ],
+        "tenants": [
+            {"name": tenant.name, "share": tenant.share, "quotaPerS": load.rate * tenant.share * QUOTA_MARGIN}
+            for tenant in scenario.tenants
         ],
-        "tenants": [{"name": t.name, "share": t.share, "quotaPerS": s.load.rate * t.share * 1.2} for t in s.tenants],
         "report": {"columns": ["inflight", "queue", "util"], "source": "inline"},
         "rules": {
-            "startCapacity": f.cold_share,
-            "warmUpUs": int(f.warm_up_s * 1e6),
-            "fallMultiple": f.fall_multiple,
-            "tipAfterUs": int(f.fall_window_s * 1e6),
+            "startCapacity": fleet.cold_share,
+            "warmUpUs": int(fleet.warm_up_s * 1e6),
+            "fallMultiple": fleet.fall_multiple,
+            "tipAfterUs": int(fleet.fall_window_s * 1e6),
             "graceToAnswerUs": 5000,
             "askWithinUs": 10_000_000,
         },
         "prices": {"probe": 0.002, "waste": 0.1, "lateFail": 0.05, "crossZone": 0.005},
         "overShareWorth": 0.1,
-        "siblings": s.load.agents,
-        "me": me,
+        "siblings": load.agents,
+        "me": number,
         "registryMode": "ask",
         "quantumUs": 1000,
         "localities": ["a"],
@@ -71,8 +86,36 @@
     }
 
 
+def configuration(
+    scenario: Scenario, number: int, discovery: int, known: dict[str, Any], listen: str = "127.0.0.1:0"
+) -> dict[str, Any]:
+    """Return the configuration of an agent as the platform writes it.
+
+    Args:
+        scenario: What is played.
+        number: Of the agent.
+        discovery: The port of discovery.
+        known: The list of servers that the agent starts with.
+        listen: Where it listens for clients.
+    """
+    return {
+        "name": f"n{number}",
+        "listen": listen,
+        "discovery": f"127.0.0.1:{discovery}",
+        "seed": f"{FIRST_SEED + number:x}",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": scenario.load.sockets},
+        "settings": settings(scenario, number),
+        "known": known,
+    }
+
+
+def recorder_section(folder: Path, name: str) -> str:
+    """Return the section of the operator file by which an agent records into a folder."""
+    return f"[recorder]\nbeliefs_ms = 5\npath = {json.dumps(str((folder / f'{name}.rec').absolute()))}\n"
+
+
 def figures(pid: int) -> dict[str, float]:
-    """CPU seconds, resident memory in MB and descriptors of a process; empty once it has ended."""
+    """Return CPU seconds, resident memory in MB and descriptors of a process; empty once it has ended."""
     try:
         cpu_s = int(Path(f"/proc/{pid}/schedstat").read_text().split()[0]) / 1e9
         pages = int(Path(f"/proc/{pid}/statm").read_text().split()[1])
@@ -85,26 +128,6 @@
         return {}
 
 
-def document(
-    s: Scenario, number: int, discovery: int, known: dict[str, Any], listen: str = "127.0.0.1:0"
-) -> dict[str, Any]:
-    """An agent's configuration as the platform writes it."""
-    return {
-        "name": f"n{number}",
-        "listen": listen,
-        "discovery": f"127.0.0.1:{discovery}",
-        "seed": f"{0x8C1F + number:x}",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": s.load.sockets},
-        "settings": settings(s, number),
-        "known": known,
-    }
-
-
-def recorder(folder: Path, name: str) -> str:
-    """A section of the operator file by which an agent records there."""
-    return f"[recorder]\nbeliefs_ms = 5\npath = {json.dumps(str((folder / f'{name}.rec').absolute()))}\n"
-
-
 @dataclass
 class Agent:
     """One running agent."""
@@ -112,75 +135,93 @@
     process: asyncio.subprocess.Process
     port: int
     log: list[str] = field(default_factory=list)
+    _reader: asyncio.Task[None] | None = None
 
-    def stand_still(self, still: bool) -> None:
+    def stall(self, stalled: bool) -> None:
         """Take the CPU from it, as a platform does that enforces a limit, or give it back."""
         if self.process.returncode is None:
-            self.process.send_signal(signal.SIGSTOP if still else signal.SIGCONT)
+            self.process.send_signal(signal.SIGSTOP if stalled else signal.SIGCONT)
 
     def figures(self) -> dict[str, float]:
+        """Return its CPU, memory and descriptors (`figures`)."""
         return figures(self.process.pid)
 
     async def stop(self) -> int:
+        """Stop it in order, or kill it after a time-out; return its exit status."""
         if self.process.returncode is None:
             self.process.send_signal(signal.SIGTERM)
         try:
-            return await asyncio.wait_for(self.process.wait(), 10)
+            return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
             self.process.kill()
             return await self.process.wait()
 
+    async def wait_until_listening(self, name: str) -> None:
+        """Read the log until the agent listens; then go on reading it in the background.
 
-def run_line(sockets: int) -> list[str]:
-    """The command of deploy/balancer.toml; with this interpreter where the deployment's environment is not built."""
+        Raises:
+            AgentError: It ended before.
+        """
+        stderr = self.process.stderr
+        assert stderr is not None
+        while b"listens on" not in (line := await stderr.readline()):
+            if not line:
+                raise AgentError(f"agent {name} did not start: {' '.join(self.log[-3:]) or 'it said nothing'}")
+            self.log.append(line.decode().rstrip())
+        self.port = int(line.rpartition(b":")[2])
+        self._reader = asyncio.create_task(self._read_log(stderr))
+
+    async def _read_log(self, stderr: asyncio.StreamReader) -> None:
+        while line := await stderr.readline():
+            if len(self.log) < MAX_LOG_LINES:
+                self.log.append(line.decode().rstrip())
+
+
+def run_command(descriptors: int) -> list[str]:
+    """Return the command of deploy/balancer.toml, with this interpreter where the deployment has none of its own."""
     line = str(tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"])
     if not (ROOT / ".venv" / "bin" / "python").exists():
         line = line.replace(".venv/bin/python", shlex.quote(sys.executable))
-    return ["/bin/sh", "-c", f"ulimit -n {sockets}; {line}"]
+    return ["/bin/sh", "-c", f"ulimit -n {descriptors}; {line}"]
 
 
 async def start(
-    s: Scenario, number: int, discovery: int, known: dict[str, Any], folder: Path, record: Path | None = None
+    scenario: Scenario, number: int, discovery: int, known: dict[str, Any], folder: Path, record: Path | None = None
 ) -> Agent:
-    """Returns when it listens. `record`: a folder for its recording. Raises AgentError."""
-    config = folder / f"n{number}.json"
-    config.write_text(json.dumps(document(s, number, discovery, known)))
+    """Start an agent and return it once it listens.
+
+    Args:
+        scenario: What is played.
+        number: Of the agent.
+        discovery: The port of discovery.
+        known: The list of servers that the agent starts with.
+        folder: For its configuration.
+        record: A folder for its recording; None: it does not record.
+
+    Raises:
+        AgentError: It did not start.
+    """
+    name = f"n{number}"
+    config = folder / f"{name}.json"
+    config.write_text(json.dumps(configuration(scenario, number, discovery, known)))
     env = {**os.environ, "RELAY_CONFIG": str(config)}
     if record is not None:
-        operator = folder / f"n{number}.toml"
-        operator.write_text(recorder(record, f"n{number}"))
+        operator = folder / f"{name}.toml"
+        operator.write_text(recorder_section(record, name))
         env["LILACSILL_OPERATOR"] = str(operator)
-    # A group of its own: Ctrl-C reaches the emulator, which then ends the agents in order.
+    # A session of its own: Ctrl-C reaches the emulator, which then ends the agents in order.
     process = await asyncio.create_subprocess_exec(
-        *run_line(s.load.sockets),
+        *run_command(scenario.load.sockets),
         cwd=ROOT,
         env=env,
         stdin=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.PIPE,
         start_new_session=True,
     )
-    assert process.stderr is not None
     agent = Agent(process, 0)
     try:
-        while b"listens on" not in (line := await process.stderr.readline()):
-            if not line:
-                raise AgentError(f"agent n{number} did not start: {' '.join(agent.log[-3:]) or 'it said nothing'}")
-            agent.log.append(line.decode().rstrip())
-    except BaseException:  # nobody else knows of the process yet
+        await agent.wait_until_listening(name)
+    except BaseException:  # nobody else can stop the process yet
         await agent.stop()
         raise
-    agent.port = int(line.rpartition(b":")[2])
-
-    async def read() -> None:
-        assert process.stderr is not None
-        while line := await process.stderr.readline():
-            if len(agent.log) < 5000:
-                agent.log.append(line.decode().rstrip())
-
-    agent_reader = asyncio.create_task(read())
-    _readers.add(agent_reader)
-    agent_reader.add_done_callback(_readers.discard)
     return agent
-
-
-_readers: set[asyncio.Task[None]] = set()  # the loop keeps weak references only
--- a/lilacsill/emulator/compare.py
+++ b/lilacsill/emulator/compare.py
@@ -1,4 +1,4 @@
-"""Two results side by side."""
+"""Format two results of runs side by side."""
 
 from __future__ import annotations
 
@@ -11,34 +11,44 @@
 
 
 def read(path: str) -> dict[str, Any]:
-    """A result of `run --json`. Raises ScenarioError."""
+    """Read a result of `run --json`.
+
+    Raises:
+        ScenarioError: The file is no such result.
+    """
     try:
-        doc = json.loads(Path(path).read_text())
-    except (OSError, ValueError) as e:
-        raise ScenarioError(f"{path}: {e}") from None
-    if not isinstance(doc, dict) or doc.get("format") != FORMAT:
+        result = json.loads(Path(path).read_text())
+    except (OSError, ValueError) as error:
+        raise ScenarioError(f"{path}: {error}") from None
+    if not isinstance(result, dict) or result.get("format") != FORMAT:
         raise ScenarioError(f"{path}: no result of `run --json` in format {FORMAT}")
-    return doc
+    return result
+
 
+def compare(first_path: str, second_path: str) -> str:
+    """Format the figures of both results and the change from the first to the second.
 
-def compare(a_path: str, b_path: str) -> str:
-    """A table of both and the change."""
-    a, b = read(a_path), read(b_path)
-    rows = [f"{'':<32} {Path(a_path).name:>14} {Path(b_path).name:>14} {'change':>9}"]
+    Raises:
+        ScenarioError: One of the files is no result.
+    """
+    first, second = read(first_path), read(second_path)
+    rows = [f"{'':<32} {Path(first_path).name:>14} {Path(second_path).name:>14} {'change':>9}"]
 
-    def row(name: str, x: float, y: float, digits: int = 3) -> None:
-        rows.append(f"{name:<32} {x:>14.{digits}f} {y:>14.{digits}f} {y - x:>+9.{digits}f}")
+    def add(name: str, before: float, after: float, digits: int = 3) -> None:
+        rows.append(f"{name:<32} {before:>14.{digits}f} {after:>14.{digits}f} {after - before:>+9.{digits}f}")
 
-    row("service", a["service"], b["service"])
-    row("worst 10 s", a["worst_10s"], b["worst_10s"])
+    add("service", first["service"], second["service"])
+    add("worst 10 s", first["worst_10s"], second["worst_10s"])
     for group in ("by_class", "by_tenant"):
-        for name in sorted(set(a[group]) & set(b[group])):
-            row(name, a[group][name], b[group][name])
-    for name in a["latency_ms"]:
-        row(f"latency {name}, ms", a["latency_ms"][name], b["latency_ms"][name], 1)
-    row("attempts a request", a["attempts_per_request"], b["attempts_per_request"])
-    for name in a["rules"]:
-        row(f"rule {name} broken", a["rules"][name], b["rules"][name], 0)
-    if (a["scenario"], a["seed"]) != (b["scenario"], b["seed"]):
-        rows.append(f"different days: {a['scenario']} seed {a['seed']}, {b['scenario']} seed {b['seed']}")
+        for name in sorted(set(first[group]) & set(second[group])):
+            add(name, first[group][name], second[group][name])
+    for name in first["latency_ms"]:
+        add(f"latency {name}, ms", first["latency_ms"][name], second["latency_ms"][name], 1)
+    add("attempts a request", first["attempts_per_request"], second["attempts_per_request"])
+    for name in first["rules"]:
+        add(f"rule {name} broken", first["rules"][name], second["rules"][name], 0)
+    if (first["scenario"], first["seed"]) != (second["scenario"], second["seed"]):
+        rows.append(
+            f"different days: {first['scenario']} seed {first['seed']}, {second['scenario']} seed {second['seed']}"
+        )
     return "\n".join(rows)
--- a/lilacsill/emulator/plan_file.py
+++ b/lilacsill/emulator/plan_file.py
@@ -1,8 +1,9 @@
-"""Plans: made from a scenario and a seed, or read from a file that `replay` wrote."""
+"""Read what runs left on disk: plans, recordings of agents, and records of what they told each other."""
 
 from __future__ import annotations
 
 import json
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -19,98 +20,142 @@
 from .scenario_file import ScenarioError, load
 
 SUFFIX = ".plan.json"
-BOOK = "servers.json"  # beside the recordings of a run
+SERVER_RECORDS = "servers.json"
+"""The file with the servers' own records, beside the recordings of a run."""
+OLDER_SUFFIX = ".1"
+"""The older half of a recording's ring has this after its name."""
+
+
+@dataclass(slots=True, frozen=True)
+class _RecordingFile:
+    """A recording with the older half of its ring."""
+
+    header: dict[str, Any]
+    events: list[list[Any]]
+
+    @property
+    def began_unix_ms(self) -> int:
+        return int(self.header["began_unix_ms"])
 
 
 def read(path: str, seed: int | None = None) -> Plan:
-    """Raises ScenarioError."""
+    """Make a plan from a scenario, or read one that `write` wrote.
+
+    Args:
+        path: A scenario (`scenario_file.load`), or a plan's file.
+        seed: In place of the scenario's own.
+
+    Raises:
+        ScenarioError: The file cannot be used.
+    """
     if not path.endswith(SUFFIX):
         return make_plan(load(path), seed)
     try:
         return msgspec.json.decode(Path(path).read_bytes(), type=Plan)
-    except (OSError, msgspec.MsgspecError) as e:
-        raise ScenarioError(f"{path}: no plan: {e}") from None
+    except (OSError, msgspec.MsgspecError) as error:
+        raise ScenarioError(f"{path}: no plan: {error}") from None
 
 
 def write(plan: Plan, path: Path) -> None:
+    """Write a plan, for the emulator's processes."""
     path.write_bytes(msgspec.json.encode(plan))
 
 
-def _whole(path: Path) -> tuple[dict[str, Any], list[list[Any]]]:
-    """Header and events of a recording, the older half of its ring before them. Raises OSError, RecordingError."""
-    older = path.with_name(path.name + ".1")
+def _read_recording(path: Path) -> _RecordingFile:
+    """Read a recording, the older half of its ring first.
+
+    Raises:
+        OSError: It cannot be read.
+        RecordingError: It is no recording.
+    """
+    older = path.with_name(path.name + OLDER_SUFFIX)
     events: list[list[Any]] = []
     if older.exists():
         events += parse(older.read_bytes(), str(older))[1]
-    head, some = parse(path.read_bytes(), str(path))
-    return head, events + some
+    header, newer = parse(path.read_bytes(), str(path))
+    return _RecordingFile(header, events + newer)
 
 
 def explain_run(folder: Path) -> list[Wave]:
-    """The waves of refusals of a run that was recorded there. Raises ScenarioError."""
+    """Explain the waves of refusals of a run that was recorded in a folder.
+
+    Raises:
+        ScenarioError: The folder has no recorded run.
+    """
     try:
-        book = json.loads((folder / BOOK).read_bytes())
+        records = json.loads((folder / SERVER_RECORDS).read_bytes())
         agents: dict[str, list[list[Any]]] = {}
         for path in sorted(folder.glob("*.rec")):
-            head, events = _whole(path)
-            shift = head["began_unix_ms"] * 1000 - book["t0_unix_us"]
-            agents[path.stem] = [[e[0], e[1] + shift, *e[2:]] for e in events]
-    except OSError as e:
-        raise ScenarioError(f"{e.filename}: {e.strerror}; `run SCENARIO --record FOLDER` writes one") from None
-    except RecordingError as e:
-        raise ScenarioError(str(e)) from None
-    except (ValueError, KeyError, TypeError) as e:
-        raise ScenarioError(f"{folder / BOOK}: no book of servers: {e}") from None
-    return explain(agents, book["attempts"])
+            recording = _read_recording(path)
+            shift_us = recording.header["began_unix_ms"] * 1000 - records["t0_unix_us"]
+            agents[path.stem] = [[event[0], event[1] + shift_us, *event[2:]] for event in recording.events]
+    except OSError as error:
+        raise ScenarioError(f"{error.filename}: {error.strerror}; `run SCENARIO --record FOLDER` writes one") from None
+    except RecordingError as error:
+        raise ScenarioError(str(error)) from None
+    except (ValueError, KeyError, TypeError) as error:
+        raise ScenarioError(f"{folder / SERVER_RECORDS}: no book of servers: {error}") from None
+    return explain(agents, records["attempts"])
 
 
 def count_fleet(folder: Path) -> FleetCounts:
-    """What all agents whose recordings are there did together. Raises ScenarioError."""
+    """Sum up what all agents whose recordings are in a folder did together.
+
+    Raises:
+        ScenarioError: The folder has no recordings.
+    """
     recordings: dict[str, tuple[int, list[list[Any]]]] = {}
     try:
         for path in sorted(folder.glob("*.rec")):
-            head, events = _whole(path)
-            recordings[path.stem] = int(head["began_unix_ms"]) * 1000, events
+            recording = _read_recording(path)
+            recordings[path.stem] = recording.began_unix_ms * 1000, recording.events
         if not recordings:
             raise ScenarioError(
                 f"{folder}: no recording (*.rec); `run SCENARIO --record FOLDER` writes some; nor "
                 "records of agents that know of each other (*.jsonl), which [peers] records writes"
             )
         return count(recordings)
-    except OSError as e:
-        raise ScenarioError(f"{e.filename}: {e.strerror}") from None
-    except RecordingError as e:
-        raise ScenarioError(str(e)) from None
-    except (IndexError, KeyError, TypeError, ValueError) as e:
-        raise ScenarioError(f"{folder}: an event that is none: {e}") from None
+    except OSError as error:
+        raise ScenarioError(f"{error.filename}: {error.strerror}") from None
+    except RecordingError as error:
+        raise ScenarioError(str(error)) from None
+    except (IndexError, KeyError, TypeError, ValueError) as error:
+        raise ScenarioError(f"{folder}: an event that is none: {error}") from None
 
 
 def join_stories(folder: Path) -> list[stories.Story]:
-    """What all agents told each other, where they wrote records; empty without any. Raises ScenarioError."""
+    """Join the records of what agents told each other; the list is empty without any.
+
+    Raises:
+        ScenarioError: A file has something else.
+    """
     entries: list[tuple[str, stories.Entry]] = []
     try:
-        for path in sorted([*folder.glob("*.jsonl"), *folder.glob("*.jsonl.1")]):
+        for path in sorted([*folder.glob("*.jsonl"), *folder.glob(f"*.jsonl{OLDER_SUFFIX}")]):
             entries += stories.read(path.read_text().splitlines(), str(path))
-    except OSError as e:
-        raise ScenarioError(f"{e.filename}: {e.strerror}") from None
-    except ValueError as e:  # of another encoding, too
-        raise ScenarioError(str(e)) from None
+    except OSError as error:
+        raise ScenarioError(f"{error.filename}: {error.strerror}") from None
+    except ValueError as error:  # also of a file in another encoding
+        raise ScenarioError(str(error)) from None
     return stories.join(entries)
 
 
 def from_recordings(paths: list[str], seed: int) -> Plan:
-    """One recording of each agent; the older half of a ring is read with it. Raises ScenarioError."""
-    read_: list[tuple[int, Recording]] = []
+    """Make a plan of one recording of each agent.
+
+    Raises:
+        ScenarioError: A file is no recording, or they do not belong together.
+    """
     try:
-        for path in paths:
-            head, events = _whole(Path(path))
-            read_.append((int(head["began_unix_ms"]), Recording(head["classes"], head["tenants"], events)))
-        began = min(at for at, _ in read_)
-        for at, recording in read_:
-            for event in recording.events:
-                event[1] += (at - began) * 1000
-        return plan_of([r for _, r in read_], Scenario(name="defaults").classes, seed, Path(paths[0]).stem)
-    except OSError as e:
-        raise ScenarioError(f"{e.filename}: {e.strerror}") from None
-    except (RecordingError, RecordedError) as e:
-        raise ScenarioError(str(e)) from None
+        files = [_read_recording(Path(path)) for path in paths]
+        began_unix_ms = min(file.began_unix_ms for file in files)
+        recordings = []
+        for file in files:
+            for event in file.events:
+                event[1] += (file.began_unix_ms - began_unix_ms) * 1000
+            recordings.append(Recording(file.header["classes"], file.header["tenants"], file.events))
+        return plan_of(recordings, Scenario(name="defaults").classes, seed, Path(paths[0]).stem)
+    except OSError as error:
+        raise ScenarioError(f"{error.filename}: {error.strerror}") from None
+    except (RecordingError, RecordedError) as error:
+        raise ScenarioError(str(error)) from None
--- a/tests/test_emulator_faults.py
+++ b/tests/test_emulator_faults.py
@@ -12,9 +12,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-import lilacsill.emulator.parts
+import lilacsill.emulator.own_processes
 import lilacsill.emulator.run
-from lilacsill.emulator import herd
+from lilacsill.emulator import agent_group
 from lilacsill.emulator.models.faults import LinkFault, sides
 from lilacsill.emulator.models.groups import members
 from lilacsill.emulator.models.judge import (
@@ -29,7 +29,7 @@
 )
 from lilacsill.emulator.models.plan import Plan, make_plan
 from lilacsill.emulator.models.scenario import Fleet, Load, Scenario, ScriptedFault
-from lilacsill.emulator.parts import client_parts, server_parts
+from lilacsill.emulator.own_processes import client_process_count, server_process_count
 from lilacsill.emulator.run import play
 from lilacsill.emulator.scenario_file import ScenarioError, load
 from lilacsill.emulator.sockets.listener import Listener, ServerConnection
@@ -125,7 +125,7 @@
     ways: tuple[Literal["both", "out", "in"], ...] = ("both", "out", "in")
     for way in ways:
         t = ScriptedFault(kind="partition", at_s=2, len_s=3, agents="0-1", to="2", way=way)
-        rules[way] = herd.relay_rules(plan_of(t, agents=3).link_faults, -SECOND)[0]
+        rules[way] = agent_group.relay_rules(plan_of(t, agents=3).link_faults, -SECOND)[0]
     assert rules["both"] == {
         "in_s": 3.0,
         "len_s": 3.0,
@@ -140,14 +140,14 @@
     }
     assert (rules["out"]["from"], rules["out"]["both"]) == ([0, 1], False)
     assert (rules["in"]["from"], rules["in"]["to"], rules["in"]["both"]) == ([2], [0, 1], False)
-    assert herd.relay_rules(plan_of(ScriptedFault(kind="partition", at_s=1, to="servers")).link_faults, 0) == []
+    assert agent_group.relay_rules(plan_of(ScriptedFault(kind="partition", at_s=1, to="servers")).link_faults, 0) == []
 
 
 def test_a_large_scenario_is_spread_over_processes() -> None:
-    assert (client_parts(plan_of()), server_parts(plan_of())) == (1, 1)
+    assert (client_process_count(plan_of()), server_process_count(plan_of())) == (1, 1)
     large = plan_of(agents=400, rate=2000)
-    assert client_parts(large) == 3 and server_parts(large) == 4
-    assert client_parts(plan_of(agents=2, rate=9000)) == 2  # no agent's clients are in two processes
+    assert client_process_count(large) == 3 and server_process_count(large) == 4
+    assert client_process_count(plan_of(agents=2, rate=9000)) == 2  # no agent's clients are in two processes
 
 
 # The judge: a killed agent owes no answer, and nothing else is forgiven
@@ -360,8 +360,8 @@
 def test_every_fault_at_once_breaks_no_rule_and_everybody_is_back(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(lilacsill.emulator.run, "server_parts", lambda plan: 2)
-    monkeypatch.setattr(lilacsill.emulator.parts, "client_parts", lambda plan: 2)
+    monkeypatch.setattr(lilacsill.emulator.run, "server_process_count", lambda plan: 2)
+    monkeypatch.setattr(lilacsill.emulator.own_processes, "client_process_count", lambda plan: 2)
     path = tmp_path / "rough.toml"
     path.write_text(
         ROUGH
--- a/tests/test_emulator_run.py
+++ b/tests/test_emulator_run.py
@@ -18,7 +18,7 @@
 from lilacsill.emulator.__main__ import main
 from lilacsill.emulator.models.judge import Breach
 from lilacsill.emulator.models.plan import make_plan
-from lilacsill.emulator.parts import start_fleet
+from lilacsill.emulator.own_processes import start_servers
 from lilacsill.emulator.run import play
 from lilacsill.emulator.scenario_file import load
 
@@ -117,7 +117,7 @@
         path = write(tmp_path, SHORT)
         monkeypatch.setattr(asyncio.StreamReader, "readline", cancelled)
         with pytest.raises(asyncio.CancelledError):
-            await start_fleet(path, make_plan(load(path)))
+            await start_servers(path, make_plan(load(path)))
         with pytest.raises(asyncio.CancelledError):
             await start(load(path), 0, 1, {"revision": 1, "complete": True, "members": []}, tmp_path)
 
--- a/tests/test_emulator_sockets.py
+++ b/tests/test_emulator_sockets.py
@@ -16,7 +16,7 @@
 from lilacsill.emulator.models.plan import Arrival, Incarnation, Notice, Plan, Window, make_plan
 from lilacsill.emulator.models.scenario import Fleet, Load, Scenario
 from lilacsill.emulator.models.server import RepeatMemory, Span
-from lilacsill.emulator.run import _void
+from lilacsill.emulator.run import reasons_for_void
 from lilacsill.emulator.sockets.catalog import Catalog, CatalogConnection
 from lilacsill.emulator.sockets.clients import Pool
 from lilacsill.emulator.sockets.jobserver import EmulatedServer
@@ -285,11 +285,11 @@
 
 def test_an_emulator_that_is_too_slow_or_an_agent_that_ended_voids_the_run() -> None:
     raw = {"faults": [], "lags_us": [10] * 100}
-    assert _void(raw, [100] * 100, [None, None]) == []
-    assert "clients are 50 ms behind" in _void(raw, [50_000] * 100, [None])[0]
-    assert "servers are 50 ms behind" in _void(raw | {"lags_us": [50_000] * 9}, [0], [None])[0]
-    assert _void(raw, [0], [None, 1]) == ["agent n1 ended with status 1"]
-    assert _void(raw | {"faults": ["OSError()"]}, [0], [None]) == ["the fleet failed: OSError()"]
+    assert reasons_for_void(raw, [100] * 100, [None, None]) == []
+    assert "clients are 50 ms behind" in reasons_for_void(raw, [50_000] * 100, [None])[0]
+    assert "servers are 50 ms behind" in reasons_for_void(raw | {"lags_us": [50_000] * 9}, [0], [None])[0]
+    assert reasons_for_void(raw, [0], [None, 1]) == ["agent n1 ended with status 1"]
+    assert reasons_for_void(raw | {"faults": ["OSError()"]}, [0], [None]) == ["the fleet failed: OSError()"]
 
 
 def test_clients_hold_no_more_connections_than_they_may() -> None:
