--- a/lilacsill/hosted/api/figures.py
+++ b/lilacsill/hosted/api/figures.py
@@ -64,7 +64,7 @@
     return {
         "number": s.number,
         "serving": s.serving,
-        "have": s.have,
+        "have": s.applied_revision,
         "starts": s.starts,
         "pid": s.process.pid if s.process is not None else 0,
         "connections": r.connections if r else 0,
--- a/lilacsill/hosted/api/handlers.py
+++ b/lilacsill/hosted/api/handlers.py
@@ -128,7 +128,7 @@
             return key[0], RememberedAnswer(key[1], 201, msgspec.json.encode({**calls.shown(made), "secret": None}))
 
         try:
-            made, secret = self._service.issue(
+            made, secret = self._service.issue_credential(
                 asked.role,
                 asked.tenant,
                 asked.description,
@@ -231,7 +231,7 @@
         if dry:
             return False
         try:
-            await asyncio.wait_for(self._workers.in_force(revision), IN_FORCE_S)
+            await asyncio.wait_for(self._workers.wait_applied(revision), IN_FORCE_S)
         except TimeoutError:
             return False
         return True
--- a/lilacsill/hosted/api/server.py
+++ b/lilacsill/hosted/api/server.py
@@ -22,7 +22,7 @@
 from ...address import parse_address
 from ..resources import Kind
 from ..store.interface import Conflict, Unavailable
-from ..supervisor.service import Refused, Service
+from ..supervisor.service import ChangeRefused, Service
 from ..supervisor.workers import Workers
 from . import openapi, page
 from .callers import Caller, Logins
@@ -114,7 +114,7 @@
             response = await call(request, caller)
         except Problem as e:
             return respond(e, request.state.request_id)
-        except Refused as e:
+        except ChangeRefused as e:
             return respond(Problem(e.status, str(e)), request.state.request_id)
         except Conflict as e:
             status = 412 if "if-match" in request.headers else 409 if e.exists else 404
--- a/lilacsill/hosted/run.py
+++ b/lilacsill/hosted/run.py
@@ -64,7 +64,7 @@
         log.error("cannot listen on %s: %s", section.listen, error)
         return EXIT_NO_ADDRESS
     service = Service(store)
-    workers = Workers(store, reserved.getsockname()[:2], _worker_configs(section, operator), service.removed)
+    workers = Workers(store, reserved.getsockname()[:2], _worker_configs(section, operator), service.finish_removal)
     service.listeners.append(workers.publish)
     admin = AdminServer(section, service, workers)
     try:
--- a/lilacsill/hosted/supervisor/__init__.py
+++ b/lilacsill/hosted/supervisor/__init__.py
@@ -1,1 +1,1 @@
-"""The supervisor: keeps the state, runs the workers, shares limits out, and serves the administration API."""
+"""The supervisor: it owns the state, runs the workers, shares limits out, and serves the administration API."""
