--- a/lilacsill/hosted/api/calls.py
+++ b/lilacsill/hosted/api/calls.py
@@ -1,11 +1,11 @@
-"""One call: its caller, its body within bounds, its conditions, and its answer."""
+"""Parts of a call to the API: its body, query, conditions and idempotency key, and its answer."""
 
 from __future__ import annotations
 
 import re
 from base64 import urlsafe_b64decode, urlsafe_b64encode
 from hashlib import sha256
-from typing import Any, TypeVar
+from typing import Any, NamedTuple, TypeVar
 
 import msgspec
 from starlette.requests import Request
@@ -19,36 +19,51 @@
 
 T = TypeVar("T")
 
-BODY_BYTES = 256 * 1024
-PAGE, PAGE_MOST = 50, 500
-KEY = re.compile(r"[\x21-\x7e]{1,128}")
-TAG = re.compile(r'"(\d{1,18})"')
+MAX_BODY_BYTES = 256 * 1024
+DEFAULT_PAGE_ITEMS = 50
+MAX_PAGE_ITEMS = 500
+IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,128}")
+ENTITY_TAG = re.compile(r'"(\d{1,18})"')
+"""An ETag of this API: a revision."""
 
 
 async def body_of(request: Request) -> bytes:
-    """Raises Problem 413, before more than that was read, or 415."""
+    """Read the body of a request.
+
+    Raises:
+        Problem: 413, it is larger than `MAX_BODY_BYTES` (no more is read); 415, its type is not a JSON one.
+    """
     kind = request.headers.get("content-type", "").partition(";")[0].strip().lower()
     if kind not in ("application/json", "application/merge-patch+json"):
         raise Problem(415, "a body of application/json or application/merge-patch+json is needed")
     found = bytearray()
-    async for piece in request.stream():
-        found += piece
-        if len(found) > BODY_BYTES:
-            raise Problem(413, f"the body is larger than {BODY_BYTES} bytes", {"Connection": "close"})
+    async for chunk in request.stream():
+        found += chunk
+        if len(found) > MAX_BODY_BYTES:
+            raise Problem(413, f"the body is larger than {MAX_BODY_BYTES} bytes", {"Connection": "close"})
     return bytes(found)
 
 
 def decode(raw: bytes, kind: type[T]) -> T:
-    """Raises Problem 400 for what is no JSON, 422 for what is not as it should be."""
+    """Decode JSON.
+
+    Raises:
+        Problem: 400, it is no JSON; 422, it is not of the type.
+    """
     try:
         return msgspec.json.decode(raw, type=kind)
-    except msgspec.ValidationError as e:
-        raise Problem(422, str(e)) from None
-    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as e:
-        raise Problem(400, f"no JSON: {e}") from None
+    except msgspec.ValidationError as error:
+        raise Problem(422, str(error)) from None
+    except (msgspec.DecodeError, RecursionError, UnicodeDecodeError) as error:
+        raise Problem(400, f"no JSON: {error}") from None
 
 
 def name_in(request: Request) -> str:
+    """Read the name in the path.
+
+    Raises:
+        Problem: 404, it is no valid name.
+    """
     name = str(request.path_params["name"])
     if not re.fullmatch(NAME_PATTERN, name):
         raise Problem(404, "no resource can have this name")
@@ -56,6 +71,11 @@
 
 
 def number(request: Request, key: str, default: int, low: int, high: int) -> int:
+    """Read a number of the query, which may be missing.
+
+    Raises:
+        Problem: 422, it is no number from `low` to `high`.
+    """
     text = request.query_params.get(key)
     if text is None:
         return default
@@ -65,6 +85,11 @@
 
 
 def flag(request: Request, key: str) -> bool:
+    """Read a flag of the query; it is False where it is missing.
+
+    Raises:
+        Problem: 422, it is neither true nor false.
+    """
     text = request.query_params.get(key, "false")
     if text not in ("true", "false"):
         raise Problem(422, f"{key}: must be true or false")
@@ -72,13 +97,22 @@
 
 
 def only(request: Request, *known: str) -> None:
-    """A query that would be ignored is an error: a filter with a slip of the pen must not list all."""
+    """Check that the query has no other keys than these; a misspelt filter must not list all.
+
+    Raises:
+        Problem: 422, a key is not known.
+    """
     for key in request.query_params:
         if key not in known:
             raise Problem(422, f"{key}: no such query; there are: {', '.join(known) or 'none'}")
 
 
 def cursor(request: Request) -> str:
+    """Read the cursor of the query: the name after which the page starts; empty: the first page.
+
+    Raises:
+        Problem: 422, the API has not given out this cursor.
+    """
     text = request.query_params.get("cursor")
     if not text:
         return ""
@@ -92,55 +126,83 @@
 
 
 def cursor_after(name: str) -> str:
+    """Make the cursor for the page after a name."""
     return urlsafe_b64encode(name.encode()).decode()
 
 
 def expected(request: Request) -> int | None:
-    """The revision of If-Match (RFC 9110, section 13.1.1); None where there is none, or any will do."""
+    """Read the revision of If-Match (RFC 9110, section 13.1.1); None where the header is missing or `*`.
+
+    Raises:
+        Problem: 412, it is no ETag of this API.
+    """
     text = request.headers.get("if-match")
     if text is None or text.strip() == "*":
         return None
-    found = TAG.fullmatch(text.strip())
+    found = ENTITY_TAG.fullmatch(text.strip())
     if found is None:
         raise Problem(412, 'If-Match: must be one tag as ETag gave it, "17" for instance')
     return int(found[1])
 
 
 def author(request: Request, caller: Caller) -> Author:
+    """Return the author of a change, for the log."""
     return Author(caller.id, str(request.state.request_id))
 
 
-def idempotency(request: Request, caller: Caller, raw: bytes) -> tuple[str, str] | None:
-    """The key, apart for each caller, and the fingerprint of the call (draft-ietf-httpapi-idempotency-key-header)."""
+class IdempotencyKey(NamedTuple):
+    """The idempotency key of a call."""
+
+    key: str
+    """The caller's id and its key: callers do not share keys."""
+    fingerprint: str
+    """A digest of the call."""
+
+
+def idempotency(request: Request, caller: Caller, raw: bytes) -> IdempotencyKey | None:
+    """Read the idempotency key of a call (draft-ietf-httpapi-idempotency-key-header), or None.
+
+    Raises:
+        Problem: 400, the key is malformed.
+    """
     key = request.headers.get("idempotency-key")
     if key is None:
         return None
-    if not KEY.fullmatch(key):
+    if not IDEMPOTENCY_KEY.fullmatch(key):
         raise Problem(400, "Idempotency-Key: 1 to 128 visible characters")
-    print_ = sha256(f"{request.method} {request.url.path}?{request.url.query}\n".encode() + raw).hexdigest()
-    return f"{caller.id} {key}", print_
+    call = f"{request.method} {request.url.path}?{request.url.query}\n".encode() + raw
+    return IdempotencyKey(f"{caller.id} {key}", sha256(call).hexdigest())
 
 
-def repeated(found: RememberedAnswer | None, fingerprint: str) -> Response | None:
-    """The first answer again; 422 where the key came with another call."""
-    if found is None:
+def replay(remembered: RememberedAnswer | None, fingerprint: str) -> Response | None:
+    """Make the first answer to a repeated call; None where the call is no repeat.
+
+    Raises:
+        Problem: 422, the key was used for another call.
+    """
+    if remembered is None:
         return None
-    if found.fingerprint != fingerprint:
+    if remembered.fingerprint != fingerprint:
         raise Problem(422, "Idempotency-Key: was used for another call")
-    return Response(found.body, found.status, {"Idempotent-Replay": "true"}, media_type="application/json")
+    return Response(remembered.body, remembered.status, {"Idempotent-Replay": "true"}, media_type="application/json")
 
 
-def shown(r: Resource) -> dict[str, Any]:
-    """A resource as the API tells it; a credential without its digest."""
-    head: dict[str, Any] = {"id" if r.kind is Kind.CREDENTIAL else "name": r.name, "revision": r.revision}
-    return {**head, **public_spec(r.spec)}
+def to_fields(resource: Resource) -> dict[str, Any]:
+    """Convert a resource to the fields that the API shows; a credential has no digest there."""
+    name_key = "id" if resource.kind is Kind.CREDENTIAL else "name"
+    return {name_key: resource.name, "revision": resource.revision, **public_spec(resource.spec)}
 
 
-def answer(r: Resource, status: int = 200, **more: Any) -> Response:
+def resource_response(resource: Resource, status: int = 200, **more: Any) -> Response:
+    """Make the answer that shows a resource, with further fields."""
     return Response(
-        msgspec.json.encode({**shown(r), **more}), status, {"ETag": f'"{r.revision}"'}, media_type="application/json"
+        msgspec.json.encode({**to_fields(resource), **more}),
+        status,
+        {"ETag": f'"{resource.revision}"'},
+        media_type="application/json",
     )
 
 
-def as_json(what: Any, status: int = 200) -> Response:
-    return Response(msgspec.json.encode(what), status, media_type="application/json")
+def json_response(body: Any, status: int = 200) -> Response:
+    """Make an answer with a JSON body."""
+    return Response(msgspec.json.encode(body), status, media_type="application/json")
--- a/lilacsill/hosted/api/handlers.py
+++ b/lilacsill/hosted/api/handlers.py
@@ -1,26 +1,27 @@
-"""The handlers of /v1, by resource. Each takes a call apart, asks the service, and words what comes of it."""
+"""The handlers of /v1 for resources: each reads a call, passes it to the service, and makes the answer."""
 
 from __future__ import annotations
 
 import asyncio
-from typing import Any
+from typing import Any, NamedTuple
 
 import msgspec
 from starlette.requests import Request
 from starlette.responses import Response
 
-from ..resources import CredentialSpec, Kind, Name, PoolSpec, Resource, Role, Spec, State, TenantSpec, decode_spec
-from ..store.interface import Change, RememberedAnswer
+from ..resources import CredentialSpec, Kind, Name, Resource, Role, Spec, State, TenantSpec, decode_spec
+from ..store.interface import RememberedAnswer
 from ..supervisor.service import Service
 from ..supervisor.workers import Workers
 from . import calls
 from .callers import Caller
-from .figures import figures
 from .problems import Problem
+from .visibility import READERS, find_visible, is_visible
 
-IN_FORCE_S = 5.0  # a change is answered when all workers have it, or after this
-WAIT_MOST_S = 30
-EVERYBODY = (Role.OPERATOR, Role.AUDITOR, Role.TENANT_ADMIN)
+IN_FORCE_TIMEOUT_S = 5.0
+"""A change is answered once all workers have applied it, or after so many seconds."""
+FILTERS = {Kind.POOL: (), Kind.TENANT: ("state", "pool"), Kind.CREDENTIAL: ("tenant", "role")}
+"""The query keys by which a list is filtered."""
 
 
 class NewCredential(msgspec.Struct, forbid_unknown_fields=True):
@@ -31,234 +32,175 @@
     description: str = ""
 
 
-class Handlers:
-    """One for the API."""
+class PostedCall(NamedTuple):
+    """A POST call."""
 
-    def __init__(self, service: Service, workers: Workers) -> None:
-        self._service, self._workers = service, workers
-        self.changed = asyncio.Event()  # replaced at each change: whoever follows the log waits on it
-        service.listeners.append(self._on_change)
+    is_dry_run: bool
+    body: bytes
+    key: calls.IdempotencyKey | None
+    replay: Response | None
+    """The first answer, where the call is a repeat."""
 
-    def _on_change(self, _: list[Change]) -> None:
-        before, self.changed = self.changed, asyncio.Event()
-        before.set()
 
-    # Pools and tenants
+class ResourceHandlers:
+    """The handlers for pools, tenants and credentials."""
+
+    def __init__(self, service: Service, workers: Workers) -> None:
+        self._service, self._workers = service, workers
 
     async def list_of(self, request: Request, caller: Caller, kind: Kind) -> Response:
-        caller.need(*EVERYBODY)
-        filters = {"tenant": ("state", "pool"), "credential": ("tenant", "role"), "pool": ()}[kind.value]
-        calls.only(request, "limit", "cursor", *filters)
-        wanted = {f: request.query_params[f] for f in filters if f in request.query_params}
+        """Answer with a page of the resources of a kind that the caller may see."""
+        caller.need(*READERS)
+        calls.only(request, "limit", "cursor", *FILTERS[kind])
+        filters = {key: request.query_params[key] for key in FILTERS[kind] if key in request.query_params}
         for key, allowed in (("state", State), ("role", Role)):
-            if key in wanted and wanted[key] not in [x.value for x in allowed]:
-                raise Problem(422, f"{key}: must be one of {', '.join(x.value for x in allowed)}")
-        limit = calls.number(request, "limit", calls.PAGE, 1, calls.PAGE_MOST)
-        rows: list[Resource] = []
-        after, more = calls.cursor(request), True
-        while more and len(rows) <= limit:  # filters thin out each page
+            if key in filters and filters[key] not in [value.value for value in allowed]:
+                raise Problem(422, f"{key}: must be one of {', '.join(value.value for value in allowed)}")
+        limit = calls.number(request, "limit", calls.DEFAULT_PAGE_ITEMS, 1, calls.MAX_PAGE_ITEMS)
+        found: list[Resource] = []
+        after, has_more = calls.cursor(request), True
+        while has_more and len(found) <= limit:  # a page of the store may have few that match
             page = self._service.store.page(kind, after, limit + 1)
-            more = len(page) > limit
+            has_more = len(page) > limit
             after = page[-1].name if page else after
-            rows += [r for r in page if _visible(caller, r) and _fits(r, wanted)]
-        found: dict[str, Any] = {"items": [calls.shown(r) for r in rows[:limit]]}
-        if len(rows) > limit:
-            found["next"] = calls.cursor_after(rows[limit - 1].name)
-        return calls.as_json(found)
+            found += [resource for resource in page if is_visible(caller, resource) and _matches(resource, filters)]
+        body: dict[str, Any] = {"items": [calls.to_fields(resource) for resource in found[:limit]]}
+        if len(found) > limit:
+            body["next"] = calls.cursor_after(found[limit - 1].name)
+        return calls.json_response(body)
 
     async def show(self, request: Request, caller: Caller, kind: Kind) -> Response:
-        caller.need(*EVERYBODY)
+        """Answer with one resource."""
+        caller.need(*READERS)
         calls.only(request)
-        return calls.answer(self._visible(request, caller, kind))
+        return calls.resource_response(self._find_visible(request, caller, kind))
 
     async def create(self, request: Request, caller: Caller, kind: Kind) -> Response:
+        """Create a pool or a tenant."""
         caller.need(Role.OPERATOR)
-        dry, raw, key, again = await self._posted(request, caller)
-        if again is not None:
-            return again
-        body = calls.decode(raw, dict[str, Any])
+        posted = await self._read_post(request, caller)
+        if posted.replay is not None:
+            return posted.replay
+        body = calls.decode(posted.body, dict[str, Any])
         name = calls.decode(msgspec.json.encode(body.pop("name", None)), Name)
-        spec = _spec(kind, body)
+        spec = _decode_spec(kind, body)
         if isinstance(spec, TenantSpec) and spec.state is State.REMOVING:
             raise Problem(422, "state: a tenant cannot begin by being removed")
         remember = None
-        if key is not None and not dry:
-            # Of the answer only what is sure beforehand is remembered: a repeat asks for the rest.
+        if posted.key is not None and not posted.is_dry_run:
+            # Revision and `in_force` are not known before the commit; who needs them after a repeat reads them.
             text = msgspec.json.encode({"name": name, **msgspec.to_builtins(spec)})
-            remember = key[0], RememberedAnswer(key[1], 201, text)
-        made = self._service.create(kind, name, spec, calls.author(request, caller), dry, remember)
-        return await self._in_force(made, 200 if dry else 201, dry)
+            remember = posted.key.key, RememberedAnswer(posted.key.fingerprint, 201, text)
+        author = calls.author(request, caller)
+        created = self._service.create(kind, name, spec, author, posted.is_dry_run, remember)
+        return await self._respond_in_force(created, 200 if posted.is_dry_run else 201, posted.is_dry_run)
 
     async def change(self, request: Request, caller: Caller, kind: Kind) -> Response:
+        """Apply a merge patch to a pool or a tenant."""
         caller.need(Role.OPERATOR)
         calls.only(request, "dry_run")
-        dry, wanted = calls.flag(request, "dry_run"), calls.expected(request)
+        dry_run, expected = calls.flag(request, "dry_run"), calls.expected(request)
         merge = calls.decode(await calls.body_of(request), dict[str, Any])
         name = calls.name_in(request)
         try:
-            changed = self._service.patch(kind, name, merge, wanted, calls.author(request, caller), dry)
-        except msgspec.ValidationError as e:
-            raise Problem(422, str(e)) from None
-        return await self._in_force(changed, 200, dry)
+            changed = self._service.patch(kind, name, merge, expected, calls.author(request, caller), dry_run)
+        except msgspec.ValidationError as error:
+            raise Problem(422, str(error)) from None
+        return await self._respond_in_force(changed, 200, dry_run)
 
     async def remove(self, request: Request, caller: Caller, kind: Kind) -> Response:
+        """Remove a pool, or begin to remove a tenant."""
         caller.need(Role.OPERATOR)
         calls.only(request, "dry_run")
-        dry, wanted = calls.flag(request, "dry_run"), calls.expected(request)
-        gone = self._service.remove(kind, calls.name_in(request), wanted, calls.author(request, caller), dry)
+        dry_run, expected = calls.flag(request, "dry_run"), calls.expected(request)
+        author = calls.author(request, caller)
+        removed = self._service.remove(kind, calls.name_in(request), expected, author, dry_run)
         if kind is Kind.TENANT:
-            return await self._in_force(gone, 202, dry)
-        await self._all_have(self._service.store.revision, dry)
+            return await self._respond_in_force(removed, 202, dry_run)
+        await self._wait_in_force(self._service.store.revision, dry_run)
         return Response(status_code=204)
 
-    # Credentials
-
     async def issue(self, request: Request, caller: Caller) -> Response:
+        """Create a credential, and answer with its secret."""
         caller.need(Role.OPERATOR, Role.TENANT_ADMIN)
-        dry, raw, key, again = await self._posted(request, caller)
-        if again is not None:
-            return again
-        asked = calls.decode(raw, NewCredential)
-        if caller.role is Role.TENANT_ADMIN and (asked.tenant != caller.tenant or asked.role is not Role.CLIENT):
+        posted = await self._read_post(request, caller)
+        if posted.replay is not None:
+            return posted.replay
+        new, key = calls.decode(posted.body, NewCredential), posted.key
+        if caller.role is Role.TENANT_ADMIN and (new.tenant != caller.tenant or new.role is not Role.CLIENT):
             raise Problem(403, "a tenant admin makes client credentials of its own tenant")
 
-        def remembered(made: Resource) -> tuple[str, RememberedAnswer]:
-            # Without the secret, which is shown once: who lost it removes this one and makes another.
+        def remember(credential: Resource) -> tuple[str, RememberedAnswer]:
+            # The secret is shown once and not stored: who lost it removes this credential and creates another.
             assert key is not None
-            return key[0], RememberedAnswer(key[1], 201, msgspec.json.encode({**calls.shown(made), "secret": None}))
+            body = msgspec.json.encode({**calls.to_fields(credential), "secret": None})
+            return key.key, RememberedAnswer(key.fingerprint, 201, body)
 
         try:
-            made, secret = self._service.issue_credential(
-                asked.role,
-                asked.tenant,
-                asked.description,
+            credential, secret = self._service.issue_credential(
+                new.role,
+                new.tenant,
+                new.description,
                 calls.author(request, caller),
-                dry,
-                remembered if key else None,
+                posted.is_dry_run,
+                remember if key else None,
             )
-        except ValueError as e:
-            raise Problem(422, str(e)) from None
-        return await self._in_force(made, 200 if dry else 201, dry, secret=None if dry else secret)
+        except ValueError as error:
+            raise Problem(422, str(error)) from None
+        if posted.is_dry_run:
+            return await self._respond_in_force(credential, 200, True, secret=None)
+        return await self._respond_in_force(credential, 201, False, secret=secret)
 
     async def revoke(self, request: Request, caller: Caller) -> Response:
+        """Remove a credential."""
         caller.need(Role.OPERATOR, Role.TENANT_ADMIN)
         calls.only(request)
-        found = self._visible(request, caller, Kind.CREDENTIAL)
-        assert isinstance(found.spec, CredentialSpec)
-        if caller.role is Role.TENANT_ADMIN and found.spec.role is not Role.CLIENT:
+        credential = self._find_visible(request, caller, Kind.CREDENTIAL)
+        assert isinstance(credential.spec, CredentialSpec)
+        if caller.role is Role.TENANT_ADMIN and credential.spec.role is not Role.CLIENT:
             raise Problem(403, "a tenant admin removes client credentials only")
-        if found.spec.role is Role.OPERATOR and found.name == caller.id:
+        if credential.spec.role is Role.OPERATOR and credential.name == caller.id:
             raise Problem(409, "an operator cannot remove the credential it calls with")
-        self._service.remove(Kind.CREDENTIAL, found.name, calls.expected(request), calls.author(request, caller))
-        await self._all_have(self._service.store.revision)
+        expected, author = calls.expected(request), calls.author(request, caller)
+        self._service.remove(Kind.CREDENTIAL, credential.name, expected, author)
+        await self._wait_in_force(self._service.store.revision)
         return Response(status_code=204)
 
-    # The account, the log, the status
-
-    async def usage(self, request: Request, caller: Caller) -> Response:
-        caller.need(*EVERYBODY)
-        calls.only(request)
-        tenant = self._visible(request, caller, Kind.TENANT)
-        total = msgspec.to_builtins(self._workers.account.total(tenant.uid))
-        total.pop("at")
-        return calls.as_json(
-            {"tenant": tenant.name, "minutes": self._workers.account.as_json(tenant.uid), "total": total}
-        )
-
-    async def events(self, request: Request, caller: Caller) -> Response:
-        caller.need(*EVERYBODY)
-        calls.only(request, "after", "limit", "wait_s", "kind", "name")
-        after = calls.number(request, "after", 0, 0, 2**62)
-        limit = calls.number(request, "limit", calls.PAGE, 1, calls.PAGE_MOST)
-        wait_s = calls.number(request, "wait_s", 0, 0, WAIT_MOST_S)
-        kind, name = request.query_params.get("kind"), request.query_params.get("name")
-        if kind is not None and kind not in [k.value for k in Kind]:
-            raise Problem(422, f"kind: must be one of {', '.join(k.value for k in Kind)}")
-
-        def fits(c: Change) -> bool:
-            return (kind is None or c.kind.value == kind) and (name is None or c.name == name) and _concerns(caller, c)
-
-        loop = asyncio.get_running_loop()
-        until = loop.time() + wait_s
-        while True:
-            changed = self.changed
-            rows = self._service.store.changes(after, limit)
-            found = [c for c in rows if fits(c)]
-            after = rows[-1].revision if rows else after
-            if found or (not rows and loop.time() >= until):
-                return calls.as_json({"items": [msgspec.to_builtins(c) for c in found], "after": after})
-            if not rows:
-                try:
-                    await asyncio.wait_for(changed.wait(), until - loop.time())
-                except TimeoutError:
-                    continue
-
-    async def status(self, request: Request, caller: Caller) -> Response:
-        caller.need(Role.OPERATOR, Role.AUDITOR)
-        calls.only(request)
-        return calls.as_json(self.figures())
-
-    def figures(self) -> dict[str, Any]:
-        """The service in figures, for the API, the page and the metrics."""
-        return figures(self._service.store.revision, self._service.directory, self._workers)
-
-    # Within
-
-    async def _posted(
-        self, request: Request, caller: Caller
-    ) -> tuple[bool, bytes, tuple[str, str] | None, Response | None]:
-        """What every POST has: whether it is dry, its body, its idempotency key, and the first answer if it is a
-        repeat."""
+    async def _read_post(self, request: Request, caller: Caller) -> PostedCall:
         calls.only(request, "dry_run")
-        dry = calls.flag(request, "dry_run")
-        raw = await calls.body_of(request)
-        key = calls.idempotency(request, caller, raw)
-        again = calls.repeated(self._service.store.remembered(key[0]), key[1]) if key is not None else None
-        return dry, raw, key, again
-
-    def _visible(self, request: Request, caller: Caller, kind: Kind) -> Resource:
-        name = calls.name_in(request)
-        found = self._service.store.get(kind, name)
-        if found is None or not _visible(caller, found):
-            raise Problem(404, f"there is no {kind.value} {name}")
-        return found
-
-    async def _in_force(self, r: Resource, status: int, dry: bool, **more: Any) -> Response:
-        return calls.answer(r, status, in_force=await self._all_have(r.revision, dry), **more)
-
-    async def _all_have(self, revision: int, dry: bool = False) -> bool:
-        """Whether all workers that serve have it by now."""
-        if dry:
+        is_dry_run = calls.flag(request, "dry_run")
+        body = await calls.body_of(request)
+        key = calls.idempotency(request, caller, body)
+        if key is None:
+            return PostedCall(is_dry_run, body, None, None)
+        replay = calls.replay(self._service.store.remembered(key.key), key.fingerprint)
+        return PostedCall(is_dry_run, body, key, replay)
+
+    def _find_visible(self, request: Request, caller: Caller, kind: Kind) -> Resource:
+        return find_visible(self._service.store, caller, kind, calls.name_in(request))
+
+    async def _respond_in_force(self, resource: Resource, status: int, dry_run: bool, **more: Any) -> Response:
+        in_force = await self._wait_in_force(resource.revision, dry_run)
+        return calls.resource_response(resource, status, in_force=in_force, **more)
+
+    async def _wait_in_force(self, revision: int, dry_run: bool = False) -> bool:
+        """Wait until all workers that serve have applied a revision. Returns whether they have."""
+        if dry_run:
             return False
         try:
-            await asyncio.wait_for(self._workers.wait_applied(revision), IN_FORCE_S)
+            await asyncio.wait_for(self._workers.wait_applied(revision), IN_FORCE_TIMEOUT_S)
         except TimeoutError:
             return False
         return True
 
 
-def _spec(kind: Kind, body: dict[str, Any]) -> Spec:
+def _decode_spec(kind: Kind, body: dict[str, Any]) -> Spec:
     try:
         return decode_spec(kind, body)
-    except msgspec.ValidationError as e:
-        raise Problem(422, str(e)) from None
-
-
-def _visible(caller: Caller, r: Resource) -> bool:
-    if isinstance(r.spec, PoolSpec):
-        return caller.tenant is None
-    if isinstance(r.spec, CredentialSpec):
-        return caller.tenant is None or r.spec.tenant == caller.tenant
-    return caller.sees_tenant(r.name)
-
-
-def _concerns(caller: Caller, c: Change) -> bool:
-    if caller.tenant is None:
-        return True
-    owner = (c.after or c.before or {}).get("tenant") if c.kind is Kind.CREDENTIAL else c.name
-    return c.kind is not Kind.POOL and owner == caller.tenant
+    except msgspec.ValidationError as error:
+        raise Problem(422, str(error)) from None
 
 
-def _fits(r: Resource, wanted: dict[str, str]) -> bool:
-    fields = msgspec.to_builtins(r.spec)
-    return all(fields.get(k) == v for k, v in wanted.items())
+def _matches(resource: Resource, filters: dict[str, str]) -> bool:
+    fields = msgspec.to_builtins(resource.spec)
+    return all(fields.get(key) == value for key, value in filters.items())
--- a/lilacsill/hosted/api/page.py
+++ b/lilacsill/hosted/api/page.py
@@ -1,4 +1,4 @@
-"""The status page: one plain document that reads /v1/status with the credential typed into it."""
+"""The status page: one HTML document that reads /v1/status with the credential that the operator enters."""
 
 from __future__ import annotations
 
--- a/lilacsill/hosted/api/problems.py
+++ b/lilacsill/hosted/api/problems.py
@@ -1,4 +1,4 @@
-"""Problems as RFC 9457 words them."""
+"""Answers that report a problem (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -9,7 +9,13 @@
 
 
 class Problem(Exception):
-    """An answer that is no success. `headers` go with it."""
+    """An answer that is no success.
+
+    Attributes:
+        status: Its HTTP status.
+        detail: One line for the caller.
+        headers: Further headers of the answer.
+    """
 
     def __init__(self, status: int, detail: str, headers: dict[str, str] | None = None) -> None:
         super().__init__(detail)
@@ -17,6 +23,7 @@
 
 
 def respond(problem: Problem, request_id: str) -> Response:
+    """Make the answer for a problem."""
     body = {
         "type": "about:blank",
         "title": HTTPStatus(problem.status).phrase,
