--- a/lilacsill/hosted/cli/caller.py
+++ b/lilacsill/hosted/cli/caller.py
@@ -1,7 +1,8 @@
-"""Calls the administration API and words what comes of it; the exit codes that scripts can count on."""
+"""Calls of the administration API, their output, and the exit codes of commands."""
 
 from __future__ import annotations
 
+from collections.abc import Sequence
 from enum import IntEnum
 from typing import Any
 
@@ -12,11 +13,16 @@
 from rich.table import Table
 
 TIMEOUT_S = 40.0
+"""Above the longest wait of a call, 30 s for the log."""
+PAGE_ITEMS = 500
 
 
 class Exit(IntEnum):
+    """The exit codes, which scripts may rely on."""
+
     OK = 0
-    NO_ANSWER = 1  # the service cannot be reached, or failed
+    NO_ANSWER = 1
+    """The service cannot be reached, or failed."""
     USAGE = 2
     NOT_THERE = 3
     CONFLICT = 4
@@ -24,7 +30,7 @@
     INVALID = 6
 
 
-EXITS = {
+EXITS_BY_STATUS = {
     401: Exit.NOT_ALLOWED,
     403: Exit.NOT_ALLOWED,
     404: Exit.NOT_THERE,
@@ -38,7 +44,14 @@
 
 
 class Caller:
-    """One command's calls."""
+    """A client of the API for one command.
+
+    Args:
+        url: The API's URL.
+        token: The credential to present.
+        as_json: Print JSON instead of tables.
+        ca: A PEM file that the API's certificate is verified with; None: the system's.
+    """
 
     def __init__(self, url: str, token: str, as_json: bool, ca: str | None = None) -> None:
         self._client = httpx.Client(
@@ -49,7 +62,11 @@
     def call(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None, **query: Any
     ) -> httpx.Response:
-        """Ends the command with one line and a code where the answer is no success."""
+        """Call the API.
+
+        Raises:
+            click.exceptions.Exit: The answer is no success; a line says why.
+        """
         kind = "application/merge-patch+json" if method == "PATCH" else "application/json"
         try:
             answer = self._client.request(
@@ -57,54 +74,60 @@
                 path,
                 content=msgspec.json.encode(body) if body is not None else None,
                 headers={**(headers or {}), **({"Content-Type": kind} if body is not None else {})},
-                params={k: v for k, v in query.items() if v is not None},
+                params={key: value for key, value in query.items() if value is not None},
             )
-        except httpx.HTTPError as e:
-            raise self._end(Exit.NO_ANSWER, f"{self._client.base_url}: {e}") from None
+        except httpx.HTTPError as error:
+            raise self._end(Exit.NO_ANSWER, f"{self._client.base_url}: {error}") from None
         if answer.is_success:
             return answer
         try:
-            why = answer.json()["detail"]
+            reason = answer.json()["detail"]
         except (ValueError, KeyError):
-            why = answer.text[:200] or answer.reason_phrase
-        raise self._end(EXITS.get(answer.status_code, Exit.NO_ANSWER), f"{why} ({answer.status_code})")
+            reason = answer.text[:200] or answer.reason_phrase
+        raise self._end(EXITS_BY_STATUS.get(answer.status_code, Exit.NO_ANSWER), f"{reason} ({answer.status_code})")
 
     def pages(self, path: str, **query: Any) -> list[dict[str, Any]]:
-        """All items, page by page."""
+        """Fetch all items of a list, page by page."""
         found: list[dict[str, Any]] = []
         cursor: str | None = None
         while True:
-            page = self.call("GET", path, limit=500, cursor=cursor, **query).json()
+            page = self.call("GET", path, limit=PAGE_ITEMS, cursor=cursor, **query).json()
             found += page["items"]
             cursor = page.get("next")
             if cursor is None:
                 return found
 
-    def change(self, path: str, merge: dict[str, Any], dry: bool) -> dict[str, Any]:
-        """Read, then change what was read: whoever came between is not overwritten."""
+    def change(self, path: str, merge: dict[str, Any], dry_run: bool) -> dict[str, Any]:
+        """Change a resource at its current revision, so that no concurrent change is overwritten."""
         tag = self.call("GET", path).headers["ETag"]
-        found: dict[str, Any] = self.call("PATCH", path, merge, {"If-Match": tag}, dry_run=_flag(dry)).json()
+        found: dict[str, Any] = self.call("PATCH", path, merge, {"If-Match": tag}, dry_run=_flag(dry_run)).json()
         return found
 
-    def tell(self, what: Any, columns: tuple[str, ...] = ()) -> None:
-        """As JSON, or as a table for people."""
+    def show(self, value: Any, columns: Sequence[str] = ()) -> None:
+        """Print a value.
+
+        Args:
+            value: One object, or a list of them.
+            columns: The keys to print as a table; empty: one line for each key.
+        """
+        rows = value if isinstance(value, list) else [value]
         if self.as_json:
-            return click.echo(msgspec.json.encode(what).decode())
-        rows = what if isinstance(what, list) else [what]
-        if columns:
+            click.echo(msgspec.json.encode(value).decode())
+        elif columns:
             table = Table(box=None, header_style="bold")
-            for c in columns:
-                table.add_column(c)
+            for column in columns:
+                table.add_column(column)
+            for row in rows:
+                table.add_row(*(_text(row.get(column)) for column in columns))
+            Console().print(table)
+        else:
             for row in rows:
-                table.add_row(*(_text(row.get(c)) for c in columns))
-            return Console().print(table)
-        for row in rows:
-            for key, value in row.items():
-                click.echo(f"{key:<14} {_text(value)}")
+                for key, item in row.items():
+                    click.echo(f"{key:<14} {_text(item)}")
 
     @staticmethod
-    def _end(code: Exit, why: str) -> click.exceptions.Exit:
-        click.echo(f"lilacsill: {why}", err=True)
+    def _end(code: Exit, reason: str) -> click.exceptions.Exit:
+        click.echo(f"lilacsill: {reason}", err=True)
         return click.exceptions.Exit(code)
 
 
@@ -114,7 +137,7 @@
 
 def _text(value: Any) -> str:
     if isinstance(value, dict):
-        return " ".join(f"{k}={_text(v)}" for k, v in value.items() if v not in (0, 0.0, "", None)) or "-"
+        return " ".join(f"{key}={_text(item)}" for key, item in value.items() if item not in (0, 0.0, "", None)) or "-"
     if isinstance(value, list):
         return ", ".join(map(_text, value)) or "-"
     return "-" if value in (None, "") else str(value)
--- a/lilacsill/hosted/cli/pools.py
+++ b/lilacsill/hosted/cli/pools.py
@@ -1,4 +1,4 @@
-"""``python -m lilacsill pools|credentials``."""
+"""``python -m lilacsill pools|credentials``. The docstrings of commands are their help."""
 
 from __future__ import annotations
 
@@ -21,22 +21,27 @@
 
 @pools.command("list")
 @api
-def list_pools(**o: Any) -> None:
+def list_pools(**options: Any) -> None:
     """All pools by name."""
-    caller = caller_of(o)
-    caller.tell(caller.pages("/v1/pools"), POOL_COLUMNS)
+    caller = caller_of(options)
+    caller.show(caller.pages("/v1/pools"), POOL_COLUMNS)
 
 
 @pools.command("show")
 @click.argument("name")
 @api
-def show_pool(name: str, **o: Any) -> None:
+def show_pool(name: str, **options: Any) -> None:
     """One pool with its settings."""
-    caller = caller_of(o)
-    caller.tell(caller.call("GET", f"/v1/pools/{name}").json())
+    caller = caller_of(options)
+    caller.show(caller.call("GET", f"/v1/pools/{name}").json())
 
 
-@pools.command("add")
+@pools.command(
+    "add",
+    help=(
+        "A new pool.\n\n\b\npython -m lilacsill pools add saltillo --discovery 10.2.0.1:8500 --settings saltillo.json\n"
+    ),
+)
 @click.argument("name")
 @click.option("--discovery", required=True, metavar="HOST:PORT")
 @click.option(
@@ -46,18 +51,14 @@
     help="JSON file: the settings in the platform's form, without tenants",
 )
 @api
-def add_pool(name: str, discovery: str, settings: str, **o: Any) -> None:
-    """A new pool.
-
-    \b
-    python -m lilacsill pools add saltillo --discovery 10.2.0.1:8500 --settings saltillo.json
-    """
-    caller = caller_of(o)
+def add_pool(name: str, discovery: str, settings: str, **options: Any) -> None:
+    """A new pool."""
+    caller = caller_of(options)
     try:
         facts = json.loads(Path(settings).read_text())
-    except ValueError as e:
-        raise click.BadParameter(f"{settings}: no JSON: {e}") from None
-    caller.tell(
+    except ValueError as error:
+        raise click.BadParameter(f"{settings}: no JSON: {error}") from None
+    caller.show(
         caller.call("POST", "/v1/pools", {"name": name, "discovery": discovery, "settings": facts}).json(), POOL_COLUMNS
     )
 
@@ -66,18 +67,18 @@
 @click.argument("name")
 @click.option("--discovery", required=True, metavar="HOST:PORT")
 @api
-def move_pool(name: str, discovery: str, **o: Any) -> None:
+def move_pool(name: str, discovery: str, **options: Any) -> None:
     """Learn the pool's servers elsewhere from now on."""
-    caller = caller_of(o)
-    caller.tell(caller.change(f"/v1/pools/{name}", {"discovery": discovery}, False), POOL_COLUMNS)
+    caller = caller_of(options)
+    caller.show(caller.change(f"/v1/pools/{name}", {"discovery": discovery}, False), POOL_COLUMNS)
 
 
 @pools.command("remove")
 @click.argument("name")
 @api
-def remove_pool(name: str, **o: Any) -> None:
+def remove_pool(name: str, **options: Any) -> None:
     """Remove a pool that no tenant is in."""
-    caller_of(o).call("DELETE", f"/v1/pools/{name}")
+    caller_of(options).call("DELETE", f"/v1/pools/{name}")
 
 
 @click.group()
@@ -89,10 +90,10 @@
 @click.option("--tenant")
 @click.option("--role", type=click.Choice(["client", "tenant-admin", "auditor", "operator"]))
 @api
-def list_credentials(tenant: str | None, role: str | None, **o: Any) -> None:
+def list_credentials(tenant: str | None, role: str | None, **options: Any) -> None:
     """All credentials by id; no secret is shown."""
-    caller = caller_of(o)
-    caller.tell(caller.pages("/v1/credentials", tenant=tenant, role=role), CREDENTIAL_COLUMNS)
+    caller = caller_of(options)
+    caller.show(caller.pages("/v1/credentials", tenant=tenant, role=role), CREDENTIAL_COLUMNS)
 
 
 @credentials.command()
@@ -100,17 +101,17 @@
 @click.option("--tenant")
 @click.option("--description", default="")
 @api
-def issue(role: str, tenant: str | None, description: str, **o: Any) -> None:
+def issue(role: str, tenant: str | None, description: str, **options: Any) -> None:
     """A new credential; its secret is shown this once."""
-    caller = caller_of(o)
-    caller.tell(
+    caller = caller_of(options)
+    caller.show(
         caller.call("POST", "/v1/credentials", {"role": role, "tenant": tenant, "description": description}).json()
     )
 
 
 @credentials.command()
-@click.argument("id")
+@click.argument("credential_id", metavar="ID")
 @api
-def revoke(id: str, **o: Any) -> None:
+def revoke(credential_id: str, **options: Any) -> None:
     """It opens nothing any more, on any worker."""
-    caller_of(o).call("DELETE", f"/v1/credentials/{id}")
+    caller_of(options).call("DELETE", f"/v1/credentials/{credential_id}")
