--- a/lilacsill/hosted/store/interface.py
+++ b/lilacsill/hosted/store/interface.py
@@ -98,7 +98,7 @@
     """The answer to a call that had an Idempotency-Key."""
 
     fingerprint: str
-    """A digest of the call, which tells a repeat from another call with the same key."""
+    """A digest of the call, which distinguishes a repeat from another call with the same key."""
     status: int
     body: bytes
 
--- a/tests/hosted/test_api.py
+++ b/tests/hosted/test_api.py
@@ -12,8 +12,8 @@
 from openapi_spec_validator import validate
 
 from lilacsill.hosted.api import openapi
-from tests.hosted.service import Fleet, Hosted, hosted, pool_body
 from tests.agent.loopback import Conversation
+from tests.hosted.service import Fleet, Hosted, hosted, pool_body
 
 
 def with_service(folder: Path, test: Callable[[Hosted, Fleet], Awaitable[None]]) -> None:
--- a/tests/hosted/test_turns.py
+++ b/tests/hosted/test_turns.py
@@ -20,8 +20,8 @@
 from lilacsill.hosted.worker import server as tenant_server
 from lilacsill.hosted.worker.process import FREEZE_AT, Worker, WorkerConfig
 from lilacsill.hosted.worker.tenancy import ANONYMOUS, refused_flow
-from tests.hosted.service import Fleet, call, facts
 from tests.agent.loopback import Conversation
+from tests.hosted.service import Fleet, call, facts
 
 QUIET, LOUD = 11, 12
 SECRETS = {uid: make_token(bytes([uid] * 6), bytes([uid] * 32)) for uid in (QUIET, LOUD)}
