--- a/lilacsill/emulator/__init__.py
+++ b/lilacsill/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet to rehearse on: job servers, discovery and clients on real sockets, troubles by script, and a judge."""
+"""Rehearse incidents on loopback: emulated job servers, discovery and clients, scripted faults, and a judge."""
--- a/lilacsill/emulator/models/__init__.py
+++ b/lilacsill/emulator/models/__init__.py
@@ -1,1 +1,1 @@
-"""What the emulated parts do, without I/O and on a clock from outside. Times are integer microseconds."""
+"""What the emulated parts do, without I/O and with the time from outside. Times are integer microseconds."""
--- a/lilacsill/emulator/virtual/__init__.py
+++ b/lilacsill/emulator/virtual/__init__.py
@@ -1,1 +1,1 @@
-"""Fleets in virtual time: the real decisions of many agents on links that fail by a script."""
+"""Fleets in virtual time: the real decisions of many agents, on links that fail by a script."""
