--- a/benchmarks/sampled.py
+++ b/benchmarks/sampled.py
@@ -18,7 +18,7 @@
 # The part by the innermost frame of the project; longest prefix first. What runs under none is the event loop's.
 PARTS = {
     "lilacsill/balancing/logic": "decide",
-    "lilacsill.balancing": "decide",
+    "lilacsill/balancing": "decide",
     "lilacsill/http1/message": "parse and build",
     "lilacsill/agent/inbound/validation": "validate",
     "lilacsill/agent/admission": "admit",
