--- a/lilacsill/mesh/store/__init__.py
+++ b/lilacsill/mesh/store/__init__.py
@@ -1,5 +1,5 @@
-"""The replicated store of the configuration.
+"""The replicated configuration store.
 
-Core machines replicate along a chain: changes enter at its head, reads are answered at its tail. The chain's view, a
-small list of members, is agreed on by a majority of the members of the view before.
+Core machines use chain replication: changes enter at the head of the chain, reads are answered by its tail. The view,
+an ordered list of members, is agreed on by a majority of the members of the previous view.
 """
--- a/lilacsill/mesh/store/__main__.py
+++ b/lilacsill/mesh/store/__main__.py
@@ -1,4 +1,4 @@
-"""Run one replica of the store, or an operator's command: `python -m lilacsill.mesh.store`."""
+"""Run one replica of the store, or an operator command: `python -m lilacsill.mesh.store [COMMAND]`."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run the command of the command line, or without one the replica. Return the exit status."""
+    """Run the command given on the command line, or the replica if there is none. Return the exit status."""
     if len(sys.argv) == 1:
         return run()
     from lilacsill.mesh.runtime.commands import run_command
--- a/lilacsill/mesh/store/accepted_changes.py
+++ b/lilacsill/mesh/store/accepted_changes.py
@@ -1,8 +1,8 @@
-"""Which content was accepted under which version of an item, so that no version stands for two contents. No I/O.
+"""The content that was accepted for each version of an item, so that no version gets two different contents. No I/O.
 
 The content of the current version is in the item itself. Each item carries a history of its earlier versions, which is
 therefore replicated, written to disk and repaired together with the item. The history keeps the `MAX_VERSIONS` highest
-versions; of those that it dropped it knows only the highest number.
+versions; of the versions dropped from it, only the highest number is kept.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 
 from lilacsill.mesh.runtime.messages import Item
 
-MAX_VERSIONS = 64  # in the history of one item: 16 bytes each
-TOMBSTONE_DIGEST = 0  # of a removal; the digest of a content is odd
-NONE_FORGOTTEN = -1  # below every version; on disk and on the wire it stands for "no version"
+MAX_VERSIONS = 64  # per item history, at 16 bytes each
+TOMBSTONE_DIGEST = 0  # digest of a removal; digests of contents are odd, so never 0
+NONE_FORGOTTEN = -1  # below every version; on disk and on the wire it means that no version was dropped
 
 _encoder = msgspec.json.Encoder(order="deterministic")
 
@@ -25,21 +25,21 @@
 class ChangeKind(Enum):
     """How a change relates to the current item."""
 
-    NEWER = auto()  # a higher version
-    ACCEPTED = auto()  # this version was accepted before with this content
-    CONFLICT = auto()  # this version was accepted before with another content
-    SUPERSEDED = auto()  # a lower version that was never accepted: it has no effect
-    FORGOTTEN = auto()  # a version older than the history: it may have been accepted
+    NEWER = auto()  # the version is higher than the current one
+    ACCEPTED = auto()  # this version was accepted before with the same content
+    CONFLICT = auto()  # this version was accepted before with different content
+    SUPERSEDED = auto()  # a lower version that was never accepted: the content of the item stays
+    FORGOTTEN = auto()  # a version older than the history: whether it was accepted is unknown
 
 
 class VersionHistory(msgspec.Struct, array_like=True):
-    """The earlier versions of one item, as they are on disk and on the wire."""
+    """The earlier versions of one item, as stored on disk and sent on the wire."""
 
-    digests: dict[int, int] = {}  # digest of the content, by version
+    digests: dict[int, int] = {}  # digest of the content by version
     forgotten: int = NONE_FORGOTTEN  # the highest version that was dropped from `digests`
 
     def add(self, version: int, digest: int) -> None:
-        """Add a version, and drop the lowest ones beyond the limit."""
+        """Add a version, and drop the lowest versions beyond `MAX_VERSIONS`."""
         self.digests[version] = digest
         while len(self.digests) > MAX_VERSIONS:
             lowest = min(self.digests)
@@ -51,21 +51,21 @@
 
 
 def history_of(item: Item | None) -> VersionHistory:
-    """Return the history that the item carries, empty where it has none."""
+    """Return the history that the item carries; empty if there is no item or no history."""
     if item is None or item.accepted is None:
         return VersionHistory()
     return _decoder.decode(item.accepted)
 
 
 def digest_of_content(content: Any) -> int:
-    """Return the digest of a JSON value, whatever the order of its keys; None stands for a removal."""
+    """Return the digest of a JSON value, independent of the order of its keys; None means a removal."""
     if content is None:
         return TOMBSTONE_DIGEST
     return xxh3_64_intdigest(_encoder.encode(_normalised(content))) | 1
 
 
 def _normalised(value: Any) -> Any:
-    """90.0 and 90 are one JSON number."""
+    """Replace integral floats by integers, since 90.0 and 90 are the same JSON number."""
     if isinstance(value, dict):
         return {key: _normalised(part) for key, part in value.items()}
     if isinstance(value, list):
@@ -80,7 +80,7 @@
 
 
 def classify_change(current: Item | None, version: int, content: Any) -> ChangeKind:
-    """Return how a change to this version and content relates to the current item."""
+    """Classify a change to this version and content relative to the current item."""
     if current is None or version > current.version:
         return ChangeKind.NEWER
     digest = digest_of_content(content)
@@ -94,7 +94,7 @@
 
 
 def with_new_version(current: Item | None, kind: str, name: str, version: int, seq: int, body: bytes | None) -> Item:
-    """Return the item after a newer change, with the current version added to its history."""
+    """Return the item that a newer change produces, with the current version added to its history."""
     if current is None:
         return Item(kind, name, version, seq, body)
     history = history_of(current)
@@ -110,7 +110,7 @@
 
 
 def without_history(items: list[Item]) -> list[Item]:
-    """Return the items as registries and proxies need them."""
+    """Return the items without their histories, which registries and proxies do not need."""
     return [
         item if item.accepted is None else Item(item.kind, item.name, item.version, item.seq, item.body)
         for item in items
--- a/lilacsill/mesh/store/call_form.py
+++ b/lilacsill/mesh/store/call_form.py
@@ -1,7 +1,7 @@
-"""The schema of a call as types of msgspec: a quick check of calls without a fault. No I/O.
+"""The schema of a call as msgspec types: a fast check for valid calls. No I/O.
 
-cerberus says what is wrong with a call and where, but takes 0.1 ms for each item, and some megabytes once it is loaded.
-Most calls have no fault: for these the types, which are made of the same schema, give the same verdict.
+cerberus reports what is wrong with a call and where, but takes 0.1 ms per item, and several megabytes once loaded. Most
+calls are valid: for these the types, which are generated from the same schema, give the same verdict.
 """
 
 from __future__ import annotations
@@ -16,8 +16,8 @@
 Rule = Mapping[str, Any]
 
 
-def has_valid_form(document: object) -> bool:
-    """Return whether a call that was read from JSON keeps the schema."""
+def matches_schema(document: object) -> bool:
+    """Return whether a call decoded from JSON conforms to the schema."""
     try:
         msgspec.convert(document, _CALL)
     except msgspec.ValidationError:
@@ -26,7 +26,7 @@
 
 
 def type_of(rule: Rule) -> Any:
-    """Return the type of the values that a rule of the schema allows."""
+    """Return the msgspec type of the values that a schema rule allows."""
     return _TYPES[rule["type"]](rule)
 
 
--- a/lilacsill/mesh/store/call_schema.py
+++ b/lilacsill/mesh/store/call_schema.py
@@ -1,10 +1,10 @@
-"""The schema of an operator's call, as cerberus checks it; `docs/api/openapi.yaml` comes first and says the same."""
+"""The cerberus schema of an operator's call; `docs/api/openapi.yaml` is authoritative, and both must agree."""
 
 from __future__ import annotations
 
 ROUTE_KINDS = ["read_only", "writes", "keyed_write"]
-MAX_KEY_CHARACTERS = 1024  # of a tenant's key, which is a field of a request's head
-MAX_NUMBER = 2**53  # above it a JSON number that is read as a float is no longer exact
+MAX_KEY_CHARACTERS = 1024  # of a tenant's key, which is sent in a request header field
+MAX_NUMBER = 2**53  # larger JSON numbers are no longer exact when decoded as floats
 
 _VERSION = {"type": "string", "required": True, "regex": r"r[0-9]{1,15}"}
 _TEXT = {"type": "string", "required": True, "minlength": 1, "maxlength": 256}
--- a/lilacsill/mesh/store/calls.py
+++ b/lilacsill/mesh/store/calls.py
@@ -1,6 +1,6 @@
-"""An operator's call, read from JSON: the changes that it names, one for each item. No I/O.
+"""Parse an operator's call from JSON into its changes, one per item. No I/O.
 
-cerberus is imported with the first call that has a fault: it says which one, and takes some megabytes.
+cerberus is imported for the first invalid call: it reports what is invalid, and takes several megabytes.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 from lilacsill.mesh.tenants.tenant import TENANT, encode_key
 
-from .call_form import has_valid_form
+from .call_form import matches_schema
 from .call_schema import CALL_SCHEMA
 from .rejections import (
     ContradictoryChanges,
@@ -45,7 +45,7 @@
     kind: str
     name: str
     version: int
-    body: Any  # the decoded JSON; None: the item is removed
+    body: Any  # the decoded JSON; None removes the item
 
 
 Call = list[Change]
@@ -54,23 +54,23 @@
 
 
 def parse_call(body: bytes) -> Result[Call, Rejection]:
-    """Read a call and check its form, without regard to the configuration in force."""
+    """Parse a call and check it on its own, independent of the configuration in force."""
     try:
         document = msgspec.json.decode(body)
     except msgspec.DecodeError as error:
         return Failure(NotJson(str(error)))
-    return _checked(document).bind(_changes)
+    return _check_schema(document).bind(_extract_changes)
 
 
 def match_of(route: dict[str, Any]) -> RouteMatch:
-    """Return what requests the route with this body matches."""
+    """Return the host and path prefix that the route with this body matches."""
     return RouteMatch(route["Host"].lower(), route["Rule"]["When"]["PathPrefix"])
 
 
-def _checked(document: Any) -> Result[dict[str, Any], Rejection]:
+def _check_schema(document: Any) -> Result[dict[str, Any], Rejection]:
     if not isinstance(document, dict):
         return Failure(NotAnObject())
-    if has_valid_form(document):
+    if matches_schema(document):
         return Success(document)
     validator = _load_validator()
     if validator.validate(document, normalize=False):
@@ -83,14 +83,14 @@
     if _validator is None:
         from cerberus import TypeDefinition, Validator
 
-        # By itself cerberus takes true and false for integers.
+        # By default cerberus accepts true and false as integers.
         types = {**Validator.types_mapping, "integer": TypeDefinition("integer", (int,), (bool,))}
         _validator = type("CallValidator", (Validator,), {"types_mapping": types})(CALL_SCHEMA)
     return _validator
 
 
 def _first_violation(errors: Any) -> SchemaViolation:
-    """The first one of cerberus' nested maps and lists of errors."""
+    """Return the first of cerberus' nested dictionaries and lists of errors."""
     path = []
     while isinstance(errors, (dict, list)) and errors:
         if isinstance(errors, list):
@@ -102,7 +102,7 @@
     return SchemaViolation(".".join(path), str(errors))
 
 
-def _changes(document: dict[str, Any]) -> Result[Call, Rejection]:
+def _extract_changes(document: dict[str, Any]) -> Result[Call, Rejection]:
     replaced, removed = document.get("ReplaceItems", {}), document.get("RemoveItems", {})
     routes = [
         {"Host": listener["Host"], "Rule": rule}
@@ -114,7 +114,7 @@
         if problem:
             return Failure(InvalidTarget(route["Rule"]["Name"], problem))
     limits = [replaced["Limits"]] if "Limits" in replaced else []
-    # Tenants come first: a proxy that has a part of the configuration must not take it for one without tenants.
+    # Tenants come first: a proxy that has received part of the configuration must not conclude that there are none.
     return _without_duplicates(
         [
             *(Change(TENANT, tenant["Name"], _version(tenant), tenant) for tenant in replaced.get("Customers", [])),
@@ -133,12 +133,12 @@
 
 
 def _version(item: dict[str, Any]) -> int:
-    """The number in a `ConfigVersion` such as "r12"."""
+    """Return the number in a `ConfigVersion` such as "r12"."""
     return int(item["ConfigVersion"][1:])
 
 
 def _target_problem(target: dict[str, Any]) -> str:
-    """What is wrong with where a route leads; empty: nothing."""
+    """Return what is wrong with the target of a route; empty if it is valid."""
     if ("TargetService" in target) == ("TrafficSplit" in target):
         return "Then: must name either TargetService or TrafficSplit"
     if "TrafficSplit" in target and sum(part["Share"] for part in target["TrafficSplit"]) <= 0:
@@ -147,7 +147,7 @@
 
 
 def _without_duplicates(changes: Iterable[Change]) -> Result[Call, Rejection]:
-    """One change for each item. The same change may be named more than once."""
+    """Return one change per item, or a rejection if changes contradict each other. Identical changes are merged."""
     by_item: dict[tuple[str, str], Change] = {}
     owners = _Owners()
     for change in changes:
@@ -161,14 +161,14 @@
 
 
 class _Owners:
-    """What only one of the items that a call sets may have."""
+    """The owners of the matches and keys that a call sets. No two items may have the same one."""
 
     def __init__(self) -> None:
         self._routes: dict[RouteMatch, str] = {}
-        self._tenants: dict[bytes, str] = {}  # by key
+        self._tenants: dict[bytes, str] = {}  # by encoded key
 
     def add(self, change: Change) -> Rejection | None:
-        """Add what a change sets, unless another item has it."""
+        """Add the match or keys that a change sets. Return a rejection if another item of the call has one of them."""
         if change.body is None:
             return None
         if change.kind == ROUTE:
--- a/lilacsill/mesh/store/chain.py
+++ b/lilacsill/mesh/store/chain.py
@@ -1,8 +1,8 @@
-"""Chain replication: one member's part. No I/O.
+"""Chain replication at one member. No I/O.
 
-The head numbers the changes. Each member has a change on its own disk before it sends it to its successor, so a change
-that the tail has on its disk is committed. A reply travels back from the tail to the head. (van Renesse and Schneider,
-"Chain Replication for Supporting High Throughput and Availability", OSDI 2004.)
+The head assigns sequence numbers to changes. Each member writes a change to its own disk before sending it to its
+successor, so a change on the tail's disk is committed. The acknowledgement travels back from the tail to the head.
+(van Renesse and Schneider, "Chain Replication for Supporting High Throughput and Availability", OSDI 2004.)
 """
 
 from __future__ import annotations
@@ -21,25 +21,25 @@
 
 
 class ChainObserver(Protocol):
-    """The parts of the store that act on the progress of replication."""
+    """The parts of the store that react to the progress of replication."""
 
     def on_commit(self) -> None:
-        """More changes may be committed."""
+        """Called when more changes may be committed."""
 
     def on_writable(self) -> None:
-        """`Chain.may_append` may have become true."""
+        """Called when `Chain.may_append` may have become true."""
 
     def on_learner_synced(self) -> None:
-        """The learner behind this tail has everything that the tail has."""
+        """Called when the learner behind this tail has everything that the tail has."""
 
 
 class Chain:
-    """Replication at one member.
+    """The replication state of one member, and its links to both neighbours.
 
     Attributes:
-        successor: The link to the next member, or from the tail to a learner.
-        predecessor: The link from the member before this one.
-        pending_saves: Saves of items that are not on this disk yet.
+        successor: The link to the next member of the chain, or, at the tail, to a learner.
+        predecessor: The link from the previous member of the chain.
+        pending_saves: The number of saves of items that are not on this disk yet.
     """
 
     def __init__(self, replica: Replica, observer: ChainObserver) -> None:
@@ -58,9 +58,9 @@
 
     @property
     def committed(self) -> int | None:
-        """Sequence number up to which all members have everything. None: not known.
+        """Sequence number up to which all members of the chain have all changes on disk; None if unknown.
 
-        The tail waits for no learner, and a learner for nobody.
+        The tail does not wait for a learner, and a learner does not wait for any machine.
         """
         replica = self._replica
         if not replica.complete:
@@ -77,10 +77,10 @@
 
     @property
     def may_append(self) -> bool:
-        """Whether this member is the head and may give out the next sequence number.
+        """Whether this member is the head and may assign the next sequence number.
 
-        It then has everything that was acknowledged, since its successor has no more than it has. What is being saved,
-        perhaps since an earlier view, must be on disk first.
+        It then has every acknowledged change, since its successor has confirmed that it holds no more than the head.
+        Pending saves, possibly from an earlier view, must be on disk first.
         """
         replica = self._replica
         if not replica.is_head or not replica.complete or self.pending_saves:
@@ -89,25 +89,25 @@
 
     @property
     def repairs(self) -> list[str]:
-        """What was found to differ at the successor and was repaired, the latest last, for operators."""
+        """Descriptions of the latest repairs of successors, newest last, for operators."""
         return self.successor.repairs
 
-    # Requests of other parts
+    # Requests from other parts
 
     def replicate(self, items: list[Item], seq: int, callback: CommitCallback) -> None:
-        """Save the head's own changes, apply them and send them to the successor.
+        """Save new changes at the head, apply them and send them to the successor.
 
         Args:
             items: The changes, in the order of their sequence numbers.
             seq: The sequence number of the last of them.
-            callback: Called once: with True when all members have the changes, with False if that cannot be known.
+            callback: Called once: with True when all members have the changes, with False if that is unknown.
         """
         view_number, state = self._replica.view.number, self._replica.state
         floor = state.tombstone_floor_after(items)
 
         def on_disk() -> None:
             state.apply(items, seq, floor)
-            # What is on this disk is part of the state, also where the view has changed meanwhile.
+            # Changes on this disk are part of the state even if the view has changed meanwhile.
             self.successor.advance()
             if view_number != self._replica.view.number:
                 callback(False)
@@ -118,7 +118,7 @@
         self.save_changes(items, (), facts.sequence(seq), floor, on_disk)
 
     def wait_for_commit(self, seq: int, callback: CommitCallback) -> None:
-        """Call back, with True, once all members have everything up to `seq` on disk; with False at a new view."""
+        """Call back with True when all members have all changes up to `seq` on disk, or with False at a new view."""
         committed = self.committed
         if committed is not None and committed >= seq:
             callback(True)
@@ -126,11 +126,11 @@
         self._waiters.add(seq, callback)
 
     def resync(self, address: str, view_number: int, synced: bool) -> None:
-        """Start replication to the successor anew if that machine says that it is not synced."""
+        """Restart replication to the successor if it is the machine at `address` and reported that it is not synced."""
         self.successor.resync(address, view_number, synced)
 
     def sync_learner(self, learner: Member | None) -> None:
-        """Choose, at the tail, the learner to send everything to from now on. No commit waits for it."""
+        """Set the learner that the tail sends all changes to; None: no learner. Commits do not wait for it."""
         if learner == self._replica.learner:
             return
         self._replica.learner = learner
@@ -143,19 +143,19 @@
         self._waiters.fail_all()
         self.successor.advance()
 
-    # The interface for the two links
+    # Interface for the two links
 
     def save_changes(
         self, items: Iterable[Item], ranges: Iterable[int], changed_facts: facts.Facts, tombstone_floor: int, done: Done
     ) -> None:
-        """Write items and facts to disk together; `done` is called when they are there.
+        """Write items and facts to disk atomically.
 
         Args:
             items: The items to write.
             ranges: Ranges of names in which all other items are deleted.
-            changed_facts: The facts to write. The tombstone floor is added to them if it has changed.
+            changed_facts: The facts to write; the tombstone floor is added to them if it has changed.
             tombstone_floor: Tombstones up to this sequence number are deleted.
-            done: Called in the event loop.
+            done: Called in the event loop once everything is on disk.
         """
         save = Save(items, ranges, changed_facts)
         if tombstone_floor != self._replica.state.tombstone_floor:
@@ -173,22 +173,22 @@
         self._environment.save(save, on_saved)
 
     def advance_successor(self) -> None:
-        """Send the successor what it lacks."""
+        """Send the successor the changes that it lacks."""
         self.successor.advance()
 
     def complete_waiters(self) -> None:
-        """Call back those that wait for what is committed by now."""
+        """Call back the waiters whose changes are committed."""
         self._waiters.complete(self.committed)
         self._observer.on_commit()
 
     def on_successor_acknowledged(self) -> None:
-        """Take note that more changes may be committed."""
+        """Complete the waiters whose changes this acknowledgement has committed."""
         self.complete_waiters()
 
     def on_successor_confirmed(self) -> None:
-        """Let the head append."""
+        """Notify the observer that the head may append."""
         self._observer.on_writable()
 
     def on_learner_synced(self) -> None:
-        """Pass the event on to the observer."""
+        """Notify the observer."""
         self._observer.on_learner_synced()
--- a/lilacsill/mesh/store/cluster_monitor.py
+++ b/lilacsill/mesh/store/cluster_monitor.py
@@ -1,4 +1,4 @@
-"""What one member knows of all machines at one moment, as the input to decisions on the next view. No I/O."""
+"""A snapshot of what one member knows about all machines, as input to the decision on the next view. No I/O."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class FaultTolerance(msgspec.Struct, frozen=True):
-    """How much may be lost at once without a loss of data or service."""
+    """How many machines and failure domains may fail at once without loss of data or service."""
 
     machines: int
     failure_domains: int  # zones or regions
 
     @property
     def target_size(self) -> int:
-        """How many members survive the loss of so many machines with a majority."""
+        """The number of members that keeps a majority when `machines` of them fail."""
         return 2 * self.machines + 1
 
 
@@ -31,12 +31,12 @@
         self._replica, self._detector, self._tolerance = replica, detector, tolerance
 
     def state(self) -> ClusterState:
-        """Return what is known now."""
+        """Return the current snapshot."""
         view = self._replica.view
         outside = [member for member in self.reachable_outside_chain() if member not in view.members]
         machines = [self._machine(member) for member in (*view.members, *outside)]
         if self._tolerance.failure_domains:
-            # All machines are members, so that those of any one failure domain are a minority.
+            # All live machines become members, so that the machines of any one failure domain are a minority.
             target_size = sum(machine.alive for machine in machines)
         else:
             target_size = self._tolerance.target_size
@@ -44,9 +44,9 @@
         return ClusterState(view, machines, self._tolerance.machines + 1, target_size, known_machines)
 
     def reachable_outside_chain(self) -> list[Member]:
-        """Return the machines that replied recently and are not in the chain."""
+        """Return the machines outside the chain that replied recently."""
         chain = self._replica.view.chain
-        return [member for member in self._detector.recent_senders() if member not in chain]
+        return [member for member in self._detector.recent_responders() if member not in chain]
 
     def _machine(self, member: Member) -> MachineState:
         replica, detector = self._replica, self._detector
@@ -57,7 +57,7 @@
             alive, disk_lost = detector.is_alive(member), detector.has_lost_disk(member)
             return MachineState(member, alive, None, disk_lost=disk_lost)
         if reply.view.number != replica.view.number:
-            complete = None  # in this view it has not said
+            complete = None  # unknown: its last reply is from another view
         elif member in replica.view.chain:
             complete = reply.complete
         else:
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators: check a call, export, import, history, verify."""
+"""The operator commands of the store: check a call, export, import, history, verify."""
 
 from __future__ import annotations
 
@@ -19,11 +19,11 @@
 IMPORT_ATTEMPTS, RETRY_DELAY_S = 5, 0.5
 
 
-def configuration(address: str) -> ConfigUpdate:
-    """Return all items as they are in force.
+def fetch_configuration(address: str) -> ConfigUpdate:
+    """Fetch all items of the configuration in force.
 
     Raises:
-        RequestFailed: Nobody answers, or no member that holds a read lease was reached.
+        RequestFailed: The process did not answer, or no member that holds a read lease was reached.
     """
     answer = request(address, Follow(0, 0, 0))
     if not isinstance(answer, FollowReply) or answer.update is None:
@@ -35,11 +35,11 @@
     """python -m lilacsill.mesh.store COMMAND"""  # noqa: D400, D415  shown as the help of the command line
 
     def check(self, path: str, against: str = "") -> None:
-        """Check a call (a JSON file as an operator would send it), alone or against the state --against HOST:PORT."""
+        """Check a call (a JSON file) on its own, or against the configuration of the store at --against HOST:PORT."""
         state = ConfigState()
         if against:
-            present = configuration(against)
-            state.apply(present.items, present.seq)
+            current = fetch_configuration(against)
+            state.apply(current.items, current.seq)
         parsed = calls.parse_call(_read_file(path))
         if isinstance(parsed, Failure):
             raise CommandFailed(f"{path}: {parsed.failure().message}")
@@ -50,14 +50,14 @@
             print(f"{'drops' if item.body is None else 'sets'} {item.kind} {item.name} r{item.version}")
 
     def export(self, address: str) -> None:
-        """Print the newest configuration, complete, as the tail of the chain has it."""
+        """Print the complete current configuration, as the tail of the chain has it."""
         answer = request(address, Read(0))
         if not isinstance(answer, Reply) or answer.status != 200:
-            raise RequestFailed(address, "no answer that is sure")
+            raise RequestFailed(address, "no answer that a majority of the store confirmed")
         print(answer.body.decode())
 
     def _import(self, address: str, path: str) -> None:
-        """Send what `export` printed (a file) as one call: all or nothing; what is known or older changes nothing."""
+        """Send the output of `export` (a file) as one atomic call; known and older versions of items change nothing."""
         try:
             exported = json.loads(_read_file(path))
         except json.JSONDecodeError as error:
@@ -70,17 +70,19 @@
                 return
             if isinstance(answer, Reply) and answer.status < 500:
                 raise CommandFailed(f"{path}: {json.loads(answer.body)['Message']}")
-            time.sleep(RETRY_DELAY_S)  # until the next view is agreed on; calls are idempotent
-        raise RequestFailed(address, f"no clear answer after {IMPORT_ATTEMPTS} tries; it may be taken all the same")
+            time.sleep(RETRY_DELAY_S)  # the store may be agreeing on a new view; calls are idempotent
+        raise RequestFailed(
+            address, f"outcome unknown after {IMPORT_ATTEMPTS} attempts; the import may still take effect"
+        )
 
     def history(self, address: str, name: str = "") -> None:
-        """Print the items, dropped ones too, in the order of their last change; of one name where it is given."""
-        for item in sorted(configuration(address).items, key=lambda item: item.seq):
+        """Print all items, or those named NAME, including removed ones, in the order of their last change."""
+        for item in sorted(fetch_configuration(address).items, key=lambda item: item.seq):
             if name in ("", item.name):
                 print(_history_line(item))
 
     def verify(self, address: str) -> None:
-        """Ask every machine of the chain; 1 where they do not stand together."""
+        """Query every machine of the chain; exit status 1 if one is unreachable, not synced or different."""
         first = json.loads(fetch_status(address))
         problems = []
         for member in first["members"]:
@@ -123,12 +125,12 @@
 
 
 def _difference(first: dict[str, Any], replica: dict[str, Any]) -> str:
-    """Return in what a replica differs from the one that was asked first; empty: in nothing."""
+    """Return how a replica differs from the one that was queried first; empty if it does not."""
     if replica["view"] != first["view"] or not replica["synced"]:
         return f"view {replica['view']}, {_synced_text(replica)}"
     if replica["seq"] == first["seq"] and replica["digest"] != first["digest"]:
-        return f"holds something else than {first['address']} (it is repaired within 5 s)"
+        return f"content differs from that of {first['address']} at seq {replica['seq']} (it is repaired within 5 s)"
     return ""
 
 
-setattr(Store, "import", Store._import)  # no name for a method
+setattr(Store, "import", Store._import)  # `import` is a keyword, so no method can be defined with this name
--- a/lilacsill/mesh/store/commit_check.py
+++ b/lilacsill/mesh/store/commit_check.py
@@ -1,4 +1,4 @@
-"""Whether what all of the chain have on disk may be acknowledged. No I/O."""
+"""Decide whether changes that all members of the chain have on disk may be acknowledged. No I/O."""
 
 from __future__ import annotations
 
@@ -7,27 +7,28 @@
 from .quorum import confirm_view
 from .replica import Replica
 
-Checked = Callable[[bool], None]
+CheckCallback = Callable[[bool], None]
 
 
 class CommitCheck:
-    """The check at one member, before it acknowledges a change or answers from its own state."""
+    """The check that one member makes before it acknowledges a change or answers from its own state."""
 
     def __init__(self, replica: Replica, has_too_few_copies: Callable[[], bool]) -> None:
-        """`has_too_few_copies`: whether changes are on too few disks as long as a learner has not joined the chain."""
+        """`has_too_few_copies`: returns whether changes are on too few disks until a learner has joined the chain."""
         self._replica = replica
         self._has_too_few_copies = has_too_few_copies
 
-    def check_copies(self, is_on_chain: bool, confirm: bool, done: Checked) -> None:
-        """Acknowledge what all of the chain have on disk only if these are enough disks.
+    def check_copies(self, is_on_chain: bool, confirm: bool, done: CheckCallback) -> None:
+        """Decide whether a change may be acknowledged: all members of the chain have it, and these are enough disks.
 
-        After losses beyond what may be lost the chain may be short. A change that only a minority of the view has on
-        disk is acknowledged after a majority has confirmed the view, and not before a machine has joined that can.
+        After more losses than the store tolerates, the chain may be short. A change that only a minority of the view
+        has on disk is acknowledged only after a majority has confirmed the view, and, if a live machine can join the
+        chain, only after it has joined.
 
         Args:
-            is_on_chain: Whether all of the chain have it on disk.
-            confirm: Whether the view must be confirmed whatever the length of the chain.
-            done: Called with whether it may be acknowledged.
+            is_on_chain: Whether all members of the chain have the change on disk.
+            confirm: Whether the view must be confirmed regardless of the length of the chain.
+            done: Called with whether the change may be acknowledged.
         """
         view = self._replica.view
         if not is_on_chain or self._has_too_few_copies():
@@ -37,6 +38,6 @@
         else:
             done(True)
 
-    def confirm(self, done: Checked) -> None:
-        """Ask a majority of the view: an answer that depends on the state of this member alone needs one."""
+    def confirm(self, done: CheckCallback) -> None:
+        """Have a majority confirm the view: an answer that depends on the state of this member alone requires it."""
         confirm_view(self._replica, done)
--- a/lilacsill/mesh/store/digests.py
+++ b/lilacsill/mesh/store/digests.py
@@ -1,7 +1,7 @@
 """Digests over ranges of names, for anti-entropy. No I/O.
 
 Two copies compare one digest for each range, and only ranges that differ are sent again. The digest of a range is the
-exclusive or of the checksums of its items (xxh3, 64 bits), so that a change costs two hashes and no walk over items.
+exclusive or of the checksums of its items (xxh3, 64 bits), so that a change costs two hashes and no scan of the items.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 def checksum_of(item: Item) -> int:
-    """Return a checksum of all fields of an item; 63 bits, since a column of sqlite has no more.
+    """Return a checksum of all fields of an item; 63 bits, since integers of sqlite are signed 64-bit numbers.
 
-    An item without a record of accepted versions has the checksum that it had before there were such records, so that
-    files of that time stay valid.
+    For an item without a version history the checksum is the same as before histories existed, so that files written
+    by those versions stay valid.
     """
     fields = (item.kind, item.name, item.version, item.seq, item.body)
     all_fields = fields if item.accepted is None else (*fields, item.accepted)
@@ -34,12 +34,12 @@
 
 
 def digest_of(range_digests: list[int]) -> int:
-    """Return one digest of all ranges."""
+    """Combine the digests of all ranges into one."""
     return xxh3_64_intdigest(_encoder.encode(range_digests))
 
 
 def differing_ranges(digests: Iterable[int], other_digests: Iterable[int]) -> list[int]:
-    """Return the numbers of the ranges that differ; those of all ranges if the other copy sent no digests."""
+    """Return the numbers of the ranges that differ; all numbers if the other copy did not send a digest of each."""
     pairs = list(zip(digests, other_digests, strict=False))
     if len(pairs) != RANGE_COUNT:
         return list(range(RANGE_COUNT))
--- a/lilacsill/mesh/store/disk.py
+++ b/lilacsill/mesh/store/disk.py
@@ -1,15 +1,15 @@
-"""The disk of one replica: sqlite3 in a thread of its own; saves that wait for a commit share the next one.
+"""The disk of one replica: sqlite3 in its own thread; all saves that are pending at a commit share the next one.
 
-Pragmas: WAL (one sync for each commit), synchronous FULL (a commit is on disk before it is reported), locking EXCLUSIVE
-(no file of shared memory). Each row has a checksum, so that corrupt rows are found at the next start. A file that
-cannot be read or has a corrupt row is moved away, and the replica starts with an empty disk, as a new machine. A disk
-that fails at the start for another reason, for example because it is full, is retried, and its file stays in place.
+Pragmas: WAL (one sync per commit), synchronous FULL (a commit is on disk before it is reported), locking EXCLUSIVE (no
+shared-memory file). Each row has a checksum, so that corrupt rows are found at the next start. A file that cannot be
+read or has a corrupt row is renamed, and the replica starts with an empty disk, as a new machine does. If the disk
+fails at the start for another reason, for example because it is full, opening is retried, and the file stays in place.
 
-The safety of the chain rests on this: saves are committed in the order of the calls, and after a loss of power a prefix
-of them is on disk, each complete or missing.
+The safety of the chain depends on this guarantee: saves are committed in the order of the calls, and after a power loss
+a prefix of them is on disk, each save complete or absent.
 
-Bounds: the write-ahead log is truncated to `MAX_LOG_BYTES` after each checkpoint. The file keeps the pages of deleted
-items for new ones, so it is as large as the largest state has been. Of files that were moved away the last one is kept.
+Bounds: the write-ahead log is truncated to `MAX_LOG_BYTES` after each checkpoint. The file reuses the pages of deleted
+items, so it is as large as the largest state so far. Only the last of the renamed files is kept.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from .operation_records import OPERATION, highest_floor
 
 FILE_NAME = "store.db"
-RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 0.8  # of a failed commit; the delay doubles each time
-START_TIMEOUT_S = 8.0  # a disk that fails at the start is retried for so long
+RETRY_DELAY_S, MAX_RETRY_DELAY_S = 0.05, 0.8  # after a failed commit; the delay doubles each time
+START_TIMEOUT_S = 8.0  # a disk that fails at the start is retried for this long
 MAX_LOG_BYTES = 4 << 20
-FORMAT = 2  # of the file, as its user_version
+FILE_FORMAT = 2  # stored as the user_version of the file
 SCHEMA = f"""
-pragma user_version={FORMAT};
+pragma user_version={FILE_FORMAT};
 create table if not exists item (kind text, name text, version integer, seq integer, body blob, accepted blob,
                                  sum integer, primary key (kind, name)) without rowid;
 create table if not exists fact (name text primary key, value blob) without rowid;
@@ -46,7 +46,7 @@
 
 
 class DiskError(OSError):
-    """The file cannot be used, and must not be moved away. The text names the file and the reason."""
+    """The file cannot be used and must stay in place. The text names the file and the reason."""
 
 
 class PendingSave(msgspec.Struct, frozen=True):
@@ -57,10 +57,10 @@
 
 
 class Disk:
-    """Owner of the file.
+    """The database file of one replica, and the thread that writes it.
 
     Attributes:
-        items: The items that were on disk at the start. The owner of the disk may clear them.
+        items: The items that were on disk at the start. The caller may clear the list to free memory.
         facts: The facts that were on disk at the start.
     """
 
@@ -68,11 +68,12 @@
         """Open or create the file.
 
         Raises:
-            DiskError: The disk fails for too long, or the file is of a later format.
+            DiskError: The disk still fails after `START_TIMEOUT_S`, or the file has a newer format.
         """
         self._reactor, self._path = reactor, os.path.join(folder, FILE_NAME)
-        self._queue: SimpleQueue[PendingSave | None] = SimpleQueue()  # None: end the thread
-        self._pending_since: int | None = None  # when the oldest of the pending saves was asked for
+        self._queue: SimpleQueue[PendingSave | None] = SimpleQueue()  # None ends the thread
+        # Microseconds: when the oldest pending save was requested or, if later, when the last commit was reported.
+        self._pending_since: int | None = None
         self._pending_count = 0
         self.items: list[Item] = []
         self.facts: dict[str, bytes] = {}
@@ -81,20 +82,20 @@
         self._thread = Thread(target=self._commit_saves, daemon=True)
         self._thread.start()
 
-    # The start
+    # Start
 
     def _open_with_retries(self) -> sqlite3.Connection:
         deadline = time.monotonic() + START_TIMEOUT_S
         while True:
             try:
                 return self._open()
-            except sqlite3.OperationalError as error:  # the disk is full, or input or output fails
+            except sqlite3.OperationalError as error:  # disk full, or I/O error
                 if time.monotonic() >= deadline:
-                    raise DiskError(f"{self._path}: {error}") from error
-                log.warning("%s: %s", self._path, error)
+                    raise DiskError(f"{self._path}: cannot be opened within {START_TIMEOUT_S} s: {error}") from error
+                log.warning("%s: cannot be opened; trying again in %s s: %s", self._path, MAX_RETRY_DELAY_S, error)
                 time.sleep(MAX_RETRY_DELAY_S)
             except sqlite3.DatabaseError as error:
-                log.warning("%s cannot be read and is moved away: %s", self._path, error)
+                log.warning("%s cannot be read; renaming it to *.bad and starting empty: %s", self._path, error)
                 self._move_away()
 
     def _open(self) -> sqlite3.Connection:
@@ -117,47 +118,49 @@
         db.execute("pragma synchronous=full")
         db.execute(f"pragma journal_size_limit={MAX_LOG_BYTES}")
         db.execute("pragma cache_size=-256")
-        # A statement that changes many rows keeps a journal to undo them. As a temporary file it could not be opened
-        # where descriptors have run out.
+        # A statement that changes many rows keeps an undo journal. A temporary file for it could not be opened when
+        # the process has run out of file descriptors.
         db.execute("pragma temp_store=memory")
         db.create_function("range_of", 2, range_of, deterministic=True)
 
     def _prepare_schema(self, db: sqlite3.Connection) -> None:
         file_format = db.execute("pragma user_version").fetchone()[0]
-        if file_format > FORMAT:
-            raise DiskError(f"{self._path}: is of format {file_format}; this program reads up to {FORMAT}")
-        if file_format < FORMAT and db.execute("select 1 from sqlite_master where name = 'item'").fetchone():
+        if file_format > FILE_FORMAT:
+            raise DiskError(
+                f"{self._path}: file format {file_format} is newer than {FILE_FORMAT}, the latest supported one"
+            )
+        if file_format < FILE_FORMAT and db.execute("select 1 from sqlite_master where name = 'item'").fetchone():
             self._upgrade(db, file_format)
         db.executescript(SCHEMA)
 
     @staticmethod
     def _upgrade(db: sqlite3.Connection, file_format: int) -> None:
-        """Upgrade a file in one transaction. Format 0 had no checksums, format 1 no records of accepted versions."""
+        """Upgrade a file in one transaction. Format 0 had no checksums, format 1 no version histories."""
         db.create_function("checksum_of", 5, lambda *row: checksum_of(Item(*row)), deterministic=True)
         db.execute("begin immediate")
         if file_format == 0:
             db.execute("alter table item add column sum integer")
             db.execute("update item set sum = checksum_of(kind, name, version, seq, body)")
         db.execute("alter table item add column accepted blob")
-        db.execute(f"pragma user_version={FORMAT}")
+        db.execute(f"pragma user_version={FILE_FORMAT}")
         db.execute("commit")
 
     def _load(self, db: sqlite3.Connection) -> None:
         if db.execute("pragma quick_check").fetchone()[0] != "ok":
-            raise sqlite3.DatabaseError("quick_check failed")
+            raise sqlite3.DatabaseError("pragma quick_check found corruption")
         self.items = []
         for *row, checksum in db.execute("select kind, name, version, seq, body, accepted, sum from item"):
             item = Item(*row)
             if checksum_of(item) != checksum:
-                raise sqlite3.DatabaseError(f"{item.kind} {item.name} is not what was written")
+                raise sqlite3.DatabaseError(f"checksum mismatch in item {item.kind} {item.name}")
             self.items.append(item)
         self.facts = dict(db.execute("select name, value from fact"))
 
     def _move_away(self) -> None:
-        """Rename the file and what belongs to it.
+        """Rename the file, and then its log, shared-memory file and journal.
 
-        The file goes first, and for good: without its log it would be an older state that can be read. sqlite deletes a
-        log without its file.
+        The rename of the file comes first and is synced: without its log, the file would be a readable older state,
+        whereas sqlite deletes a log that has no file.
         """
         for ending in ("", "-wal", "-shm", "-journal"):
             if os.path.exists(self._path + ending):
@@ -171,21 +174,21 @@
         finally:
             os.close(descriptor)
 
-    # In the thread of the event loop
+    # Called in the thread of the event loop
 
     def save(self, save: Save, done: Done) -> None:
-        """Queue a save and return at once; `done` is called in the event loop when all of it is on disk."""
+        """Queue a save and return at once; `done` is called in the event loop once all of it is on disk."""
         if self._pending_since is None:
             self._pending_since = self._reactor.now()
         self._pending_count += 1
         self._queue.put(PendingSave(save, done))
 
     def oldest_save_age_us(self) -> int:
-        """Return for how long the oldest save has been pending; 0: none is."""
+        """Return for how many microseconds the oldest save has been pending; 0 if there is none."""
         return 0 if self._pending_since is None else self._reactor.now() - self._pending_since
 
     def close(self) -> None:
-        """Complete what is pending, end the thread and close the file."""
+        """Complete the pending saves, end the thread and close the file."""
         self._queue.put(None)
         self._thread.join()
         self._db.close()
@@ -196,7 +199,7 @@
         for callback in callbacks:
             callback()
 
-    # In the thread of the disk
+    # Run in the thread of the disk
 
     def _commit_saves(self) -> None:
         while (first := self._queue.get()) is not None:
@@ -208,13 +211,13 @@
                     break
                 batch.append(pending)
             delay_s = RETRY_DELAY_S
-            while not self._commit(batch):  # nothing is reported until the disk has taken it
+            while not self._commit(batch):  # callbacks are called only after the commit
                 time.sleep(delay_s)
                 delay_s = min(2 * delay_s, MAX_RETRY_DELAY_S)
             self._reactor.call_from_thread(self._on_committed, [pending.done for pending in batch])
 
     def _commit(self, batch: list[PendingSave]) -> bool:
-        """Write all saves in one transaction. Return whether the disk has taken it."""
+        """Write all saves in one transaction. Return whether the commit succeeded."""
         db = self._db
         try:
             db.execute("begin immediate")
@@ -223,7 +226,7 @@
             db.execute("commit")
             return True
         except sqlite3.Error as error:
-            log.warning("the disk rejects a commit: %s", error)
+            log.warning("%s: commit of %d saves failed and will be retried: %s", self._path, len(batch), error)
             self._roll_back(db)
             return False
 
--- a/lilacsill/mesh/store/disk_health.py
+++ b/lilacsill/mesh/store/disk_health.py
@@ -1,6 +1,6 @@
-"""Whether this machine's disk completes its writes in time, and what the machine asks of the others if not. No I/O.
+"""Detects whether this machine's disk completes writes in time, and requests a departure if it does not. No I/O.
 
-A disk that hangs blocks the chain. Its machine therefore asks to be removed from the chain until the disk goes on.
+A disk that hangs blocks the chain. Its machine therefore asks to be removed from the chain until the disk recovers.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from .replica import Replica
 
 STALLED_AFTER_US = 600_000  # age of the oldest pending write at which the disk counts as stalled
-SLOW_AFTER_US = 150_000  # age at which it may be about to stall, so that no lease should delay the next view
+SLOW_AFTER_US = 150_000  # age at which the disk may be about to stall; no lease is requested, to not delay a new view
 
 
 def is_disk_stalled(environment: ReplicaEnvironment) -> bool:
-    """Return whether the disk hangs."""
+    """Return whether the oldest pending write is older than `STALLED_AFTER_US`."""
     return environment.oldest_save_age_us() > STALLED_AFTER_US
 
 
 def is_disk_fast(environment: ReplicaEnvironment) -> bool:
-    """Return whether the disk completes writes as usual."""
+    """Return whether every pending write is younger than `SLOW_AFTER_US`."""
     return environment.oldest_save_age_us() < SLOW_AFTER_US
 
 
 def requested_departure(replica: Replica) -> Departure:
-    """Return whether this machine asks to be removed from the chain, and why."""
+    """Return why this machine asks to be removed from the chain; `Departure.NONE` if it does not."""
     by_disk = Departure.DISK_STALLED if is_disk_stalled(replica.environment) else Departure.NONE
     return max(replica.departure, by_disk)
--- a/lilacsill/mesh/store/draft.py
+++ b/lilacsill/mesh/store/draft.py
@@ -1,7 +1,7 @@
 """A configuration with changes that are not yet applied to it. No I/O.
 
-A draft leaves its base as it is, so changes can be tried and dropped. Drafts can be stacked. Each operation costs as
-much as the changes it is about: what they do not name is looked up in the base.
+A draft does not modify its base, so changes can be tried and discarded. Drafts can be stacked. The cost of an operation
+depends on the changes it concerns, not on the size of the base: all else is looked up in the base.
 """
 
 from __future__ import annotations
@@ -19,48 +19,48 @@
 
 
 class Base(Protocol):
-    """A configuration that changes are tried on: the state of a copy, or another draft."""
+    """The configuration that a draft changes: the state of a replica, or another draft."""
 
     seq: int  # sequence number of the last change
     size: int  # bytes
 
     def item(self, kind: str, name: str) -> Item | None:
-        """Return the item or its tombstone; None: the name was never used."""
+        """Return the item or its tombstone; None if there is neither."""
 
     def route_at(self, match: RouteMatch) -> str | None:
-        """Return the name of the route with this match."""
+        """Return the name of the route with this match; None if there is none."""
 
     def reference_count(self, service: str) -> int:
         """Return how many routes refer to the service."""
 
     def key_owner(self, key: bytes) -> str | None:
-        """Return the name of the tenant with this key."""
+        """Return the name of the tenant with this key; None if there is none."""
 
 
 Conflict = MatchTaken | KeyTaken
 
 
 class Draft:
-    """A base, and items that take the place of its own."""
+    """A base, and the items that replace or extend its items."""
 
     def __init__(self, base: Base) -> None:
         self._base = base
         self.items: dict[tuple[str, str], Item] = {}  # by kind and name, in the order of their sequence numbers
         self._routes: OwnerOverlay[RouteMatch] = OwnerOverlay(base.route_at)
         self._key_owners: OwnerOverlay[bytes] = OwnerOverlay(base.key_owner)
-        self._reference_deltas: dict[str, int] = {}  # by service: routes more than in the base
+        self._reference_deltas: dict[str, int] = {}  # by service: number of routes added to those in the base
         self.seq, self.size = base.seq, base.size
 
     def item(self, kind: str, name: str) -> Item | None:
-        """Return the item or its tombstone; None: the name was never used."""
+        """Return the item or its tombstone; None if there is neither."""
         return self.items.get((kind, name)) or self._base.item(kind, name)
 
     def route_at(self, match: RouteMatch) -> str | None:
-        """Return the name of the route with this match."""
+        """Return the name of the route with this match; None if there is none."""
         return self._routes.owner(match)
 
     def key_owner(self, key: bytes) -> str | None:
-        """Return the name of the tenant with this key."""
+        """Return the name of the tenant with this key; None if there is none."""
         return self._key_owners.owner(key)
 
     def reference_count(self, service: str) -> int:
@@ -68,13 +68,13 @@
         return self._base.reference_count(service) + self._reference_deltas.get(service, 0)
 
     def put(self, items: Iterable[Item]) -> list[Conflict]:
-        """Put items into the draft, all at once: routes may exchange their matches, tenants their keys.
+        """Put items into the draft atomically, so that routes may exchange their matches and tenants their keys.
 
         Args:
-            items: at most one of each kind and name.
+            items: At most one of each kind and name.
 
         Returns:
-            What two items have that only one may have.
+            The matches and keys that are already in use by another item.
         """
         changed = list(items)
         for item in changed:
@@ -86,21 +86,21 @@
         for item in changed:
             conflicts += self._add_references(item.name, references_of(item))
             conflicts += self._assign_keys(item)
-            self.items.pop((item.kind, item.name), None)  # so that it moves to the end
+            self.items.pop((item.kind, item.name), None)  # removed and added again, so that it moves to the end
             self.items[item.kind, item.name] = item
             self.seq = max(self.seq, item.seq)
         return conflicts
 
-    def merge(self, above: Draft) -> None:
-        """Take over all changes of a draft whose base is this one."""
-        for key, item in above.items.items():
+    def merge(self, overlay: Draft) -> None:
+        """Add all changes of a draft whose base is this draft."""
+        for key, item in overlay.items.items():
             self.items.pop(key, None)
             self.items[key] = item
-        self._routes.merge(above._routes)
-        self._key_owners.merge(above._key_owners)
-        for service, delta in above._reference_deltas.items():
+        self._routes.merge(overlay._routes)
+        self._key_owners.merge(overlay._key_owners)
+        for service, delta in overlay._reference_deltas.items():
             self._reference_deltas[service] = self._reference_deltas.get(service, 0) + delta
-        self.seq, self.size = above.seq, above.size
+        self.seq, self.size = overlay.seq, overlay.size
 
     def _remove_references(self, name: str, references: RouteReferences | None) -> None:
         if references is None:
--- a/lilacsill/mesh/store/environment.py
+++ b/lilacsill/mesh/store/environment.py
@@ -1,6 +1,6 @@
-"""What a replica needs of its process: a clock, timers, the other machines, a disk.
+"""The interface that a replica needs from its process: a clock, timers, requests to other machines, a disk.
 
-The real one is `lilacsill.mesh.store.process`; in tests `lilacsill.mesh.simulation.network` takes its place.
+It is implemented by `lilacsill.mesh.store.local_environment`, and for tests by `lilacsill.mesh.simulation.network`.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Save(msgspec.Struct):
-    """Changes that reach the disk together or not at all.
+    """Changes that are written to disk atomically.
 
     Attributes:
-        items: Items to write in place of those of the same kind and name. Where an `operation_floor` is among them, the
+        items: Items to write; they replace those of the same kind and name. If one is an `operation_floor`, the
             records of operations up to it are deleted (`lilacsill.mesh.store.operation_records`).
         ranges: Ranges of names, see `lilacsill.mesh.store.digests`, in which all items but these are deleted.
         facts: Facts to write, see `lilacsill.mesh.store.facts`.
@@ -34,16 +34,16 @@
 
 
 class ReplicaEnvironment(Environment, Protocol):
-    """The surroundings of one replica: those of any process, and a disk."""
+    """The environment of one replica: that of any process, and a disk."""
 
     def save(self, save: Save, done: Done) -> None:
-        """Write to disk, in the order of the calls; `done` is called when it is there."""
+        """Write to disk, in the order of the calls; `done` is called once the changes are on disk."""
         ...
 
     def oldest_save_age_us(self) -> int:
-        """Return for how long the oldest save has been pending; 0: none is."""
+        """Return for how many microseconds the oldest save has been pending; 0 if there is none."""
         ...
 
 
 def ignore_completion() -> None:
-    """Stand in for the callback of a save that nobody waits for."""
+    """Do nothing: the callback for a save whose completion has no effect."""
--- a/lilacsill/mesh/store/facts.py
+++ b/lilacsill/mesh/store/facts.py
@@ -1,6 +1,6 @@
-"""The facts that a replica keeps on its disk beside the items, by name. No I/O.
+"""Facts: the metadata that a replica keeps on its disk besides the items, as values by name. No I/O.
 
-The names are part of the format of the file and stay as the first version wrote them.
+The names are part of the file format and must stay as the first version wrote them.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class StoredReplica(msgspec.Struct):
-    """What a disk says of its replica, apart from the items."""
+    """The state of a replica as read from its disk, without the items."""
 
     member: Member
     view: View
@@ -38,27 +38,27 @@
 
 
 def view(adopted: View) -> Facts:
-    """Return the fact that names the view."""
+    """Return the fact that stores the adopted view."""
     return {_VIEW: msgspec.msgpack.encode(adopted)}
 
 
 def completeness(complete: bool) -> Facts:
-    """Return the fact that tells whether the copy is complete."""
+    """Return the fact that stores whether the copy is complete."""
     return {_COMPLETE: b"1" if complete else b"0"}
 
 
 def sequence(seq: int) -> Facts:
-    """Return the fact that tells up to which sequence number the items are complete."""
+    """Return the fact that stores the sequence number up to which the items are complete."""
     return {_SEQ: b"%d" % seq}
 
 
 def tombstone_floor(floor: int) -> Facts:
-    """Return the fact that tells up to which sequence number tombstones are collected."""
+    """Return the fact that stores the sequence number up to which tombstones are deleted."""
     return {_TOMBSTONE_FLOOR: b"%d" % floor}
 
 
 def read(facts: Facts, address: str) -> StoredReplica | None:
-    """Decode the facts of a disk. None: the disk was empty."""
+    """Decode the facts of a disk. Return None if the disk was empty."""
     if _INCARNATION not in facts:
         return None
     acceptor = facts.get(_ACCEPTOR)
--- a/lilacsill/mesh/store/followers.py
+++ b/lilacsill/mesh/store/followers.py
@@ -1,11 +1,11 @@
-"""Registries that follow the configuration by long polls. No I/O.
+"""Serves registries, which follow the configuration by long polls. No I/O.
 
-The tail answers with the changes that the follower lacks and with evidence of how recent they are, and only while it
-holds a read lease. Another member forwards the request and the answer. The time that this takes makes the answer older
-in the follower's view, since the evidence covers only the time that the tail itself held the request.
+The tail answers with the changes that the follower lacks and with their freshness, and only while it holds a read
+lease. Other members forward the request and the answer. The time that this takes makes the answer older for the
+follower, since the freshness covers only the time for which the tail itself held the request.
 
-Followers neither get the records of operations nor are woken by them: the sequence number that they compare is that of
-the newest change of the configuration (`ConfigState.config_seq`).
+Followers do not receive the records of operations and are not woken by them: the sequence number that they compare is
+that of the newest change of the configuration (`ConfigState.config_seq`).
 """
 
 from __future__ import annotations
@@ -23,19 +23,19 @@
 from .membership import Membership
 from .replica import Replica
 
-# Of one answer: what takes long on a slow link is requested again before it has arrived. The rest follows at once: the
-# follower asks again with the number up to which it has everything.
+# In one answer: a larger one takes so long on a slow link that the follower repeats its request before the answer has
+# arrived. The follower then requests the rest at once, with the sequence number up to which it has all changes.
 MAX_UPDATE_BYTES = 64 * 1024
-ITEM_OVERHEAD_BYTES = 40  # of an item beyond its body
+ITEM_OVERHEAD_BYTES = 40  # of one item, in addition to its body
 MAX_HOPS = 2
-FORWARD_SLACK_US = 300_000  # beyond the time that the poll may wait
+FORWARD_SLACK_US = 300_000  # time-out of a forwarded poll, in addition to its wait time
 US_PER_MS = 1000
 
 Replier = Callable[[Message], None]
 
 
 class Poll(msgspec.Struct, eq=False, frozen=True):
-    """A request that waits for changes."""
+    """A long poll that waits for changes."""
 
     request: Follow
     reply: Replier
@@ -52,7 +52,10 @@
         replica.view_listeners.append(self._on_view)
 
     def handle_follow(self, request: Follow, reply: Replier) -> None:
-        """Answer at once with changes, or without any if this member may not answer; else wait for changes."""
+        """Answer with the changes that the follower lacks, or wait for some; forward the request unless at the tail.
+
+        A tail that is not synced or holds no lease answers without an update.
+        """
         if not self._replica.is_tail:
             self._forward(request, reply)
             return
@@ -64,7 +67,7 @@
         self._environment.after(request.wait_ms * US_PER_MS, self._on_timeout, poll)
 
     def publish(self) -> None:
-        """Answer the polls that wait for changes that are committed now."""
+        """Answer the polls whose follower lacks changes that are committed now."""
         if not self._polls or not self._may_answer():
             return
         seq = self._replica.state.config_seq
@@ -83,9 +86,9 @@
         state, now = self._replica.state, self._environment.now()
         seq = state.config_seq
         changes = state.config_items_since(poll.request.seq) if seq > poll.request.seq else []
-        part = _first_part(changes)
-        if len(part) < len(changes):
-            update = ConfigUpdate(part[-1].seq, without_history(part), NO_PROOF)
+        batch = _first_batch(changes)
+        if len(batch) < len(changes):
+            update = ConfigUpdate(batch[-1].seq, without_history(batch), NO_PROOF)
         else:
             freshness = freshness_of_reply(now, poll.received_at_us, now)
             update = ConfigUpdate(seq, without_history(changes), freshness)
@@ -119,8 +122,8 @@
         reply(answer if isinstance(answer, FollowReply) else self._no_update())
 
 
-def _first_part(changes: list[Item]) -> list[Item]:
-    """Return the first changes, in their order, up to a bounded size; one at least, if there are any."""
+def _first_batch(changes: list[Item]) -> list[Item]:
+    """Return the first changes, in order, up to `MAX_UPDATE_BYTES`, but at least one if there are any."""
     size = 0
     for index, item in enumerate(changes):
         size += ITEM_OVERHEAD_BYTES + len(item.body or b"")
--- a/lilacsill/mesh/store/forwarding.py
+++ b/lilacsill/mesh/store/forwarding.py
@@ -1,8 +1,8 @@
-"""Requests that one member forwards to the member that answers them: the head for changes, the tail for reads. No I/O.
+"""Forwards requests to the member that answers them: changes to the head, reads to the tail. No I/O.
 
-If that member is lost, the request is forwarded again as soon as a view names another one, so that the caller need not
-wait for its time-out first. Only the answer of the last attempt counts: an earlier one may still come from a member
-that has lost its place, and a refusal by it would say nothing about what its successor has accepted.
+If that member fails, the request is forwarded again as soon as a new view has another head or tail, so that the caller
+need not wait for its time-out first. Only the answer to the last attempt counts: an earlier one may still come from a
+former head or tail, and its refusal would not show what the new one has accepted.
 """
 
 from __future__ import annotations
@@ -18,20 +18,20 @@
 from .replica import Replica
 
 MAX_HOPS = 2
-FORWARD_TIMEOUT_US = 850_000  # a caller tries another member after a second without an answer
-SECOND_ATTEMPT_UNTIL_US = 950_000  # from when the request came
-MIN_ATTEMPT_US = 20_000  # with less time left an attempt is not worth while
+FORWARD_TIMEOUT_US = 850_000  # shorter than 1 s, after which a caller tries another member
+RETRY_DEADLINE_US = 950_000  # for the answer to a later attempt, from the arrival of the request
+MIN_ATTEMPT_US = 20_000  # with less time left no further attempt is made
 OUTCOME_UNKNOWN = Reply(503, b'{"Message":"no clear answer; send it again"}')
 
 Replier = Callable[[Message], None]
 Handler = Callable[[Any, Replier], None]
-"""Answers a request at this member, if it has the place for that, and forwards it otherwise."""
+"""Answers a request if this member is the one that answers such requests, and forwards it otherwise."""
 ChooseMember = Callable[[], Member | None]
-"""Returns the member that answers such requests in the present view; None: there is none."""
+"""Returns the member that answers such requests in the current view; None if there is none."""
 
 
 class ForwardedCall(msgspec.Struct, eq=False):
-    """One request that is on its way."""
+    """A forwarded request that is not answered yet."""
 
     request: Patch | Read
     reply: Replier
@@ -43,7 +43,7 @@
 
 
 class Forwarding:
-    """The requests that this member has forwarded."""
+    """The requests that this member has forwarded and that are not answered yet."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica, self._environment = replica, replica.environment
@@ -51,12 +51,12 @@
         replica.view_listeners.append(self._on_view)
 
     def forward(self, request: Patch | Read, choose: ChooseMember, handle: Handler, reply: Replier) -> None:
-        """Forward a request, and pass on the answer; 503 if there is none in time.
+        """Forward a request and relay the answer; reply with status 503 if no answer arrives in time.
 
         Args:
             request: From a caller, or from another member.
-            choose: Finds the member that answers it.
-            handle: Answers it here, should this member get that place.
+            choose: Returns the member that answers it.
+            handle: Answers it here if a new view makes this member the one that answers.
             reply: Called once.
         """
         to = choose()
@@ -82,15 +82,15 @@
         now = self._environment.now()
         for call in list(self._pending):
             to = call.choose()
-            left_us = call.received_at_us + SECOND_ATTEMPT_UNTIL_US - now
-            if to is None or to == call.to or left_us < MIN_ATTEMPT_US:
+            remaining_us = call.received_at_us + RETRY_DEADLINE_US - now
+            if to is None or to == call.to or remaining_us < MIN_ATTEMPT_US:
                 continue
             call.to, call.attempt = to, call.attempt + 1
             if to == self._replica.me:
-                # Later, since the new view is not in force in all parts of this member yet.
+                # Deferred, since other listeners of this member have not processed the new view yet.
                 self._environment.after(0, self._handle_here, call, call.attempt)
             else:
-                self._ask(call, left_us)
+                self._ask(call, remaining_us)
 
     def _handle_here(self, call: ForwardedCall, attempt: int) -> None:
         if attempt == call.attempt:
--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -1,7 +1,7 @@
-"""The entry of operators' calls: changes go to the head, reads to the tail, whichever member was asked. No I/O.
+"""Handles operators' calls at any member: the head answers changes, the tail answers reads. No I/O.
 
-A member that is not the right one forwards the request. A request that was forwarded too often, or whose outcome is not
-known, is answered with 503, which is true whatever became of it.
+Other members forward the request. A request that was forwarded too often, or whose outcome is unknown, is answered with
+503, which does not state whether the request took effect.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 
 CALL_TIMEOUT_US = 800_000
 MAX_WAITING_CALLS = 64
-DEFAULT_MAX_STATE_BYTES = 64 << 20  # where the settings do not give the size of the disk
+DEFAULT_MAX_STATE_BYTES = 64 << 20  # if the settings do not give the size of the disk
 MAX_REPORTED_REJECTIONS = 16
 REJECTED_RECENTLY = Reply(503, b'{"Message":"it was refused a moment ago; send it again"}')
 OVERLOADED = Reply(503, b'{"Message":"too many calls at once"}')
@@ -44,12 +44,12 @@
 
 
 class Frontend:
-    """The entry at one member.
+    """The handler of operators' calls at one member.
 
     Attributes:
         max_state_bytes: Calls that would make the state larger are rejected.
-        rejections: Status and reason of the latest rejected calls, the newest last, for operators.
-        rejected: Rejected calls in this run of the process, by the type of their rejection.
+        rejections: Status and reason of the latest rejected calls, newest last, for operators.
+        rejected: Number of rejected calls in this run of the process, by type of rejection.
     """
 
     def __init__(self, replica: Replica, chain: Chain, commit_check: CommitCheck) -> None:
@@ -71,7 +71,7 @@
         if not replica.is_head or not replica.complete:
             self._forwarding.forward(request, self._head, self.handle_patch, reply)
             return
-        # Imports returns, which only a head needs.
+        # These modules import `returns`, which only a head needs.
         from .calls import parse_call
         from .validation import is_success
 
@@ -89,14 +89,14 @@
         self.append_waiting_calls()
 
     def append_waiting_calls(self) -> None:
-        """Validate all waiting calls, one on top of the other, and replicate their changes together."""
+        """Validate all waiting calls, each on top of the earlier ones, and replicate their changes together."""
         if not self._waiting_calls or not self._chain.may_append:
             return
         calls, self._waiting_calls = self._waiting_calls, []
         draft = Draft(self._replica.state)
         answers = [(call.reply, self._validate(draft, call)) for call in calls]
 
-        # Acceptance and rejection alike depend on the calls before: none is answered until those are committed.
+        # Both acceptance and rejection depend on the earlier calls, so no call is answered before these are committed.
         def on_commit(ok: bool) -> None:
             for reply, answer in answers:
                 reply(answer if ok else OUTCOME_UNKNOWN)
@@ -105,18 +105,18 @@
         if changes:
             self._chain.replicate(changes, draft.seq, lambda ok: self._commit_check.check_copies(ok, False, on_commit))
             return
-        # Nothing changes, but the state that the answers depend on must be committed, too.
+        # There are no changes, but the state that the answers depend on must still be committed.
         self._chain.wait_for_commit(draft.seq, lambda ok: self._commit_check.check_copies(ok, True, on_commit))
 
     def _validate(self, draft: Draft, waiting: _WaitingCall) -> Reply:
-        """Return the answer to a call once its state is committed. The changes of an accepted call go to the draft."""
+        """Return the answer to send once the state is committed. Add the changes of an accepted call to the draft."""
         from . import validation
 
         validated = validation.apply_call(draft, waiting.call)
         if not validation.is_success(validated):
             return self._reject(waiting.body, validated.failure())
         changed = validated.unwrap()
-        if changed.size > max(self.max_state_bytes, draft.size):  # a call that makes the state smaller is accepted
+        if changed.size > max(self.max_state_bytes, draft.size):  # a call that does not enlarge the state is accepted
             return self._reject(waiting.body, StateTooLarge(changed.size, self.max_state_bytes))
         if changed.items and self._recent_refusals.includes(waiting.body, self._environment.now()):
             return REJECTED_RECENTLY
@@ -131,8 +131,8 @@
     def _rejection(self, rejection: Rejection) -> Reply:
         self.rejected[type(rejection).__name__] += 1
         text = f"{rejection.status}: {rejection.message}"
-        if text not in self.rejections:  # an operator repeats its call; the log has no place for each copy
-            log.info("rejects a call: %s", text)
+        if text not in self.rejections:  # operators repeat calls; repeats must not push other lines out of the log
+            log.info("call rejected: %s", text)
         self.rejections = [*self.rejections[1 - MAX_REPORTED_REJECTIONS :], text]
         return Reply(rejection.status, msgspec.json.encode({"Message": rejection.message}))
 
@@ -156,12 +156,12 @@
         self._commit_check.confirm(lambda ok: reply(Reply(200, body) if ok else OUTCOME_UNKNOWN))
 
     def handle_confirm(self, request: Confirm, reply: Replier) -> None:
-        """Tell another member whether the view that it asks about is in force, as far as this member knows."""
+        """Answer whether the view that another member asks about is in force, as far as this member knows."""
         replica = self._replica
-        is_present = replica.view.number == request.view_number
-        reply(Confirmed(replica.is_member and is_present and not replica.view_pending))
+        is_current = replica.view.number == request.view_number
+        reply(Confirmed(replica.is_member and is_current and not replica.view_pending))
 
-    # Either
+    # Common to changes and reads
 
     def _head(self) -> Member | None:
         return next(iter(self._replica.view.chain), None)
--- a/lilacsill/mesh/store/heartbeats.py
+++ b/lilacsill/mesh/store/heartbeats.py
@@ -1,6 +1,6 @@
 """Heartbeats among the machines of the store: signs of life, read leases and new views. No I/O.
 
-Each machine sends a heartbeat to every other one at each interval, unless it still waits for a reply to the last one.
+At each interval, a machine sends a heartbeat to every other machine from which no reply is outstanding.
 """
 
 from __future__ import annotations
@@ -34,17 +34,17 @@
         self._chain, self._lease_manager, self._detector = chain, lease_manager, detector
         self._seeds = [seed for seed in seeds if seed != replica.me.address]
         self._awaiting_reply: set[str] = set()
-        self._due_after_reply: set[str] = set()  # machines that get another heartbeat as soon as they have replied
+        self._due_after_reply: set[str] = set()  # addresses that get another heartbeat as soon as they have replied
 
     def send(self) -> None:
-        """Send a heartbeat to each known machine that owes no reply."""
+        """Send a heartbeat to each known machine from which no reply is outstanding."""
         heartbeat = self._heartbeat()
-        # Sorted, so that a simulation depends on its seed alone.
+        # Sorted, so that a simulation is deterministic for its seed.
         for address in sorted(self._others() - self._awaiting_reply):
             self._send_to(address, heartbeat)
 
     def send_state(self) -> None:
-        """Send what has just changed: a machine that owes a reply gets it right after that."""
+        """Send the changed state at once; a machine that still has to reply gets it right after its reply."""
         self._due_after_reply = set(self._awaiting_reply)
         self.send()
 
@@ -57,7 +57,7 @@
         self._environment.ask(address, heartbeat, HEARTBEAT_TIMEOUT_US, on_reply)
 
     def handle_heartbeat(self, heartbeat: Heartbeat, reply: Callable[[Message], None]) -> None:
-        """Answer another machine, with a lease if it may have one."""
+        """Answer the heartbeat of another machine, and grant it a lease if it may have one."""
         self._learn_from(heartbeat)
         own = self._heartbeat()
         sender_answers = self._detector.recent_reply(heartbeat.sender, RECENT_REPLY_US) is not None
--- a/lilacsill/mesh/store/key_index.py
+++ b/lilacsill/mesh/store/key_index.py
@@ -1,4 +1,4 @@
-"""Which tenant has which key in one configuration. No I/O."""
+"""An index of the tenants of one configuration by key. No I/O."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 class KeyIndex:
-    """The keys of one configuration.
+    """The owner of each key of one configuration.
 
-    Of two tenants with the same key within a batch, the one that was changed last counts.
+    If two tenants have the same key within a batch, the tenant that was changed last owns it.
     """
 
     def __init__(self) -> None:
         self._owners: dict[bytes, str] = {}
 
     def owner(self, key: bytes) -> str | None:
-        """Return the name of the tenant with this key."""
+        """Return the name of the tenant with this key; None if there is none."""
         return self._owners.get(key)
 
     def replace(self, current: Item | None, item: Item) -> None:
-        """Replace an item by its successor of the same name; `current` None: there was none."""
+        """Replace an item by its new version; `current` is None if the item is new."""
         for key in keys_of(current):
             if self._owners.get(key) == item.name:
                 del self._owners[key]
--- a/lilacsill/mesh/store/learner_scheduler.py
+++ b/lilacsill/mesh/store/learner_scheduler.py
@@ -1,4 +1,4 @@
-"""Which learner the tail of the chain brings up to date: one at a time, in rotation. No I/O."""
+"""Selects the learner that the tail of the chain brings up to date: one at a time, in rotation. No I/O."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from .reconfiguration import MachineState, learners_to_sync
 from .replica import Replica
 
-LEARNER_SLICE_US = 2_000_000  # after this time the tail goes on to the next learner
+LEARNER_SLICE_US = 2_000_000  # after this time the tail continues with the next learner
 
 
 class _SyncedLearner(NamedTuple):
-    """A learner that had everything at some time in this view."""
+    """When, and up to which change, a learner was synced in this view."""
 
-    seq: int  # up to this sequence number
+    seq: int  # sequence number up to which it has all changes
     at_us: int
 
 
 class LearnerScheduler:
-    """The choice at one member; it acts only while that is the tail."""
+    """The scheduler of one member, active only while that member is the tail."""
 
     def __init__(
         self,
@@ -41,14 +41,14 @@
         replica.view_listeners.append(self._synced.clear)
 
     def on_learner_synced(self) -> None:
-        """Note that the present learner has everything, and go on to the next."""
+        """Record that the current learner has all changes, and continue with the next one."""
         learner = self._replica.learner
         if learner is not None:
             self._synced[learner] = _SyncedLearner(self._replica.state.seq, self._environment.now())
         self.schedule()
 
     def schedule(self) -> None:
-        """Choose the learner, if this member is the tail and there are any."""
+        """Select the learner, if this member is the tail and there are any."""
         replica, now = self._replica, self._environment.now()
         if not replica.is_tail or not self._chain.synced:
             return
@@ -60,23 +60,23 @@
         if replica.learner in learners and (not is_slice_over or len(learners) == 1):
             return
         self._slice_began_at_us = now
-        self._chain.sync_learner(self._after_present(learners))
+        self._chain.sync_learner(self._next_learner(learners))
 
-    def _after_present(self, learners: list[Member]) -> Member | None:
-        """The one behind the present learner, in rotation; the first one where that is not among them."""
+    def _next_learner(self, learners: list[Member]) -> Member | None:
+        """Return the learner after the current one, in rotation; the first if the current one is not in the list."""
         if not learners:
             return None
-        present = self._replica.learner
-        index = learners.index(present) + 1 if present in learners else 0
+        current = self._replica.learner
+        index = learners.index(current) + 1 if current in learners else 0
         return learners[index % len(learners)]
 
     def _is_behind(self, machine: MachineState) -> bool:
-        """Whether the learner lacks something, as far as is known."""
+        """Return whether the learner is known to lack changes."""
         last = self._detector.last_reply(machine.member.address)
         if last is None:
-            return False  # it counts as alive only because the view is new
+            return False  # it has never replied; it counts as alive only because the view is new
         seq = self._replica.state.seq
         synced = self._synced.get(machine.member)
         if synced is not None and synced.at_us > last.at_us:
-            return synced.seq < seq  # its last reply is older than what it was sent since
+            return synced.seq < seq  # the last reply came before the learner was synced
         return not machine.complete or last.reply.seq < seq
--- a/tests/mesh/defects_operations.py
+++ b/tests/mesh/defects_operations.py
@@ -54,9 +54,9 @@
 
 def any_owner_is_replaced(patch: Patch) -> None:
     def decide(self: ClaimBatch, claim: Claim) -> Any:
-        present = self._present(claim.operation)
-        if present is not None and claim.replaces is not None:
-            return self._record(claim, present.version + 1)
+        current = self._current_record(claim.operation)
+        if current is not None and claim.replaces is not None:
+            return self._record(claim, current.version + 1)
         return real(self, claim)
 
     real = ClaimBatch.decide
@@ -119,4 +119,4 @@
 
 
 def the_first_claim_of_a_batch_is_not_seen(patch: Patch) -> None:
-    patch.setattr(ClaimBatch, "_present", lambda self, operation: self._record_of(operation))
+    patch.setattr(ClaimBatch, "_current_record", lambda self, operation: self._record_of(operation))
--- a/tests/mesh/test_call_form.py
+++ b/tests/mesh/test_call_form.py
@@ -11,7 +11,7 @@
 
 from lilacsill.mesh.store import calls
 
-from lilacsill.mesh.store.call_form import has_valid_form
+from lilacsill.mesh.store.call_form import matches_schema
 from lilacsill.mesh.store.call_schema import CALL_SCHEMA, MAX_NUMBER
 from lilacsill.mesh.store.validation import is_success
 
@@ -104,7 +104,7 @@
     differing = []
     for value in VALUES:
         call = with_value(complete_call(), path, value)
-        if has_valid_form(call) is not validator.validate(call, normalize=False):
+        if matches_schema(call) is not validator.validate(call, normalize=False):
             differing.append(value)
     assert differing == []
 
--- a/tests/mesh/test_disk.py
+++ b/tests/mesh/test_disk.py
@@ -259,6 +259,6 @@
     with sqlite3.connect(tmp_path / FILE_NAME) as db:
         db.execute("pragma user_version=99")
     db.close()
-    with pytest.raises(DiskError, match="format 99; this program reads up to 2"):
+    with pytest.raises(DiskError, match="file format 99 is newer than 2, the latest supported one"):
         Disk(reactor, str(tmp_path))
     assert (tmp_path / FILE_NAME).exists()  # it is kept
--- a/tests/mesh/test_followers.py
+++ b/tests/mesh/test_followers.py
@@ -51,7 +51,7 @@
 
 
 def test_a_planted_defect_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(followers, "_first_part", lambda changes: changes)
+    monkeypatch.setattr(followers, "_first_batch", lambda changes: changes)
     with pytest.raises(AssertionError):
         test_a_large_configuration_comes_in_bounded_parts_and_complete()
 
--- a/tests/mesh/test_forwarding.py
+++ b/tests/mesh/test_forwarding.py
@@ -109,6 +109,6 @@
 
 
 def test_a_planted_defect_is_found(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(forwarding, "SECOND_ATTEMPT_UNTIL_US", 0)
+    monkeypatch.setattr(forwarding, "RETRY_DEADLINE_US", 0)
     with pytest.raises(AssertionError):
         test_a_change_under_way_as_the_head_is_lost_is_answered_by_its_successor("power", 1)
--- a/tests/mesh/test_refused_calls.py
+++ b/tests/mesh/test_refused_calls.py
@@ -35,7 +35,7 @@
         operator.call(INVALID, statuses.append)
         time.run(time.now + SECOND)
     assert statuses == [400] * 3
-    assert lines(ring) == [f"rejects a call: {REASON}"]  # copies of one call leave the log to others
+    assert lines(ring) == [f"call rejected: {REASON}"]  # copies of one call leave the log to others
     head = next(store for store in fleet.stores.values() if store.replica.is_head)
     figures = encode_metrics(head, time.now).decode().splitlines()
     assert 'lilacsill_calls_rejected_total{reason="SchemaViolation"} 3.0' in figures
--- a/tests/rules/defects_tenants.py
+++ b/tests/rules/defects_tenants.py
@@ -23,11 +23,11 @@
     replaced: Any = CALL_SCHEMA["ReplaceItems"]["schema"]
     patch.delitem(replaced, "Customers")
     patch.setattr(calls, "_validator", None)
-    patch.setattr(calls, "has_valid_form", lambda document: False)
+    patch.setattr(calls, "matches_schema", lambda document: False)
 
 
 def the_quick_check_takes_anything(patch: Patch) -> None:
-    patch.setattr(calls, "has_valid_form", lambda document: True)
+    patch.setattr(calls, "matches_schema", lambda document: True)
 
 
 def keys_are_taken_by_nobody(patch: Patch) -> None:
