--- a/lilacsill/balancing/__init__.py
+++ b/lilacsill/balancing/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions of a client-side load balancer, as a library: events in, actions out."""
+"""Decision library of a client-side load balancer: it consumes events and returns actions, and does no I/O."""
--- a/lilacsill/balancing/interface/__init__.py
+++ b/lilacsill/balancing/interface/__init__.py
@@ -1,4 +1,4 @@
-"""The public types of the decision library: settings, events that go in, actions that come out.
+"""Public types of the decision library: settings, input events and output actions.
 
 All times are integer microseconds on one monotonic clock that the caller passes in.
 """
--- a/lilacsill/balancing/interface/actions.py
+++ b/lilacsill/balancing/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions: what `Balancer.handle` returns. The caller carries them out in order."""
+"""Actions that `Balancer.handle` returns; the caller executes them in order."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; AttemptEnded follows.
+    """Start an attempt of a request; exactly one AttemptEnded event follows.
 
     Attributes:
         request: Number of the request.
-        backend: Backend to send it to.
-        timeout_us: Time after which the attempt ends as TIMEOUT; microseconds, above 0.
+        backend: Backend that receives the attempt.
+        timeout_us: Time after which the attempt ends with outcome TIMEOUT; microseconds, above 0.
     """
 
     request: int
@@ -24,11 +24,11 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Answer a request finally: rejected. A retry by the client is harmless.
+    """Send the final answer of a request: rejected. The client can retry safely: a retry does no harm.
 
     Attributes:
         request: Number of the request.
-        retry_after_us: Advice when to retry; microseconds, 0, the default, for none.
+        retry_after_us: Delay after which the client is advised to retry; microseconds, 0 for no advice (default).
     """
 
     request: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Answer a request finally: failed. The request may have run.
+    """Send the final answer of a request: failed. A backend may have executed the request.
 
     Attributes:
         request: Number of the request.
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for one attempt; its AttemptEnded still follows.
+    """Cancel an attempt in flight; its AttemptEnded event still follows.
 
     Attributes:
         request: Number of the request.
@@ -61,11 +61,11 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Pass in TimerFired(token) after a delay. Timers are never cancelled.
+    """Start a timer that delivers TimerFired(token) after a delay. Timers are never cancelled.
 
     Attributes:
-        delay_us: The delay; microseconds, 0 or more.
-        token: Opaque number to hand back.
+        delay_us: Delay until the timer fires; microseconds, 0 or more.
+        token: Opaque number that TimerFired returns.
     """
 
     delay_us: int
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a backend for a health check and its load; ProbeEnded follows.
+    """Check the health of a backend and request its load; exactly one ProbeEnded event follows.
 
     Attributes:
         backend: Backend to probe.
@@ -85,11 +85,11 @@
 
 @dataclass(slots=True)
 class SendPeerMessage:
-    """Send a message to one other balancer; it may be lost.
+    """Send a message to another balancer; delivery is not guaranteed.
 
     Attributes:
-        peer: Number of the receiver among the balancers.
-        payload: The message, 256 bytes at most.
+        peer: Index of the receiving balancer.
+        payload: Message body, 256 bytes at most.
     """
 
     peer: int
@@ -98,20 +98,20 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Subscribe to updates of the list of backends; exactly one BackendsChanged answers the call."""
+    """Subscribe to updates of the list of backends; exactly one BackendsChanged event follows."""
 
 
 @dataclass(slots=True)
 class Fetch:
-    """Request the complete list of backends once; a BackendsChanged answers the call."""
+    """Request the complete list of backends once; a BackendsChanged event follows."""
 
 
 @dataclass(slots=True)
 class Log:
-    """Write a rare line for the operators: backend, state change, reason.
+    """Write a line to the log, for rare events such as the state change of a backend and its reason.
 
     Attributes:
-        text: The line.
+        text: Text of the log line.
     """
 
     text: str
--- a/lilacsill/balancing/interface/backends.py
+++ b/lilacsill/balancing/interface/backends.py
@@ -1,4 +1,4 @@
-"""Backends: what discovery tells of them, how attempts on them end, and what a balancer estimates about them."""
+"""Backends: discovery entries, outcomes of attempts, and a balancer's estimates."""
 
 from __future__ import annotations
 
@@ -7,31 +7,31 @@
 from enum import Enum
 
 BackendId = Hashable
-"""Any hashable value; it is handed back unmodified."""
+"""Identity of a backend: any hashable value, which actions return unmodified."""
 
 
 class BackendState(Enum):
     """The state of a backend according to discovery."""
 
     READY = "ready"  # accepts new work
-    DRAINING = "draining"  # finishes what it has, accepts no new work
-    GONE = "gone"
+    DRAINING = "draining"  # finishes its requests in flight, accepts no new ones
+    GONE = "gone"  # removed from discovery
 
 
 class ListKind(Enum):
     """How an update changes the list of backends."""
 
-    CACHED = "cached"  # the complete list from before the start, perhaps stale; a balancer's first event
-    FULL = "full"  # the complete list; a backend that is missing is gone
+    CACHED = "cached"  # the complete list as stored before the start, possibly stale; a balancer's first event
+    FULL = "full"  # the complete list; a backend that is not in it is GONE
     DELTA = "delta"  # only the entries that changed
-    FAILED = "failed"  # a Watch or Fetch failed, or the watch was dropped
+    FAILED = "failed"  # a Watch or Fetch failed, or the watch was closed
 
 
 class DiscoveryMode(Enum):
-    """How updates of the list reach the caller."""
+    """How updates of the list of backends are delivered."""
 
-    PUSH = "push"  # updates arrive unrequested
-    POLL = "ask"  # updates arrive only after a Watch or Fetch
+    PUSH = "push"  # discovery sends updates without a request
+    POLL = "ask"  # discovery sends an update only after a Watch or Fetch
 
 
 class Outcome(Enum):
@@ -40,31 +40,31 @@
     OK = "ok"
     ERROR = "error"  # the backend reported an error; the request may have run
     REJECTED = "rejected"  # the backend rejected the request before it ran
-    TIMEOUT = "timeout"  # no response in time; the request may have run or still run
-    CONNECT_FAILED = "connect_failed"  # the request never ran
-    RESET = "reset"  # the connection dropped; the request may have run
-    CANCELLED = "cancelled"  # the request may have run or still run
-    NOT_SENT = "not_sent"  # the request never left this process
+    TIMEOUT = "timeout"  # no response in time; the request may have run or may still run
+    CONNECT_FAILED = "connect_failed"  # no connection to the backend; the request did not run
+    RESET = "reset"  # the connection was reset; the request may have run
+    CANCELLED = "cancelled"  # the request may have run or may still run
+    NOT_SENT = "not_sent"  # the request was not sent
 
-    __hash__ = object.__hash__  # members are singletons; Enum's own is a call in Python, several a request
+    __hash__ = object.__hash__  # members are singletons; Enum.__hash__ is a slow Python call, several per request
 
 
 NEVER_RAN = frozenset({Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT})
-"""Outcomes that prove that the request did not run."""
+"""Outcomes that prove that the backend did not execute the request."""
 
 
 @dataclass(slots=True)
 class Backend:
-    """One entry of the list of backends.
+    """An entry of the list of backends.
 
     Attributes:
         id: Identity of the backend.
         state: State according to discovery; READY by default.
-        zone: Number of its zone; 0 by default.
-        cell: Number of its cell, a group that shares deduplication; 0 by default.
-        kind: Number of its hardware type; 0 by default.
+        zone: Zone number; 0 by default.
+        cell: Number of the cell, a group of backends that share deduplication; 0 by default.
+        kind: Number of the hardware type; 0 by default.
         capacity_hint: Capacity relative to other backends, above 0; 1.0 by default.
-        started_at: Clock time of its latest start, microseconds; 0, the default, for a start long ago.
+        started_at: Clock time of the latest start, microseconds; 0 for a start long ago (default).
     """
 
     id: BackendId
@@ -78,16 +78,16 @@
 
 @dataclass(slots=True, frozen=True)
 class BackendEstimate:
-    """What a balancer estimates about one backend, for diagnostics; no decision reads this view.
+    """A balancer's estimates about one backend, for diagnostics only; no decision depends on this view.
 
     Attributes:
         backend: Identity of the backend.
-        in_flight: Own attempts in flight.
-        abandoned: Own attempts that have ended here and may still run there, decayed by age.
-        other_load: Requests in flight from all other balancers.
-        report_age_us: Age of the latest load report, microseconds; None if none has arrived.
-        service_time_us: Predicted time for each request in flight, microseconds.
-        healthy: Whether outlier detection lets it be sampled.
+        in_flight: Attempts of this balancer in flight at the backend.
+        abandoned: Attempts of this balancer that ended but may still run at the backend, decayed by age.
+        other_load: Estimated requests in flight from all other balancers.
+        report_age_us: Age of the latest load report, microseconds; None if there is none.
+        service_time_us: Predicted service time per request in flight, microseconds.
+        healthy: Whether outlier detection admits the backend to sampling.
     """
 
     backend: BackendId
--- a/lilacsill/balancing/interface/checks.py
+++ b/lilacsill/balancing/interface/checks.py
@@ -1,4 +1,4 @@
-"""Validation that the types of the interface share."""
+"""Validation helpers of the interface types."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 def require(condition: bool, field: str, rule: str) -> None:
-    """Raise a ValueError that names the field and the rule which it breaks, unless the condition holds."""
+    """Raise a ValueError that names the field and the violated rule if the condition is false."""
     if not condition:
         raise ValueError(f"{field}: {rule}")
 
 
 def require_finite_non_negative(value: float, field: str) -> None:
-    """Raise a ValueError unless the value is a finite number of 0 or more."""
+    """Raise a ValueError that names the field unless the value is finite and at least 0."""
     require(isfinite(value) and value >= 0, field, "must be finite and not negative")
--- a/lilacsill/balancing/interface/events.py
+++ b/lilacsill/balancing/interface/events.py
@@ -1,4 +1,4 @@
-"""Events: what the caller passes to `Balancer.handle`, in the order in which it happened."""
+"""Events that the caller passes to `Balancer.handle`, in the order of their occurrence."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True)
 class BackendsChanged:
-    """An update of the list of backends. A balancer's first event is one of kind CACHED, even if it is empty.
+    """The list of backends changed. The first event of a balancer has kind CACHED, even if that list is empty.
 
     Attributes:
-        kind: How the update changes the list.
-        backends: The entries; empty for FAILED.
+        kind: How to apply the entries to the list.
+        backends: Entries of the update; empty for FAILED.
     """
 
     kind: ListKind
@@ -24,11 +24,11 @@
 
 @dataclass(slots=True)
 class TenantChanged:
-    """A tenant was added, changed or removed. Its requests in flight continue either way.
+    """A tenant was added, changed or removed. Its requests in flight continue.
 
     Attributes:
-        tenant: Number of the tenant, as requests name it; those of `Settings.tenants` count from 0.
-        definition: The tenant as it is now; None if it was removed.
+        tenant: Number of the tenant in `RequestArrived.tenant`; `Settings.tenants` are numbered from 0.
+        definition: New definition of the tenant; None if it was removed.
     """
 
     tenant: int
@@ -37,14 +37,14 @@
 
 @dataclass(slots=True)
 class MaintenanceChanged:
-    """An operator takes a backend out of service or returns it.
+    """An operator took a backend out of service or returned it to service.
 
-    A backend in maintenance gets no new work whatever discovery says, and is warming up when it returns. A backend
-    that discovery has not listed yet can be taken out, too.
+    A backend in maintenance receives no new work, regardless of its state in discovery, and warms up when it returns
+    to service. The backend need not be in the discovery list yet.
 
     Attributes:
         backend: Identity of the backend.
-        in_maintenance: Whether the backend is out of service from now on.
+        in_maintenance: Whether the backend is now out of service.
     """
 
     backend: BackendId
@@ -53,16 +53,16 @@
 
 @dataclass(slots=True)
 class RequestArrived:
-    """A client sent a request; the balancer owes it one final answer within `timeout_us`.
+    """A client sent a request; the balancer must give exactly one final answer within `timeout_us`.
 
     Attributes:
-        request: Number of the request; no open request has the same.
+        request: Number of the request, unique among open requests.
         request_class: Index into `Settings.classes`.
-        timeout_us: Time until the client gives up; microseconds.
-        tenant: Index into `Settings.tenants`, or a number that TenantChanged introduced; 0 by default.
-        affinity_key: Equal keys mean related requests; 0, the default, for none.
-        cost_hint_us: Estimated work on a standard core; microseconds, 0, the default, if unknown.
-        is_retry: The client marked the request as a retry; False by default.
+        timeout_us: Time until the client's time-out; microseconds.
+        tenant: Index into `Settings.tenants`, or a number from a TenantChanged event; 0 by default.
+        affinity_key: Key that related requests share; 0 for none (default).
+        cost_hint_us: Estimated work on a standard core; microseconds, 0 if unknown (default).
+        is_retry: Whether the client marked the request as a retry; False by default.
     """
 
     request: int
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True)
 class StreamStarted:
-    """A streamed response has begun; the attempt serves the client from now on.
+    """A streamed response started; the attempt serves the client from now on.
 
     Attributes:
         request: Number of the request.
@@ -89,14 +89,14 @@
 
 @dataclass(slots=True)
 class UploadChanged:
-    """The body of an attempt is still being sent, or has now been sent completely.
+    """The upload of an attempt's request body is in progress or complete.
 
-    The backend has not begun the request before; time until then says nothing about its speed.
+    The backend starts to process the request when the upload is complete; upload time does not measure its speed.
 
     Attributes:
         request: Number of the request.
         attempt: Number of the attempt.
-        complete: Whether the last byte has been sent.
+        complete: Whether the last byte of the body has been sent.
     """
 
     request: int
@@ -106,15 +106,15 @@
 
 @dataclass(slots=True)
 class AttemptEnded:
-    """An attempt ended; each attempt ends exactly once.
+    """An attempt ended; there is exactly one such event for each attempt.
 
     Attributes:
         request: Number of the request.
         attempt: Number of the attempt: 0, 1, 2 ... in the order of the request's Send actions.
         backend: Backend of the attempt.
-        outcome: How it ended.
-        latency_us: Time from its start to its end; microseconds.
-        is_answered: The client has its response and is owed nothing more.
+        outcome: How the attempt ended.
+        latency_us: Time from the start of the attempt to its end; microseconds.
+        is_answered: Whether the client has received its response, so that no final answer is due.
         report: Load report of the backend by `Settings.report_fields`; empty, the default, if none was attached.
     """
 
@@ -129,7 +129,7 @@
 
 @dataclass(slots=True)
 class ClientDisconnected:
-    """The client left; it is owed nothing more.
+    """The client disconnected; no final answer is due.
 
     Attributes:
         request: Number of the request.
@@ -140,10 +140,10 @@
 
 @dataclass(slots=True)
 class TimerFired:
-    """A timer that SetTimer asked for is due.
+    """A timer of a SetTimer action fired.
 
     Attributes:
-        token: The token of the SetTimer action.
+        token: Token of the SetTimer action.
     """
 
     token: int
@@ -151,12 +151,12 @@
 
 @dataclass(slots=True)
 class ProbeEnded:
-    """A probe ended; each Probe action ends exactly once.
+    """A probe ended; there is exactly one such event for each Probe action.
 
     Attributes:
         backend: Backend that was probed.
         outcome: How the probe ended.
-        latency_us: Time from its start to its end; microseconds.
+        latency_us: Time from the start of the probe to its end; microseconds.
         report: Load report of the backend by `Settings.report_fields`; empty, the default, if none was attached.
     """
 
@@ -168,11 +168,11 @@
 
 @dataclass(slots=True)
 class PeerMessageReceived:
-    """Another balancer sent a message, which may be late or wrong.
+    """A message of another balancer arrived; its content may be outdated or wrong.
 
     Attributes:
-        peer: Number of the sender among the balancers.
-        payload: The message, 256 bytes at most.
+        peer: Index of the sending balancer.
+        payload: Message body, 256 bytes at most.
     """
 
     peer: int
@@ -183,13 +183,13 @@
 class FleetChanged:
     """The number of balancers or this balancer's share of the warm-up budget changed.
 
-    Without this event the number is the one of the settings and all shares are equal.
+    Until the first such event, the number is `Settings.balancer_count` and all shares are equal.
 
     Attributes:
-        balancer_count: Balancers of the fleet, this one included.
-        warm_up_share: Share of the warm-up budget that this balancer may spend until `until_us`; 0 to 1.
+        balancer_count: Number of balancers in the fleet, including this one.
+        warm_up_share: Fraction of the warm-up budget that this balancer may spend until `until_us`; 0 to 1.
         until_us: Clock time at which `warm_up_share` ends; microseconds.
-        warm_up_share_after: Its share from `until_us` on, unless another event changes it; 0 to 1.
+        warm_up_share_after: Fraction from `until_us` on, unless another event changes it; 0 to 1.
     """
 
     balancer_count: int
@@ -208,13 +208,14 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerHealthChanged:
-    """What other balancers report about the health of one backend changed.
+    """The health of a backend as reported by other balancers changed.
 
-    The report is ignored if the backend has answered this balancer after `observed_at_us`.
+    The report is ignored if this balancer received a response from the backend after `observed_at_us`.
 
     Attributes:
         backend: Identity of the backend.
-        ejected: Several balancers found it unhealthy, and it gets nothing; otherwise it is sampled less often.
+        ejected: True: several balancers found the backend unhealthy, and it receives no requests. False: it is sampled
+            less often.
         observed_at_us: Clock time of the latest observation; microseconds.
         expires_at_us: Clock time at which the report expires; microseconds.
     """
@@ -227,16 +228,16 @@
 
 @dataclass(slots=True, frozen=True)
 class LatencyModelRestored:
-    """What an earlier incarnation of this balancer learned about response times.
+    """Latency statistics that an earlier incarnation of this balancer learned.
 
-    It is used until the first response arrives and counts as `answers` responses from then on. Until `capped_until_us`
-    a slow response is attributed to a backend that may be warming up, not to a slower fleet.
+    The model is used until the first response arrives, and has the weight of `answers` responses from then on. Until
+    `capped_until_us` a slow response is attributed to a backend that may be warming up, not to a slower fleet.
 
     Attributes:
-        service_time_us: Time of a warm backend for each request in flight; microseconds, 0 if unknown.
+        service_time_us: Service time of a warm backend per request in flight; microseconds, 0 if unknown.
         typical_latency_us: Mean latency of responses; microseconds.
-        answers: Number of responses that the model rests on.
-        capped_until_us: Clock time at which the cap ends; microseconds, 0, the default, for no cap.
+        answers: Number of responses from which the model was learned.
+        capped_until_us: Clock time at which the cap on service times ends; microseconds, 0 for no cap (default).
     """
 
     service_time_us: float
--- a/lilacsill/balancing/interface/settings.py
+++ b/lilacsill/balancing/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings: what a balancer is given once, when it is created."""
+"""Settings of a balancer, fixed when it is created."""
 
 from __future__ import annotations
 
@@ -11,15 +11,15 @@
 
 
 class Idempotency(Enum):
-    """What happens if a request runs more than once."""
+    """Whether a request may be executed more than once."""
 
-    IDEMPOTENT = "safe"  # it may be repeated at will
-    DEDUPLICATED = "keyed"  # backends of one scope drop repeats for a while
-    NOT_IDEMPOTENT = "unsafe"  # it must not run twice
+    IDEMPOTENT = "safe"  # may be executed any number of times
+    DEDUPLICATED = "keyed"  # the backends of one scope deduplicate attempts within a time window
+    NOT_IDEMPOTENT = "unsafe"  # must not be executed twice
 
 
 class DedupScope(Enum):
-    """Which backends drop the repeats of a deduplicated request together."""
+    """Group of backends that share the deduplication of a request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -28,19 +28,19 @@
 
 @dataclass(slots=True, frozen=True)
 class RequestClass:
-    """One class of requests.
+    """A class of requests with the same targets and retry rules.
 
     Attributes:
         name: Name of the class.
-        latency_target_us: A response within this time earns the full value; microseconds, above 0.
-        deadline_us: The client's total wait over all its tries; microseconds, above 0.
-        idempotency: What a repeat does; IDEMPOTENT by default.
-        dedup_scope: Which backends drop repeats, for DEDUPLICATED only; ALL by default.
-        dedup_window_us: How long repeats are dropped, from the first attempt that may have run, for DEDUPLICATED
-            only; microseconds, 0 by default.
-        value: Value of a response in time, in the caller's unit; 1.0 by default.
-        late_value: Share of the value that a response after the target earns, 0 to 1; 0.0 by default.
-        target_per_cost: The target grows by this multiple of the request's estimated cost; 0.0 by default.
+        latency_target_us: Latency up to which a response has its full value; microseconds, above 0.
+        deadline_us: Total time that the client waits, including its own retries; microseconds, above 0.
+        idempotency: Whether a request may be executed more than once; IDEMPOTENT by default.
+        dedup_scope: Backends that deduplicate together, for DEDUPLICATED only; ALL by default.
+        dedup_window_us: Time from the first attempt that may have run during which backends drop duplicates, for
+            DEDUPLICATED only; microseconds, 0 by default.
+        value: Value of a response within the latency target, in the caller's unit; 1.0 by default.
+        late_value: Fraction of the value that a response after the latency target keeps, 0 to 1; 0.0 by default.
+        target_per_cost: Multiple of a request's estimated cost that is added to its latency target; 0.0 by default.
     """
 
     name: str
@@ -64,12 +64,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Tenant:
-    """A customer and its quota.
+    """A tenant and its quota.
 
     Attributes:
         name: Name of the tenant.
-        quota_per_s: Requests a second within its quota, over all balancers; 0.0, the default, for no quota.
-        share: Its share of the capacity, in the caller's unit; 0.0 by default. No decision reads it.
+        quota_per_s: Quota in requests per second over all balancers; 0.0 for no quota (default).
+        share: Share of the capacity, in the caller's unit; 0.0 by default. The library does not use it.
     """
 
     name: str
@@ -82,14 +82,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Prices:
-    """What is deducted from the value of responses, in the same unit; each is 0.0 by default.
+    """Costs that are deducted from the value of responses, in the same unit; each is 0.0 by default.
 
     Attributes:
-        cross_zone: Each attempt that crosses zones, per first try.
-        waste: Backend work that served no response, as a share of the work offered.
-        late_fail: Value of requests that failed after their target.
-        probe: Each probe, per first try.
-        peer: Each 256 bytes delivered to another balancer, per first try.
+        cross_zone: Price of each attempt that crosses zones; the total is divided by the number of first tries.
+        waste: Price of backend work that led to no response, as a fraction of the offered work.
+        late_fail: Price of requests that fail after their latency target, as a factor on their value.
+        probe: Price of each probe; the total is divided by the number of first tries.
+        peer: Price of each 256 bytes delivered to another balancer; the total is divided by the number of first tries.
     """
 
     cross_zone: float = 0.0
@@ -105,37 +105,37 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """What a balancer is given once, when it is created.
+    """Configuration of a balancer, fixed when it is created.
 
     Attributes:
-        classes: Classes of requests, at least one; `RequestArrived.request_class` is an index into them.
-        tenants: Tenants known from the start; none by default.
-        zone: Number of the zone that this balancer runs in; 0 by default.
-        balancer_count: Balancers of the fleet, this one included; 1 by default.
-        balancer_index: Number of this balancer among them, from 0; 0 by default.
-        report_fields: Meaning of each number in a load report; none by default.
-        discovery: How updates of the list of backends arrive; PUSH by default.
-        poll_within_us: With POLL, an update that was not asked for within this time counts as received;
+        classes: Request classes, at least one; `RequestArrived.request_class` is an index into this tuple.
+        tenants: Initial tenants; none by default.
+        zone: Number of the zone in which this balancer runs; 0 by default.
+        balancer_count: Number of balancers in the fleet, including this one; 1 by default.
+        balancer_index: Index of this balancer in the fleet, from 0; 0 by default.
+        report_fields: Names of the fields of a load report, in order; none by default.
+        discovery: How updates of the list of backends are delivered; PUSH by default.
+        poll_within_us: With POLL, an update that is not requested within this time is treated as received;
             microseconds, 10 s by default.
-        can_cancel: Attempts can be cancelled; True by default.
-        can_probe: Backends can be probed for their load; False by default.
-        can_message_peers: Balancers can send each other short messages, which may be lost; False by default.
-        can_hedge: Two attempts of one request may be in flight at once; True by default.
-        max_attempts: Attempts of one request; 6 by default.
-        can_advise_retry: A rejection may carry a time after which to retry; False by default.
-        max_retry_after_us: Upper bound of that time; microseconds, 1 s by default.
-        tick_us: Events arrive in rounds at least this far apart; microseconds, 1 ms by default.
-        answer_grace_us: A final answer this late after the client's deadline still counts; microseconds, 0 by
-            default.
-        over_quota_value: Share of its value that a request beyond its tenant's quota keeps, 0 to 1; 1.0 by default.
-        capacity_hints: `Backend.capacity_hint` is meaningful; False by default.
-        warm_up_start_fraction: A backend starts with at least this share of its capacity, above 0 and at most 1;
+        can_cancel: Whether attempts can be cancelled; True by default.
+        can_probe: Whether backends can be probed for their load; False by default.
+        can_message_peers: Whether balancers can exchange short messages, which may be lost; False by default.
+        can_hedge: Whether two attempts of a request may be in flight at the same time; True by default.
+        max_attempts: Upper bound of the attempts of a request; 6 by default.
+        can_advise_retry: Whether a rejection may carry a retry delay; False by default.
+        max_retry_after_us: Upper bound of that delay; microseconds, 1 s by default.
+        tick_us: Minimum interval between two rounds of events; microseconds, 1 ms by default.
+        answer_grace_us: Time after the client's deadline during which a final answer is still accepted;
+            microseconds, 0 by default.
+        over_quota_value: Fraction of its value that a request over its tenant's quota keeps, 0 to 1; 1.0 by default.
+        capacity_hints: Whether `Backend.capacity_hint` is valid; False by default.
+        warm_up_start_fraction: Minimum fraction of its capacity with which a backend starts, above 0 and at most 1;
             1.0 by default.
-        warm_up_us: A backend has its full capacity this long after its start; microseconds, 0 by default.
-        overload_multiple: A warming backend that is sent more than this multiple of its capacity within
-            `overload_window_us` collapses; 3.0 by default.
-        overload_window_us: Window of `overload_multiple`; microseconds, 1 s by default.
-        prices: What is deducted from the value of responses; nothing by default.
+        warm_up_us: Time from its start until a backend has its full capacity; microseconds, 0 by default.
+        overload_multiple: Multiple of its current capacity above which a warming backend collapses if it receives
+            that load within `overload_window_us`; 3.0 by default.
+        overload_window_us: Time window of `overload_multiple`; microseconds, 1 s by default.
+        prices: Costs that are deducted from the value of responses; none by default.
     """
 
     classes: tuple[RequestClass, ...]
--- a/lilacsill/balancing/logic/affinity.py
+++ b/lilacsill/balancing/logic/affinity.py
@@ -1,7 +1,7 @@
-"""Affinity: the backends that requests with one key sample first, the same at every balancer.
+"""Affinity: maps each key to the backends that its requests sample first, identically at every balancer.
 
-A backend that has just worked for a key does less work for it. Two uniform samples drawn by the key instead of the
-request keep that advantage, and bands still choose between them (Nasir et al., ICDE 2015).
+A backend that recently served a key needs less work for the next request with it. Drawing the two uniform samples by
+key instead of by request preserves this advantage, and load bands still choose between them (Nasir et al., ICDE 2015).
 """
 
 from __future__ import annotations
@@ -11,30 +11,30 @@
 from ..mechanisms.rendezvous import score
 from .records import BackendRecord
 
-BACKENDS_PER_KEY = 3  # the third replaces one of the first two that may not be sampled
-MAX_KEYS = 4096  # keys remembered; any other costs a search of the complete list
+BACKENDS_PER_KEY = 3  # the third one replaces one of the first two if that is not eligible
+MAX_KEYS = 4096  # size of the cache; a miss costs a search of the complete list of backends
 
 
 class AffinityMap:
-    """Backends by key, by rendezvous hashing: a backend that leaves or joins moves only its own keys."""
+    """Backends by key, by rendezvous hashing: when a backend joins or leaves, only its own keys move."""
 
     def __init__(self) -> None:
         self._by_key: dict[int, tuple[BackendRecord, ...]] = {}
-        self._tagged: list[tuple[int, BackendRecord]] = []
+        self._hashed: list[tuple[int, BackendRecord]] = []
 
     def set_backends(self, ready: list[BackendRecord]) -> None:
-        """Distribute keys over these backends from now on."""
+        """Set the backends over which keys are distributed."""
         self._by_key.clear()
-        self._tagged = [(backend.tag, backend) for backend in ready]
+        self._hashed = [(backend.id_hash, backend) for backend in ready]
 
     def backends_for(self, key: int) -> tuple[BackendRecord, ...]:
-        """Return the backends of a key, first choice first; none for key 0, which stands for no key."""
+        """Return the backends of a key in order of preference; none for key 0, which means no key."""
         if not key:
             return ()
         backends = self._by_key.get(key)
         if backends is None:
             if len(self._by_key) >= MAX_KEYS:
                 del self._by_key[next(iter(self._by_key))]
-            highest = nlargest(BACKENDS_PER_KEY, self._tagged, lambda tagged: score(tagged[0], key))
+            highest = nlargest(BACKENDS_PER_KEY, self._hashed, lambda hashed: score(hashed[0], key))
             backends = self._by_key[key] = tuple(backend for _, backend in highest)
         return backends
--- a/lilacsill/balancing/logic/attempts.py
+++ b/lilacsill/balancing/logic/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts: how they are sent, what their end means for a request, and the one final answer."""
+"""Attempts: sending them, handling their outcomes, and giving each request exactly one final answer."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 from .sampling import Sampler
 from .tenant_quotas import TenantQuotas
 
-RETRY_AFTER_LATENCIES = 4.0  # advised time to a client's retry: sooner it competes with others, and is late
+RETRY_AFTER_LATENCIES = 4.0  # advised retry delay in typical latencies: earlier ones compete with others and are late
 
 
 class AttemptListener(Protocol):
-    """What the attempt manager calls when attempts have ended."""
+    """Callbacks of the attempt manager for ended attempts."""
 
     def schedule(self, request: RequestRecord) -> None:
-        """Make another attempt for a request without any in flight, or finish it."""
+        """Start another attempt of a request that has none in flight, or finish the request."""
 
     def on_capacity_freed(self) -> None:
-        """Use the capacity that an ended attempt has freed."""
+        """Schedule queued requests after an attempt has freed capacity."""
 
 
 class AttemptManager:
@@ -46,9 +46,9 @@
     Attributes:
         requests: Open requests by number.
         waiting: Numbers of the requests that are queued because all backends are busy.
-        window: The window on attempts in flight.
-        retry_budget: The budget of further attempts.
-        overdue: Watches the attempts in flight.
+        window: Limit of the attempts in flight.
+        retry_budget: Budget of retries and hedged attempts.
+        overdue: Monitor of overdue attempts.
     """
 
     def __init__(
@@ -71,9 +71,9 @@
         """Start an attempt.
 
         Args:
-            request: The request.
-            backend: Where to send it.
-            load: Estimated load of the backend with this attempt.
+            request: Request to send.
+            backend: Backend that receives the attempt.
+            load: Estimated load of the backend, including this attempt.
         """
         now = self._context.now
         attempt = AttemptRecord(request.attempt_count, backend, now, load)
@@ -87,10 +87,10 @@
         self.overdue.start()
         timeout_us = max(1, request.deadline - now - self._context.answer_margin_us)
         self._context.actions.append(Send(request.id, backend.id, timeout_us))
-        self.overdue.plan_hedge(request, attempt.number)
+        self.overdue.schedule_hedge(request, attempt.number)
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from the end of an attempt, then answer or retry its request."""
+        """Record the outcome of an attempt, then answer or retry its request."""
         now, request = self._context.now, self.requests.get(event.request)
         if request is None or event.attempt not in request.in_flight:
             return
@@ -98,7 +98,7 @@
         attempt = request.in_flight.pop(event.attempt)
         if attempt.backend.in_flight.pop((request.id, event.attempt), None) is not None:
             self.window.record_end(now, event.outcome is Outcome.OK)
-        self._learn(event, attempt)
+        self._record_outcome(event, attempt)
         if event.outcome in NEVER_RAN:
             request.may_have_run = [other for other in request.may_have_run if other.number != event.attempt]
         if event.is_answered and not request.is_answered:
@@ -111,18 +111,18 @@
         self._listener.on_capacity_freed()
 
     def on_stream_started(self, event: StreamStarted) -> None:
-        """Regard the request as answered; while the response streams, the attempt is no load for its backend."""
+        """Treat the request as answered; a streaming attempt does not count as load of its backend."""
         request = self.requests.get(event.request)
         if request is None or event.attempt not in request.in_flight:
             return
         backend = request.in_flight[event.attempt].backend
         self._suspend(request, event.attempt, is_answered=True)
-        request.is_answered, backend.answered_at = True, self._context.now
+        request.is_answered, backend.responded_at = True, self._context.now
         self._cancel_attempts(request, keep=event.attempt)
         self._listener.on_capacity_freed()
 
     def on_upload_changed(self, event: UploadChanged) -> None:
-        """Regard the attempt as no load for its backend until its request is sent completely."""
+        """Exclude the attempt from the load of its backend until the upload of its request is complete."""
         request, now = self.requests.get(event.request), self._context.now
         if request is None or event.attempt not in request.in_flight:
             return
@@ -135,38 +135,40 @@
         self._listener.on_capacity_freed()
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Close the request: no answer is owed."""
+        """Close the request, since no final answer is due."""
         request = self.requests.get(event.request)
         if request is not None and not request.is_answered:
             self._close(request)
 
     def finish(self, request: RequestRecord) -> None:
-        """Answer a request finally without a response: rejected where that is truthful, failed otherwise."""
+        """Give a final answer without a response: Reject if a client's retry is harmless, otherwise Fail."""
         if request.may_reject():
             self._context.actions.append(Reject(request.id, self._retry_after_us()))
         else:
             self._context.actions.append(Fail(request.id))
         self._close(request)
 
-    def _learn(self, event: AttemptEnded, attempt: AttemptRecord) -> None:
-        """Update everything that is known about the backend of an attempt that has ended."""
+    def _record_outcome(self, event: AttemptEnded, attempt: AttemptRecord) -> None:
+        """Update load, latency, health, peers and quotas with the outcome of an attempt."""
         now, backend, table = self._context.now, attempt.backend, self._table
         is_timed = attempt.sent_at >= self._context.resumed_at
         table.record_attempt(now, backend, event, attempt.load, is_timed)
         load = table.reported_load(event.report)
         if self._peers.fanout and event.outcome is Outcome.OK and load is not None:
             self._peers.send_report(backend, load - 1)
-        # A time-out counts against a backend only if it has answered nothing since the start of the attempt; otherwise
-        # it is slow, not faulty. A backend that rejects for its load answers: the table has that load.
+        # A time-out counts as a failure of a backend only if no response arrived since the start of the attempt;
+        # otherwise the backend is slow, not faulty. A backend that rejects because of overload is healthy: the load
+        # table already contains its load.
         is_overloaded = is_overload_rejection(event, table.load_column, table.mean_load)
-        was_silent = event.outcome is not Outcome.TIMEOUT or backend.answered_at <= attempt.sent_at
-        if not is_overloaded and was_silent:
+        counts_as_evidence = event.outcome is not Outcome.TIMEOUT or backend.responded_at <= attempt.sent_at
+        if not is_overloaded and counts_as_evidence:
             was_fast = event.latency_us < FAST_FAILURE * table.typical_latency_us
             self._sampler.outliers.record_attempt(backend, now, event.outcome, was_fast)
         self._quotas.record_traffic(len(backend.in_flight) + 1, max(0.0, backend.other_load))
 
     def _retry(self, request: RequestRecord, outcome: Outcome) -> None:
-        # Unbounded retries at full backends made twenty attempts of a request. A failed connect loads no backend.
+        # Unbounded retries at saturated backends led to twenty attempts per request. A failed connect costs no token,
+        # since it puts no load on a backend.
         if outcome is not Outcome.CONNECT_FAILED:
             if self.retry_budget.is_empty():
                 self.finish(request)
@@ -175,7 +177,7 @@
         self._listener.schedule(request)
 
     def _suspend(self, request: RequestRecord, attempt: int, is_answered: bool) -> None:
-        """Take an attempt out of the load of its backend and out of the window."""
+        """Remove an attempt from the load of its backend and from the concurrency window."""
         backend = request.in_flight[attempt].backend
         if backend.in_flight.pop((request.id, attempt), None) is not None:
             self.window.record_end(self._context.now, is_answered)
@@ -187,7 +189,7 @@
         return min(int(RETRY_AFTER_LATENCIES * self._table.typical_latency_us), settings.max_retry_after_us)
 
     def _close(self, request: RequestRecord) -> None:
-        """End a request that is owed no answer any more, as soon as its attempts have ended."""
+        """Mark a request as answered, cancel its attempts, and remove it once none is in flight."""
         request.is_answered = True
         self.waiting.discard(request.id)
         self._cancel_attempts(request)
--- a/lilacsill/balancing/logic/balancer.py
+++ b/lilacsill/balancing/logic/balancer.py
@@ -1,4 +1,4 @@
-"""The balancer: its components, connected, and the one entry point for events."""
+"""Balancer: connects the components and is the single entry point for events."""
 
 from __future__ import annotations
 
@@ -39,14 +39,14 @@
 
 
 class Balancer:
-    """One client-side load balancer. Pass every event to `handle` in order; carry out the returned actions in order.
+    """A client-side load balancer. Pass all events to `handle` in order, and execute the returned actions in order.
 
     Attributes:
-        context: What all components share.
-        table: Load of the backends.
-        members: The backends.
+        context: State that all components share.
+        table: Load and service times of the backends.
+        members: Backends of the balancer.
         sampler: Draws backends for requests.
-        attempts: The open requests and their attempts.
+        attempts: Open requests and their attempts.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -83,29 +83,31 @@
 
         Args:
             now: Clock time of the event, microseconds; it never decreases.
-            event: The event.
+            event: Event to handle.
 
         Returns:
-            The actions to carry out, in order.
+            Actions to execute, in order.
 
         Raises:
-            TypeError: The object is no event of the interface.
-            ValueError: A request contradicts the settings or is open already.
+            TypeError: The object is not an event type of the interface.
+            ValueError: A request does not conform to the settings or is already open.
         """
         handler = self._handlers.get(type(event))
         if handler is None:
-            raise TypeError(f"{type(event).__name__} is no event of the interface")
+            raise TypeError(f"{type(event).__name__} is not an event type of the interface")
         self.context.begin_event(now)
         handler(event)
         return self.context.actions
 
     def estimates(self, now: int) -> list[BackendEstimate]:
-        """Return what is estimated about each backend that accepts work; operators explain rejections with it."""
+        """Return the estimates for each backend that accepts work, which explain rejections to operators."""
         return [self._estimate(backend, now) for backend in self.members.ready]
 
     def latency_model(self) -> LatencyModelRestored:
-        """Return what a later incarnation may start with."""
-        return LatencyModelRestored(self.table.service_time_us, self.table.typical_latency_us, self.table.answer_count)
+        """Return the learned latency model, with which a later incarnation can start."""
+        return LatencyModelRestored(
+            self.table.service_time_us, self.table.typical_latency_us, self.table.response_count
+        )
 
     def _estimate(self, backend: BackendRecord, now: int) -> BackendEstimate:
         return BackendEstimate(
@@ -134,7 +136,7 @@
             self.attempts.window.restart(self.context.now, len(ready))
         self.sampler.affinity.set_backends(ready)
         self.sampler.saturation.clear()
-        self.sampler.picks_left = 0  # the cutoffs belong to the list before
+        self.sampler.picks_until_refresh = 0  # the cutoffs were calculated for the previous list
 
     def _on_fleet_changed(self, event: FleetChanged) -> None:
         self.context.balancer_count = self.attempts.window.balancer_count = event.balancer_count
--- a/lilacsill/balancing/logic/context.py
+++ b/lilacsill/balancing/logic/context.py
@@ -1,4 +1,4 @@
-"""The context that all components of one balancer share: settings, random numbers, time, actions and timers."""
+"""Context that the components of a balancer share: settings, random numbers, time, actions and timers."""
 
 from __future__ import annotations
 
@@ -8,26 +8,26 @@
 from ..interface import Action, Log, SetTimer, Settings, TimerFired
 from ..mechanisms.deadline_queue import DeadlineQueue
 
-HEARTBEAT_US = 10_000  # while attempts are in flight a timer is due at least this often
-STALL_US = 10_000  # a timer that fires later than this shows that the caller stood still,
-USUAL_LAG = 4.0  # unless it is at most this multiple of the usual lag: then the caller's CPU is saturated
-LAG_GAIN = 0.25  # weight of a new sample in the smoothed lag of timers
-BACKLOG_SHARE = 0.1  # share of a stall that the caller takes to read what has arrived meanwhile
+HEARTBEAT_US = 10_000  # interval between timers while attempts are in flight
+MIN_STALL_US = 10_000  # lag of a timer above which the caller has stalled
+STALL_LAG_MULTIPLE = 4.0  # a lag up to this multiple of the smoothed lag is not a stall: the caller's CPU is saturated
+LAG_GAIN = 0.25  # weight of a new sample in the smoothed timer lag
+BACKLOG_SHARE = 0.1  # fraction of a stall's duration that the caller needs to read the events that arrived during it
 
 
 class Context:
-    """State of one balancer that belongs to none of its components; it handles one event at a time.
+    """State that the components of a balancer share while it handles one event at a time.
 
     Attributes:
-        settings: The settings of the balancer.
-        rng: Source of random numbers; the order of draws is part of the behaviour.
-        balancer_count: Balancers of the fleet, this one included.
+        settings: Settings of the balancer.
+        rng: Random source; the order of draws is part of the behaviour.
+        balancer_count: Number of balancers in the fleet, including this one.
         now: Clock time of the current event, microseconds.
-        actions: Actions of the current event.
-        resumed_at: Clock time at which the caller last resumed after it had stood still, microseconds; 0 for never.
-        stall_us: How long it had stood still then, microseconds.
-        timer_lag_us: Smoothed lateness of timers, microseconds.
-        answer_margin_us: Attempts and queues end this long before the client's deadline, microseconds.
+        actions: Actions that result from the current event.
+        resumed_at: Clock time at which the caller last resumed after a stall, microseconds; 0 for never.
+        stall_us: Duration of that stall, microseconds.
+        timer_lag_us: Smoothed lag of timers, microseconds.
+        answer_margin_us: Time before the client's deadline at which attempts and queueing end, microseconds.
     """
 
     def __init__(self, settings: Settings, seed: int) -> None:
@@ -38,38 +38,38 @@
         self.resumed_at = self.stall_us = 0
         self.timer_lag_us = 0.0
         self._deadlines = DeadlineQueue()
-        # The answer is given one round after the end: so the end is two rounds before the deadline, or in the first
-        # half of the grace period.
+        # The final answer follows one round after the end of an attempt. Therefore attempts end two rounds before the
+        # deadline; a grace period reduces this margin by half of its length.
         self.answer_margin_us = max(0, 2 * settings.tick_us - settings.answer_grace_us // 2)
 
     def begin_event(self, now: int) -> None:
-        """Start handling an event; detect whether the caller has stood still before it."""
-        # What the caller measured across a stall says nothing about backends.
+        """Start handling an event and detect whether the caller stalled before it."""
+        # Times that the caller measured across a stall do not characterise backends.
         armed_at = self._deadlines.armed_at
-        if armed_at is not None and now - armed_at > max(STALL_US, USUAL_LAG * self.timer_lag_us):
+        if armed_at is not None and now - armed_at > max(MIN_STALL_US, STALL_LAG_MULTIPLE * self.timer_lag_us):
             self.resumed_at, self.stall_us = now, now - armed_at
         self.now, self.actions = now, []
 
     def is_reading_backlog(self) -> bool:
-        """Return whether the current event has probably waited while the caller stood still."""
+        """Return whether the current event probably waited unread while the caller stalled."""
         return self.now - self.resumed_at < BACKLOG_SHARE * self.stall_us
 
     def log(self, text: str) -> None:
-        """Write a line to the caller's log."""
+        """Add an action that writes a line to the caller's log."""
         self.actions.append(Log(text))
 
     def call_at(self, due_at: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Call the callback with the arguments at a clock time, and not before the next microsecond."""
+        """Schedule a call of the callback with the arguments at a clock time, but not before the next microsecond."""
         self._deadlines.add(max(due_at, self.now + 1), callback, *arguments)
         self._arm_timer()
 
     def repeat_while(self, check: Callable[[], bool]) -> None:
-        """Call `check` now and at each heartbeat until it returns False. These timers make stalls visible."""
+        """Call `check` now and at each heartbeat until it returns False. The heartbeat timers also reveal stalls."""
         if check():
             self.call_at(self.now + HEARTBEAT_US, self.repeat_while, check)
 
     def on_timer_fired(self, event: TimerFired) -> None:
-        """Run what is due, and arm the next timer."""
+        """Run the callbacks that are due and arm the next timer."""
         if event.token == self._deadlines.armed_at:
             self._deadlines.armed_at = None
             self.timer_lag_us += LAG_GAIN * (self.now - event.token - self.timer_lag_us)
--- a/lilacsill/balancing/logic/eligibility.py
+++ b/lilacsill/balancing/logic/eligibility.py
@@ -1,29 +1,29 @@
-"""Eligibility: which backends may be sampled for a request."""
+"""Eligibility: determines which backends may be sampled for a request."""
 
 from __future__ import annotations
 
 from ..interface import DedupScope
-from .load_table import FORGET_US, FRESH_US, LoadTable
+from .load_table import FULL_WEIGHT_AGE_US, STALE_AGE_US, LoadTable
 from .membership import Membership
 from .outlier_detection import OutlierDetector
 from .probe_policy import ProbePolicy
 from .records import BackendRecord, RequestRecord
 from .warm_up_budget import WarmUpBudget
 
-MAX_UNPREDICTED = 3.0  # attempts that all balancers together may have in flight at a backend whatever is predicted
-TARGET_SHARE = 0.45  # predicted time as a share of the time to the target: the rest is for the variance
-LOW_PRIORITY_SHARE = 0.2  # the same for a request that gives way
-GUESS_SHARE = 0.75  # of the time to the target that a prediction may take which rests on the mean of the table
-RETRY_UNKNOWN_US = 250_000  # a backend that cannot be probed and has no attempt of ours is tried again after this
-MAX_DRAW_PEER_UNHEALTHY = 0.5  # share of requests that may sample a backend which one other balancer reports unhealthy
-UNREPORTED_FACTOR = 2  # times the age of the median information: a backend silent for longer may hang
+MAX_UNPREDICTED_ATTEMPTS = 3.0  # attempts that all balancers may have in flight at a backend despite its prediction
+TARGET_SHARE = 0.45  # limit of the predicted time as a fraction of the time to the target: the rest allows for variance
+LOW_PRIORITY_SHARE = 0.2  # the same for low-priority requests
+ESTIMATE_SHARE = 0.75  # of the time to the target: limit of a prediction from outdated reports or the mean load
+UNOBSERVED_RETRY_US = 250_000  # time without report or send after which a backend that cannot be probed is tried again
+MAX_DRAW_PEER_UNHEALTHY = 0.5  # fraction of requests that may sample a backend which one other balancer finds unhealthy
+UNREPORTED_FACTOR = 2  # multiple of the median age of reports after which a backend without a report may hang
 
 
 class Eligibility:
-    """Combines the rules of repeats, outlier detection, the warm-up budget and predictions.
+    """Combines idempotency rules, outlier detection, the warm-up budget and predicted times.
 
     Attributes:
-        unpredicted_load: Attempts that this balancer may have in flight at a backend whatever is predicted.
+        unpredicted_load: This balancer's part of MAX_UNPREDICTED_ATTEMPTS.
     """
 
     def __init__(
@@ -42,28 +42,28 @@
         self._strictest_target_us = {
             c.name: min(other.latency_target_us for other in classes if other.value >= c.value) for c in classes
         }
-        # A report this young is knowledge, not a guess, and decides alone.
-        self._known_us: int | None = None
+        # Up to this age a load report alone decides whether a backend is feasible.
+        self._fresh_report_us: int | None = None
         if probe_policy.is_worthwhile:
-            self._known_us = probe_policy.timeout_us
+            self._fresh_report_us = probe_policy.timeout_us
         elif has_peer_reports:
-            self._known_us = FORGET_US
+            self._fresh_report_us = STALE_AGE_US
         self.set_balancer_count(self._context.settings.balancer_count)
 
     def set_balancer_count(self, balancer_count: int) -> None:
-        """Take over the number of balancers."""
-        self.unpredicted_load = MAX_UNPREDICTED / balancer_count
+        """Set the number of balancers in the fleet."""
+        self.unpredicted_load = MAX_UNPREDICTED_ATTEMPTS / balancer_count
 
     def candidates(self, request: RequestRecord) -> list[BackendRecord]:
-        """Return the backends that the rules of repeats allow for a request."""
+        """Return the ready backends that the idempotency rules allow for a request."""
         if not request.may_have_run or request.is_idempotent:
             return self._members.ready
         return [backend for backend in self._members.ready if self.may_run_on(request, backend)]
 
     def may_run_on(self, request: RequestRecord, backend: BackendRecord) -> bool:
-        """Return whether a backend accepts work and the rules of repeats allow the request there.
+        """Return whether a backend accepts work and the idempotency rules allow the request to run on it.
 
-        The answer changes with time: lists and dedup windows change while a probe is awaited.
+        The result can change while a probe is in flight: the list of backends changes and dedup windows end.
         """
         if not backend.accepts_work or not request.may_have_run or request.is_idempotent:
             return backend.accepts_work
@@ -78,14 +78,14 @@
         return backend.cell == first.backend.cell
 
     def admits(self, request: RequestRecord, backend: BackendRecord) -> bool:
-        """Return whether health and warm-up let a backend be sampled for a request."""
+        """Return whether health and warm-up allow a request to sample a backend."""
         now = self._context.now
-        if self._has_peer_reports and self._is_silent_to_all(request, backend):
+        if self._has_peer_reports and self._is_unreported_by_all(request, backend):
             return False
         peer_health = backend.peer_health
         if (
             peer_health.expires_at_us > now
-            and peer_health.observed_at_us > backend.answered_at  # a response to this balancer is better evidence
+            and peer_health.observed_at_us > backend.responded_at  # a response to this balancer is better evidence
             and (peer_health.ejected or request.uniform_draw > MAX_DRAW_PEER_UNHEALTHY)
         ):
             return False
@@ -94,10 +94,11 @@
         )
 
     def time_limit(self, request: RequestRecord) -> float:
-        """Return the longest predicted time with which a backend may be sampled, microseconds."""
+        """Return the limit of the predicted time for a backend to be sampled, microseconds."""
         if not self._table.service_time_us:
             return float("inf")
-        # A class with a long target must not queue more at backends than a class of at least its value can bear.
+        # Queues at backends that are acceptable for a class with a long target must be acceptable for each class of at
+        # least its value, too.
         share = LOW_PRIORITY_SHARE if request.low_priority else TARGET_SHARE
         time_left_us = request.target_at - self._context.now
         return min(time_left_us, self._strictest_target_us[request.request_class.name]) * share
@@ -110,59 +111,63 @@
         time_left_us: int,
         was_probed: bool = False,
     ) -> bool:
-        """Return whether a backend may be sampled by its predicted time and its load.
+        """Return whether predicted time and load allow a request to sample a backend.
 
         Args:
-            request: The request.
-            backend: The backend.
-            limit_us: Longest predicted time, microseconds.
+            request: Request to send.
+            backend: Backend to check.
+            limit_us: Limit of the predicted time, microseconds.
             time_left_us: Time to the target, microseconds.
-            was_probed: What is known about the backend is as good as it gets.
+            was_probed: Whether a probe has ended or is no longer awaited, so that no better information will follow.
         """
         now = self._context.now
-        # Expensive requests that not even an idle backend could answer in time took a third of the fleet. While most
-        # backends are idle they displace little, and estimates are rough: then they may try.
+        # Expensive requests that not even an idle backend could answer in time took a third of the fleet's capacity.
+        # They are admitted only while most backends are idle: they displace little then, and cost estimates are rough.
         cost = request.relative_cost
-        is_workable = cost <= 1.0 or cost * backend.service_time_us * min(1.0, self._table.mean_load) <= time_left_us
-        if self._known_us is not None and now - backend.reported_at <= self._known_us:
-            return self._is_feasible_as_known(request, backend, limit_us, is_workable)
+        can_meet_target = (
+            cost <= 1.0 or cost * backend.service_time_us * min(1.0, self._table.mean_load) <= time_left_us
+        )
+        if self._fresh_report_us is not None and now - backend.reported_at <= self._fresh_report_us:
+            return self._is_feasible_by_report(request, backend, limit_us, can_meet_target)
         if not was_probed and self._probe_policy.is_active():
-            return is_workable  # the probe decides, not an old report
+            return can_meet_target  # the probe decides, not an outdated report
         own_load, few_balancers = backend.own_load(now), self.unpredicted_load >= 1.0
-        # A balancer among few knows too little to reject by a guess: it may try a backend with next to no attempts of
-        # ours. Forty balancers with a free attempt each overloaded a slow fleet for seconds: there the guess decides,
-        # except for warming backends, which have a budget. Abandoned attempts count, or they would repeat forever.
+        # One of few balancers knows too little to reject by an estimate: a request may try a backend on which this
+        # balancer has almost no load. With many balancers the estimate decides, except for warming backends, which have
+        # a budget: forty balancers with one free attempt each overloaded a slow fleet for seconds. Abandoned attempts
+        # count as own load; otherwise they would be repeated forever.
         if own_load < 1.0 and (few_balancers or backend.capacity_fraction < 1.0):
-            return is_workable
-        unknown_us = now - max(backend.reported_at, backend.sent_at)
-        if few_balancers and not backend.in_flight and unknown_us > RETRY_UNKNOWN_US:
-            return is_workable  # no other event would ever correct the entry
+            return can_meet_target
+        unobserved_us = now - max(backend.reported_at, backend.sent_at)
+        if few_balancers and not backend.in_flight and unobserved_us > UNOBSERVED_RETRY_US:
+            return can_meet_target  # no other event would ever correct the estimate
         predicted_us = (own_load + self._table.other_load(backend, now) + cost) * backend.service_time_us
         if predicted_us <= limit_us:
             return True
-        guess_limit_us = time_left_us if few_balancers else GUESS_SHARE * time_left_us
-        return own_load < self.unpredicted_load and predicted_us <= guess_limit_us
+        estimate_limit_us = time_left_us if few_balancers else ESTIMATE_SHARE * time_left_us
+        return own_load < self.unpredicted_load and predicted_us <= estimate_limit_us
 
-    def _is_feasible_as_known(
-        self, request: RequestRecord, backend: BackendRecord, limit_us: float, is_workable: bool
+    def _is_feasible_by_report(
+        self, request: RequestRecord, backend: BackendRecord, limit_us: float, can_meet_target: bool
     ) -> bool:
         now = self._context.now
         load = backend.own_load(now) + self._table.other_load(backend, now)
         if load < 1.0:
-            return is_workable
-        # A response after the target keeps part of its value.
+            return can_meet_target
+        # A response after the target keeps part of its value, which extends the limit.
         late_us = 0.0
         if not request.low_priority:
             late_us = request.request_class.late_value * (request.deadline - request.target_at)
         return (load + request.relative_cost) * backend.service_time_us <= limit_us + TARGET_SHARE * late_us
 
-    def _is_silent_to_all(self, request: RequestRecord, backend: BackendRecord) -> bool:
-        """Return whether no balancer has reported anything about a backend for long.
+    def _is_unreported_by_all(self, request: RequestRecord, backend: BackendRecord) -> bool:
+        """Return whether no balancer has reported the load of a backend for a long time.
 
-        Where peers share every report, such a backend hangs: balancers that each found out by themselves lost a tenth
-        of all requests. Some requests still try it. Less is reported about warming backends.
+        Where peers share every report, such a backend probably hangs; when each balancer had to detect that itself, a
+        tenth of all requests was lost. Requests with a low draw still try the backend. Warming backends get a longer
+        limit, since they are reported less often.
         """
         now = self._context.now
         fraction = self._warm_up.capacity_fraction(backend, now)
         unreported_us = (now - backend.updated_at) * request.uniform_draw * fraction
-        return unreported_us > UNREPORTED_FACTOR * max(FRESH_US, now - self._table.median_updated_at)
+        return unreported_us > UNREPORTED_FACTOR * max(FULL_WEIGHT_AGE_US, now - self._table.median_updated_at)
--- a/lilacsill/balancing/logic/load_probing.py
+++ b/lilacsill/balancing/logic/load_probing.py
@@ -1,4 +1,4 @@
-"""Load probing: both samples of a request report their load before they are compared, where that is cheap."""
+"""Load probing: requests fresh load reports of both sampled backends before they are compared, where that is cheap."""
 
 from __future__ import annotations
 
@@ -10,28 +10,29 @@
 
 
 class ProbeListener(Protocol):
-    """What the prober calls when probes have ended."""
+    """Callbacks of the prober for ended probes."""
 
     def on_pair_ready(self, request: RequestRecord) -> None:
-        """Decide between the samples of a request: their reports have arrived or are no longer awaited."""
+        """Choose between the sampled backends of a request, whose reports have arrived or are no longer awaited."""
 
     def on_load_reported(self, backend: BackendRecord, load: float, requested_at: int) -> None:
-        """Take note of a load report before it enters the load table."""
+        """Handle a load report before it is recorded in the load table."""
 
     def time_left_us(self, request: RequestRecord) -> int:
-        """Return the time in which a response to a request is still of value, microseconds."""
+        """Return the time during which a response to the request still has value, microseconds."""
 
 
 class LoadProber:
-    """Sends probes, and keeps the requests that wait for their reports."""
+    """Sends probes and tracks the requests that wait for their load reports."""
 
     def __init__(self, sampler: Sampler, listener: ProbeListener) -> None:
         self._context, self._members, self._table = sampler.context, sampler.members, sampler.table
         self._sampler, self._policy, self._listener = sampler, sampler.probe_policy, listener
 
     def refresh_pair(self, request: RequestRecord, pair: Pair) -> None:
-        """Get fresh load reports of both samples where that is cheap, then have the listener decide."""
-        # With a request a second, each of fifty backends reports once a minute: two samples were no better than one.
+        """Request fresh load reports of both samples where that is cheap, then notify the listener."""
+        # At one request per second, each of fifty backends reports about once a minute. With reports that old, two
+        # samples were no better than one.
         now, timeout_us = self._context.now, self._policy.timeout_us
         request.sampled_pair = pair
         request.awaiting_report = []
@@ -51,14 +52,14 @@
         self._context.call_at(due_at, self._on_timeout, request, request.pairs_drawn)
 
     def probe_if_stale(self, backend: BackendRecord) -> None:
-        """Probe a backend whose responses are overdue, unless it has just reported."""
+        """Probe a backend with an overdue attempt, unless its load report is fresh."""
         if backend.in_maintenance or backend.probe_sent_at or not self._policy.is_active():
             return
         if self._context.now - backend.reported_at > self._policy.timeout_us:
             self._probe(backend)
 
     def on_probe_ended(self, event: ProbeEnded) -> None:
-        """Take over the report. It tells the load only: a process that answers probes may fail requests."""
+        """Record the load report. A successful probe proves no health: such a process may still fail requests."""
         now = self._context.now
         backend = self._members.backends.get(event.backend)
         if backend is None:
--- a/lilacsill/balancing/logic/load_table.py
+++ b/lilacsill/balancing/logic/load_table.py
@@ -1,4 +1,4 @@
-"""The load table: the load of each backend, and how fast it serves requests."""
+"""Load table: estimates the load and the service time of each backend."""
 
 from __future__ import annotations
 
@@ -6,37 +6,38 @@
 from .outcomes import FAILED_IMMEDIATELY, MAY_STILL_RUN
 from .records import SECOND_US, BackendRecord
 
-FRESH_US = SECOND_US  # a report this young counts fully; an older one decays to the mean as FRESH_US / age
-GAIN = 0.1  # least weight of a new sample in smoothed figures of one backend
-FLEET_GAIN = GAIN / 4  # the same in figures of the fleet
-SERVICE_TIME_GAIN = 0.3  # weight of a new reported service time, which the backend has smoothed already
-PRIOR_SAMPLES = 4  # a learned service time counts half after this many samples
-FORGET_US = 5 * SECOND_US  # a service time not confirmed for this long counts half: an avoided backend gets retried
-DECAY_LATENCIES, MAX_HALVING_US = 10, SECOND_US  # half-life of failed attempts in typical latencies, and its bound
-MAX_SLOWDOWN = 1.25  # of a restored service time while backends may be warming up
-MAX_LATENCIES = 5  # a latency above this many typical ones is a stall, not the fleet's service time
-LOAD_FIELDS = ("inflight", "queue")  # fields of a report that hold the load, the preferred one first
+FULL_WEIGHT_AGE_US = SECOND_US  # age up to which a report has full weight; the weight of an older one is this / age
+MIN_GAIN = 0.1  # minimum weight of a new sample in smoothed values of one backend
+MIN_FLEET_GAIN = MIN_GAIN / 4  # minimum weight of a new sample in smoothed values of the fleet
+SERVICE_TIME_GAIN = 0.3  # weight of a new reported service time, which the backend has already smoothed
+PRIOR_SAMPLES = 4  # a learned service time has half its weight after this many samples
+STALE_AGE_US = 5 * SECOND_US  # age at which a learned service time has half its weight: avoided backends are retried
+HALVING_LATENCIES, MAX_HALVING_US = 10, SECOND_US  # halving time of failed attempts in typical latencies, and its limit
+MAX_SLOWDOWN = 1.25  # limit of the factor on a restored service time while backends may be warming up
+MAX_TYPICAL_LATENCIES = 5  # latencies are capped at this many typical ones: longer ones are stalls, not service times
+LOAD_FIELDS = ("inflight", "queue")  # report fields that contain the load, in order of preference
 SERVICE_TIME_FIELD = "latency_ms"
 
 
 class LoadTable:
-    """Load and service time of each backend, from its reports and from this balancer's own attempts.
+    """Estimates of load and service time of each backend, from load reports and this balancer's own attempts.
 
     Attributes:
-        load_column: Position of the load in a report; None if reports have none.
-        service_column: Position of the service time in a report; None if reports have none.
-        uses_capacity_hints: Capacity hints are meaningful.
-        band_cutoffs: Cutoffs of the bands as of the latest refresh.
-        mean_load: Mean load of the backends that have reported.
+        load_column: Index of the load in a report; None if reports do not contain it.
+        service_column: Index of the service time in a report; None if reports do not contain it.
+        uses_capacity_hints: Whether capacity hints are valid.
+        band_cutoffs: Loads that separate the bands, as of the latest refresh.
+        mean_load: Mean load of the backends with a load report.
         mean_capacity_hint: Mean capacity hint.
-        mean_service_ms: Mean reported service time, milliseconds; 0 if none was reported.
-        median_updated_at: Clock time of the latest information about the median backend, microseconds.
-        mean_cost_us: Mean estimated cost of requests, microseconds; 0 without estimates.
-        service_time_us: Time of a warm backend of the fleet for each request in flight, microseconds; 0 if unknown.
-        typical_latency_us: Mean latency of responses, microseconds; 0 if unknown.
-        answer_count: Responses that these two rest on.
-        resumed_at: Waiting before this clock time was the caller's own, microseconds.
-        restored: What an earlier incarnation knew.
+        mean_service_ms: Mean of the reported service times, milliseconds; 0 if none was reported.
+        median_updated_at: Median of `BackendRecord.updated_at` over the backends, microseconds.
+        mean_cost_us: Smoothed estimated cost of requests, microseconds; 0 without estimates.
+        service_time_us: Service time of a warm backend per request in flight, microseconds; 0 if unknown.
+        typical_latency_us: Smoothed latency of responses of the fleet, microseconds; 0 if unknown.
+        response_count: Number of responses in `service_time_us` and `typical_latency_us`.
+        resumed_at: Clock time at which the caller last resumed after a stall, microseconds; waiting before it is not
+            attributed to backends.
+        restored: Latency model of an earlier incarnation.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -51,7 +52,7 @@
         self.mean_cost_us = 0.0
         self.service_time_us = 0.0
         self.typical_latency_us = 0.0
-        self.answer_count = self.resumed_at = 0
+        self.response_count = self.resumed_at = 0
         self.restored = LatencyModelRestored(0.0, 0.0, 0)
 
     def refresh(self, backends: list[BackendRecord], now: int, resumed_at: int) -> None:
@@ -60,7 +61,7 @@
         Args:
             backends: Backends that accept work.
             now: Clock time, microseconds.
-            resumed_at: Waiting before this clock time was the caller's own, microseconds.
+            resumed_at: Clock time at which the caller last resumed after a stall, microseconds.
         """
         self.resumed_at = resumed_at
         loads = [backend.own_load(now) + max(0.0, backend.other_load) for backend in backends if backend.reported_at]
@@ -73,40 +74,40 @@
             self.mean_capacity_hint = sum(backend.capacity_hint for backend in backends) / len(backends)
 
     def reported_load(self, report: tuple[float, ...]) -> float | None:
-        """Return the load in a report, or None if it has none."""
+        """Return the load in a report, or None if the report does not contain it."""
         if self.load_column is None or len(report) <= self.load_column:
             return None
         return report[self.load_column]
 
     def other_load(self, backend: BackendRecord, now: int) -> float:
-        """Return the load from other balancers: as reported, an old report decayed to the mean of the table.
+        """Return the estimated load from other balancers; an old report decays towards the mean load.
 
-        A backend without any report counts with that mean; a warming one with its share of it, since no balancer
-        sends it more.
+        A backend without a report is assumed to have the mean load. For a warming backend the mean is scaled by its
+        capacity fraction, since other balancers limit what they send to it, too.
         """
         mean = self.mean_load * backend.capacity_fraction
         if not backend.reported_at:
             return mean
-        age_us = max(FRESH_US, now - backend.reported_at)
-        return mean + (max(0.0, backend.other_load) - mean) * FRESH_US / age_us
+        age_us = max(FULL_WEIGHT_AGE_US, now - backend.reported_at)
+        return mean + (max(0.0, backend.other_load) - mean) * FULL_WEIGHT_AGE_US / age_us
 
     def relative_cost(self, cost_hint_us: int) -> float:
-        """Return the estimated cost as a multiple of the mean request's, and learn the mean; 1 without a hint."""
+        """Return the estimated cost as a multiple of the mean cost, and update that mean; 1 without a hint."""
         if not cost_hint_us:
             return 1.0
-        gain = FLEET_GAIN if self.mean_cost_us else 1.0
+        gain = MIN_FLEET_GAIN if self.mean_cost_us else 1.0
         self.mean_cost_us += gain * (cost_hint_us - self.mean_cost_us)
         return cost_hint_us / self.mean_cost_us
 
     def record_report(self, now: int, backend: BackendRecord, load: float, requested_at: int | None = None) -> None:
-        """Take over a reported load unsmoothed.
+        """Record a reported load without smoothing.
 
         Args:
             now: Clock time, microseconds.
             backend: Backend of the report.
-            load: Its load, all balancers' requests included.
-            requested_at: Clock time at which the report was requested, microseconds; None if it was not. Requested
-                after a failed attempt, it counts what still runs of that.
+            load: Load of the backend, including the requests of all balancers.
+            requested_at: Clock time at which the report was requested, microseconds; None if it was not requested. A
+                report that was requested after the latest abandoned attempt includes abandoned attempts that still run.
         """
         backend.other_load = load - len(backend.in_flight)
         backend.reported_at = backend.updated_at = now
@@ -114,22 +115,22 @@
             backend.abandoned.clear()
 
     def restore(self, event: LatencyModelRestored) -> None:
-        """Take over what an earlier incarnation knew, unless responses have taught more already.
+        """Restore the latency model of an earlier incarnation, unless responses have already arrived.
 
-        Without it, backends that are warming up unknown to anybody would teach a service time that rejects everything.
+        Without it, backends whose warm-up is not known would lead to a learned service time that rejects all requests.
         """
-        if not self.answer_count and event.service_time_us:
+        if not self.response_count and event.service_time_us:
             self.service_time_us, self.typical_latency_us = event.service_time_us, event.typical_latency_us
-            self.answer_count, self.restored = event.answers, event
+            self.response_count, self.restored = event.answers, event
 
     def record_service_time(self, backend: BackendRecord, service_ms: float) -> None:
-        """Learn from a reported service time in milliseconds, which excludes waiting, how fast a backend works."""
+        """Record a reported service time in milliseconds, which excludes queueing at the backend."""
         if service_ms > 0:
             gain = SERVICE_TIME_GAIN if backend.reported_service_ms else 1.0
             backend.reported_service_ms += gain * (service_ms - backend.reported_service_ms)
 
     def predicted_service_time(self, backend: BackendRecord, now: int, capacity_fraction: float) -> float:
-        """Return the predicted time for each request in flight, microseconds: the inverse of relative capacity."""
+        """Return the predicted service time per request in flight, microseconds: the inverse of relative capacity."""
         predicted_us = (self.service_time_us or 1.0) / capacity_fraction
         if self.uses_capacity_hints:
             predicted_us *= self.mean_capacity_hint / backend.capacity_hint
@@ -137,32 +138,32 @@
             predicted_us *= backend.reported_service_ms / self.mean_service_ms
         samples = backend.sample_count
         if samples:
-            weight = samples / (samples + PRIOR_SAMPLES) * FORGET_US / (FORGET_US + now - backend.ended_at)
-            # An attempt in flight for longer than responses take is evidence before it ends, and before all queues
-            # are full.
+            weight = samples / (samples + PRIOR_SAMPLES) * STALE_AGE_US / (STALE_AGE_US + now - backend.ended_at)
+            # An attempt in flight for longer than the mean latency shows a slowdown before it ends, and before the
+            # queues of the backends are full.
             ages = (now - max(sent_at, self.resumed_at) for sent_at in backend.in_flight.values())
             excess_us = sum(max(0.0, age - backend.mean_latency_us) for age in ages)
-            learned_us = (backend.mean_latency_us + GAIN * excess_us) / backend.mean_load
+            learned_us = (backend.mean_latency_us + MIN_GAIN * excess_us) / backend.mean_load
             predicted_us += weight * (learned_us - predicted_us)
         return predicted_us
 
     def record_attempt(
         self, now: int, backend: BackendRecord, event: AttemptEnded, load_at_send: float, is_timed: bool = True
     ) -> None:
-        """Learn from an attempt that has just been removed from `backend.in_flight`.
+        """Record the outcome of an attempt that has just been removed from `backend.in_flight`.
 
         Args:
             now: Clock time, microseconds.
             backend: Backend of the attempt.
-            event: The end of the attempt.
-            load_at_send: Estimated load of the backend when it was sent.
-            is_timed: Its latency is the backend's; otherwise the caller has stood still meanwhile.
+            event: End of the attempt.
+            load_at_send: Estimated load of the backend at the time of sending.
+            is_timed: Whether the latency measures the backend; False if the caller stalled during the attempt.
         """
         backend.ended_at = now
         load = self.reported_load(event.report)
         if load is not None:
             self._record_attached_load(now, backend, load)
-            # The estimate at sending may be old: a queue that had grown unseen made every backend look slow.
+            # The estimate at sending may be outdated: queues that had grown unnoticed made every backend look slow.
             load_at_send = max(load_at_send, load)
         if self.service_column is not None and self.service_column < len(event.report):
             self.record_service_time(backend, event.report[self.service_column])
@@ -170,40 +171,43 @@
         if is_timed and (event.outcome is Outcome.OK or was_slow):
             self._record_latency(backend, event.latency_us, load_at_send)
         if event.outcome is Outcome.OK:
-            backend.answered_at = now
+            backend.responded_at = now
             backend.immediate_failures.clear()
             if is_timed:
                 self._record_fleet_latency(now, backend, event.latency_us, load_at_send)
-        halving_us = min(MAX_HALVING_US, int(DECAY_LATENCIES * self.typical_latency_us) or MAX_HALVING_US)
+        halving_us = min(MAX_HALVING_US, int(HALVING_LATENCIES * self.typical_latency_us) or MAX_HALVING_US)
         if event.outcome in MAY_STILL_RUN:
             backend.abandoned.add(now, halving_us)
         if event.outcome in FAILED_IMMEDIATELY:
-            # A backend that ends attempts at once must not look idle for it, whatever it reports.
+            # A backend that fails attempts at once must not look idle because of that, whatever load it reports.
             backend.immediate_failures.add(now, halving_us)
 
     def _record_attached_load(self, now: int, backend: BackendRecord, load: float) -> None:
-        # The report includes our own attempts: what remains without them is the others' load.
+        # The report includes this balancer's attempts, also the ended one; the rest is the load of the others.
         others = load - len(backend.in_flight) - 1
-        # A first report replaces the guess, and so does one that counts what still runs of abandoned attempts.
+        # The first report replaces the estimate without smoothing, and so does a report while abandoned attempts are
+        # counted, since it includes those that still run.
         replaces_guess = not backend.reported_at or backend.abandoned.value_at(now)
-        gain = 1.0 if replaces_guess else max(GAIN, min(1.0, (now - backend.reported_at) / FRESH_US))
+        gain = 1.0 if replaces_guess else max(MIN_GAIN, min(1.0, (now - backend.reported_at) / FULL_WEIGHT_AGE_US))
         backend.abandoned.clear()
         backend.other_load += gain * (others - backend.other_load)
         backend.reported_at = backend.updated_at = now
 
     def _record_latency(self, backend: BackendRecord, latency_us: int, load_at_send: float) -> None:
-        gain = max(GAIN, 1 / (backend.sample_count + 1))
+        gain = max(MIN_GAIN, 1 / (backend.sample_count + 1))
         backend.mean_latency_us += gain * (latency_us - backend.mean_latency_us)
         backend.mean_load += gain * (load_at_send - backend.mean_load)
         backend.sample_count += 1
 
     def _record_fleet_latency(self, now: int, backend: BackendRecord, latency_us: int, load_at_send: float) -> None:
-        # The first responses wait for connections: the next ones weigh more.
-        gain = max(FLEET_GAIN, 2 / (self.answer_count + 2))
-        self.answer_count += 1
-        bounded_us = min(latency_us, MAX_LATENCIES * self.typical_latency_us) if gain <= GAIN else latency_us
+        # The first responses include the time for connects, so later ones have more weight than in a plain mean.
+        gain = max(MIN_FLEET_GAIN, 2 / (self.response_count + 2))
+        self.response_count += 1
+        bounded_us = (
+            min(latency_us, MAX_TYPICAL_LATENCIES * self.typical_latency_us) if gain <= MIN_GAIN else latency_us
+        )
         self.typical_latency_us += gain * (bounded_us - self.typical_latency_us)
-        # As of a warm backend: a fleet that is warming up is not a slow one.
+        # Scaled to a warm backend, so that a fleet during warm-up does not count as slow.
         service_time_us = backend.capacity_fraction * bounded_us / load_at_send
         if now < self.restored.capped_until_us:
             service_time_us = min(service_time_us, MAX_SLOWDOWN * self.restored.service_time_us)
--- a/lilacsill/balancing/logic/membership.py
+++ b/lilacsill/balancing/logic/membership.py
@@ -1,4 +1,4 @@
-"""Membership: which backends exist according to discovery and operators."""
+"""Membership: tracks the backends that exist and are in service, according to discovery and operators."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 
 
 class Membership:
-    """The backends of this balancer.
+    """Backends of this balancer, by their state in discovery and in maintenance.
 
     Attributes:
-        backends: All backends by identity, including those that only finish their attempts.
+        backends: All backends by identity, including removed ones with attempts in flight.
         ready: Backends that accept work, in the order of `backends`.
-        by_tag: Backends by the hash of their identity.
-        in_maintenance: Backends that operators have taken out of service.
-        maintenance_changed_at: Clock time of the latest change of that by backend, microseconds; a backend that
-            returns is warming up.
+        by_id_hash: Backends by the hash of their identity, which peer reports contain.
+        in_maintenance: Identities of the backends that operators have taken out of service.
+        maintenance_changed_at: Clock time at which a backend last entered or left maintenance, by identity,
+            microseconds; a backend warms up from its return on.
     """
 
     def __init__(self, context: Context) -> None:
         self.context = context
         self.backends: dict[BackendId, BackendRecord] = {}
         self.ready: list[BackendRecord] = []
-        self.by_tag: dict[int, BackendRecord] = {}
+        self.by_id_hash: dict[int, BackendRecord] = {}
         self.in_maintenance: set[BackendId] = set()
         self.maintenance_changed_at: dict[BackendId, int] = {}
         self._watch = DiscoveryWatch(context)
 
     def on_backends_changed(self, event: BackendsChanged) -> bool:
-        """Take over an update of the list; return False for a failed call, which brings none."""
+        """Apply an update of the list of backends; return False if it reports a failed call."""
         if event.kind is ListKind.FAILED:
             self._watch.on_failed()
             return False
@@ -45,7 +45,7 @@
         return True
 
     def on_maintenance_changed(self, event: MaintenanceChanged) -> None:
-        """Take a backend out of service or return it."""
+        """Take a backend out of service or return it to service."""
         if event.in_maintenance != (event.backend in self.in_maintenance):
             if event.in_maintenance:
                 self.in_maintenance.add(event.backend)
@@ -54,8 +54,8 @@
             self.maintenance_changed_at[event.backend] = now = self.context.now
             backend = self.backends.get(event.backend)
             if backend is not None:
-                backend.in_maintenance, backend.returned_at = event.in_maintenance, now
-                # What is known is of the process before maintenance, and lists tell of the next one late.
+                backend.in_maintenance, backend.maintenance_changed_at = event.in_maintenance, now
+                # The statistics describe the process before maintenance, and discovery lists its replacement late.
                 backend.reset(now)
         self._rebuild_indexes()
 
@@ -64,7 +64,7 @@
         if backend is None:
             backend = self.backends[listed.id] = BackendRecord(listed, self.context.now)
             backend.in_maintenance = listed.id in self.in_maintenance
-            backend.returned_at = self.maintenance_changed_at.get(listed.id, 0)
+            backend.maintenance_changed_at = self.maintenance_changed_at.get(listed.id, 0)
         elif listed.started_at != backend.started_at:
             backend.reset(self.context.now)  # a new process with the same identity
         backend.update_from(listed)
@@ -75,7 +75,7 @@
                 backend.state = BackendState.GONE
 
     def _rebuild_indexes(self) -> None:
-        """Forget backends that are gone, since identities are not reused; those with pending work stay until then."""
+        """Remove backends that are gone without pending work, since identities are not reused; rebuild the indexes."""
         remaining = [
             backend
             for backend in self.backends.values()
@@ -83,4 +83,4 @@
         ]
         self.backends = {backend.id: backend for backend in remaining}
         self.ready = [backend for backend in remaining if backend.accepts_work]
-        self.by_tag = {backend.tag: backend for backend in remaining}
+        self.by_id_hash = {backend.id_hash: backend for backend in remaining}
--- a/lilacsill/balancing/logic/overdue_attempts.py
+++ b/lilacsill/balancing/logic/overdue_attempts.py
@@ -1,4 +1,4 @@
-"""Overdue attempts: hedged attempts, and attempts whose response will never come."""
+"""Overdue attempts: hedges slow attempts, and cancels attempts whose response is lost."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 from .retry_budget import RetryBudget
 from .sampling import Sampler
 
-OVERDUE_LATENCIES = 2.0  # an attempt in flight for this many typical latencies is overdue
-HEDGE_LATENCIES = 3  # and is hedged after this many
-MAX_CHECKED_REQUESTS = 16  # the oldest ones are checked at each heartbeat
-LOAD_TOLERANCE = 0.5  # a reported load may be off by less than this
-ARRIVAL_US = 5_000  # an attempt sent this shortly before a probe may have arrived after it
+OVERDUE_LATENCIES = 2.0  # typical latencies after which an attempt in flight is overdue
+HEDGE_LATENCIES = 3  # typical latencies after which an attempt is hedged
+MAX_CHECKED_REQUESTS = 16  # number of the oldest requests that each heartbeat checks
+LOAD_TOLERANCE = 0.5  # a reported load deviates from the requests in flight by less than this
+MAX_DELIVERY_US = 5_000  # an attempt sent less than this before a probe may arrive at the backend after it
 
 
 class AttemptSender(Protocol):
-    """The attempts that are watched, and the one that starts further ones."""
+    """Interface to the requests with attempts in flight, which also starts hedged attempts."""
 
-    requests: dict[int, RequestRecord]  # in flight, by number, the oldest first
+    requests: dict[int, RequestRecord]  # open requests by number, oldest first
     window: ConcurrencyWindow
     retry_budget: RetryBudget
 
     def send(self, request: RequestRecord, backend: BackendRecord, load: float) -> None:
-        """Start an attempt; `load` is the estimated load of the backend with it."""
+        """Start an attempt; `load` is the estimated load of the backend, including this attempt."""
 
 
 class OverdueMonitor:
-    """Watches the attempts in flight while there are any."""
+    """Checks the attempts in flight at each heartbeat while there are any."""
 
     def __init__(self, sampler: Sampler, prober: LoadProber, attempts: AttemptSender) -> None:
         self._context, self._table = sampler.context, sampler.table
@@ -43,8 +43,8 @@
         if not self._is_running:
             self._context.repeat_while(self._check)
 
-    def plan_hedge(self, request: RequestRecord, attempt: int) -> None:
-        """Plan a hedged attempt for the time when an attempt will have taken unusually long."""
+    def schedule_hedge(self, request: RequestRecord, attempt: int) -> None:
+        """Schedule a hedged attempt for the time when an attempt becomes unusually slow."""
         typical_us = self._table.typical_latency_us
         if not request.is_repeatable or not typical_us or not self._context.settings.can_hedge:
             return
@@ -55,17 +55,17 @@
     def cancel_lost(self, backend: BackendRecord, load: float, requested_at: int) -> None:
         """Cancel the oldest attempt at a backend whose reported load is lower than its attempts in flight.
 
-        The backend has ended one whose response could not be read. To cancel it costs nothing, and a request that may
-        be repeated is tried elsewhere.
+        In this case the backend has ended an attempt without a response that reached this balancer. A cancel wastes no
+        work, and a repeatable request is retried on another backend.
 
         Args:
-            backend: The backend.
-            load: Its reported load.
+            backend: Backend of the report.
+            load: Reported load of the backend.
             requested_at: Clock time at which the report was requested, microseconds.
         """
         if load > len(backend.in_flight) - LOAD_TOLERANCE or not backend.in_flight:
             return
-        if requested_at < backend.sent_at + ARRIVAL_US:
+        if requested_at < backend.sent_at + MAX_DELIVERY_US:
             return
         (number, attempt), sent_at = next(iter(backend.in_flight.items()))
         request = self._attempts.requests.get(number)
@@ -73,7 +73,7 @@
             self._context.actions.append(Cancel(number, attempt))
 
     def _check(self) -> bool:
-        """Probe the backends of overdue attempts: is the response late, or will it never come?"""
+        """Probe the backends of overdue attempts to distinguish slow responses from lost ones."""
         self._is_running = self._attempts.window.in_flight > 0
         for request in islice(self._attempts.requests.values(), MAX_CHECKED_REQUESTS):
             for attempt in request.in_flight.values():
@@ -82,14 +82,14 @@
         return self._is_running
 
     def _is_overdue(self, request: RequestRecord, sent_at: int) -> bool:
-        """Return whether an attempt is overdue and another one could still be made in its place."""
+        """Return whether an attempt is overdue while another attempt could still meet the target."""
         if request.is_answered or not request.is_repeatable or not self._context.settings.can_cancel:
             return False
         typical_us, now = self._table.typical_latency_us, self._context.now
         return now - sent_at > OVERDUE_LATENCIES * typical_us > 0 and now + typical_us < request.target_at
 
     def _hedge(self, request: RequestRecord, attempt: int) -> None:
-        """Start a second attempt elsewhere while the target can still be met."""
+        """Start a second attempt on another backend, if the conditions for a hedge still hold."""
         if request.is_answered or attempt not in request.in_flight or len(request.in_flight) > 1:
             return
         if self._attempts.retry_budget.is_empty():
--- a/lilacsill/balancing/logic/peer_reports.py
+++ b/lilacsill/balancing/logic/peer_reports.py
@@ -1,4 +1,4 @@
-"""Load reports that balancers share with each other, where they can exchange messages."""
+"""Peer reports: load reports that balancers share with each other if they can exchange messages."""
 
 from __future__ import annotations
 
@@ -10,48 +10,48 @@
 from .membership import Membership
 from .records import BackendRecord
 
-MAX_SPEND = 0.005  # of the value of responses that sharing reports may cost
-MAX_FANOUT = 32  # peers that receive one report
-PRICED_BYTES = 256  # unit of `Prices.peer`
-BUSY_LOAD = 2  # mean load from which on each report goes to all peers of the fanout
-REPORT = Struct(">IHH")  # tag of the backend, its load, its service time in milliseconds
+MAX_SPEND = 0.005  # limit of the cost of sharing reports, as a fraction of the value of responses
+MAX_FANOUT = 32  # limit of the peers that receive a report
+PRICE_UNIT_BYTES = 256  # message size to which `Prices.peer` refers
+FULL_FANOUT_LOAD = 2  # mean load from which on each report goes to the full fanout; below it to proportionally fewer
+REPORT = Struct(">IHH")  # hash of the backend's identity, load, service time in milliseconds
 MAX_FIELD = 0xFFFF
 
 
 def peer_fanout(settings: Settings, load_column: int | None) -> int:
-    """Return how many peers receive each report; 0 if none does."""
+    """Return the number of peers that receive each report; 0 if reports are not shared."""
     if not settings.can_message_peers or load_column is None:
         return 0
     price = settings.prices.peer
-    affordable = int(MAX_SPEND * PRICED_BYTES / (price * REPORT.size)) if price else MAX_FANOUT
+    affordable = int(MAX_SPEND * PRICE_UNIT_BYTES / (price * REPORT.size)) if price else MAX_FANOUT
     return min(settings.balancer_count - 1, MAX_FANOUT, affordable)
 
 
 class PeerReports:
-    """Sends reports to other balancers and takes over theirs.
+    """Sends load reports to other balancers and records those that they send.
 
     Attributes:
-        fanout: Peers that receive each report; 0 if none does.
+        fanout: Number of peers that receive each report; 0 if reports are not shared.
     """
 
     def __init__(self, context: Context, members: Membership, table: LoadTable, fanout: int) -> None:
         self._context, self._members, self._table, self.fanout = context, members, table, fanout
 
     def send_report(self, backend: BackendRecord, load: float) -> None:
-        """Send what a backend has just reported to random peers, to fewer of them while the fleet is idle."""
+        """Send a backend's new load report to random peers, to fewer of them while the mean load is low."""
         fields = (max(0, min(MAX_FIELD, round(field))) for field in (load, backend.reported_service_ms))
-        payload = REPORT.pack(backend.tag, *fields)
+        payload = REPORT.pack(backend.id_hash, *fields)
         settings = self._context.settings
-        for _ in range(round(self.fanout * min(1.0, self._table.mean_load / BUSY_LOAD))):
+        for _ in range(round(self.fanout * min(1.0, self._table.mean_load / FULL_FANOUT_LOAD))):
             peer = int(self._context.rng.random() * (settings.balancer_count - 1))
             self._context.actions.append(SendPeerMessage(peer + (peer >= settings.balancer_index), payload))
 
     def on_peer_message(self, event: PeerMessageReceived) -> None:
-        """Take over a report. It may be late or wrong, so it updates the load table and nothing else."""
+        """Record a peer's report. It may be outdated or wrong, so it updates only the load table."""
         if len(event.payload) != REPORT.size:
             return
-        tag, load, service_ms = REPORT.unpack(event.payload)
-        backend = self._members.by_tag.get(tag)
+        id_hash, load, service_ms = REPORT.unpack(event.payload)
+        backend = self._members.by_id_hash.get(id_hash)
         if backend is not None:
             self._table.record_report(self._context.now, backend, load)
             self._table.record_service_time(backend, service_ms)
--- a/lilacsill/balancing/logic/sampling.py
+++ b/lilacsill/balancing/logic/sampling.py
@@ -1,10 +1,10 @@
-"""Sampling: two uniform samples among the eligible backends, compared by band."""
+"""Sampling: draws two uniform samples of the eligible backends and compares them by load band."""
 
 from __future__ import annotations
 
 from itertools import chain
 
-from ..mechanisms.bands import cutoffs, lower_band
+from ..mechanisms.bands import cutoffs, prefers_first
 from .affinity import AffinityMap
 from .eligibility import Eligibility
 from .load_table import LoadTable
@@ -15,27 +15,27 @@
 from .saturation import SaturationCache
 from .warm_up_budget import WarmUpBudget
 
-MAX_DRAWS = 16  # samples drawn until two are eligible; no more backends than this are searched one by one
+MAX_DRAWS = 16  # limit of the draws for two eligible samples; up to this many candidates are also searched one by one
 MIN_DRAWS = 2
-DRAWN_SHARE = 2  # at most one draw for each two candidates
-PICKS_PER_REFRESH = 4  # cutoffs of n backends serve n / 4 picks: the cost of a pick must not grow with n
+CANDIDATES_PER_DRAW = 2  # at most one draw per this many candidates
+BACKENDS_PER_PICK = 4  # cutoffs of n backends serve n / 4 picks, so that the cost of a pick does not grow with n
 
 Pair = tuple[BackendRecord, BackendRecord]
 
 
 class Sampler:
-    """Draws pairs of backends for requests, and chooses between the two.
+    """Draws a pair of backends for a request and chooses one of them.
 
     Attributes:
-        members: The backends.
-        table: Their load.
-        outliers: Their health.
-        warm_up: The budget of those that are warming up.
-        probe_policy: Whether to probe the samples.
-        eligibility: Which backends may be sampled.
+        members: Backends of the balancer.
+        table: Load and service times of the backends.
+        outliers: Outlier detection.
+        warm_up: Budget of sends to warming backends.
+        probe_policy: Whether sampled backends are probed.
+        eligibility: Which backends may be sampled for a request.
         saturation: Cache of futile searches.
-        affinity: Backends by key.
-        picks_left: Picks that the cutoffs still serve.
+        affinity: Backends by affinity key.
+        picks_until_refresh: Number of picks until the cutoffs are recalculated.
     """
 
     def __init__(
@@ -51,14 +51,15 @@
         self.probe_policy = ProbePolicy(self.context, table.load_column is not None)
         self.eligibility = Eligibility(members, table, outliers, warm_up, self.probe_policy, has_peer_reports)
         self.saturation, self.affinity = SaturationCache(), AffinityMap()
-        self.picks_left = 0
+        self.picks_until_refresh = 0
         self._has_peer_reports = has_peer_reports
 
     def draw_pair(self, request: RequestRecord, candidates: list[BackendRecord]) -> Pair | None:
-        """Return two uniform samples with replacement among the eligible candidates, or None if there are none."""
+        """Return two uniform samples of the eligible candidates, with replacement; None if no candidate is eligible."""
         now, limit_us = self.context.now, self.eligibility.time_limit(request)
-        # Only where CPU is short: reports age and may be requested again without any other change.
-        if self.probe_policy.is_caller_late() and self.saturation.covers(request, now, limit_us):
+        # The cache is used only while the CPU is saturated: otherwise a search may succeed without an event that clears
+        # the cache, since reports age and can be requested again.
+        if self.probe_policy.is_cpu_saturated() and self.saturation.covers(request, now, limit_us):
             return None
         pair = self._draw(request, candidates, limit_us, request.target_at - now)
         if pair is None:
@@ -71,12 +72,12 @@
         return pair
 
     def choose(self, request: RequestRecord, pair: Pair) -> tuple[BackendRecord, float]:
-        """Return the sample in the lower band, and its estimated load with this request."""
+        """Return the sample in the lower band and its estimated load, including this request."""
         now = self.context.now
         first, second = pair
-        # Samples by key are in random order already.
+        # Samples by affinity key are already in random order.
         rng = None if request.affinity_key else self.context.rng
-        is_first = lower_band(rng, self.table.band_cutoffs, self._rank(first), self._rank(second))
+        is_first = prefers_first(rng, self.table.band_cutoffs, self._rank(first), self._rank(second))
         chosen = first if is_first else second
         return chosen, chosen.own_load(now) + self.table.other_load(chosen, now) + request.relative_cost
 
@@ -91,7 +92,7 @@
             for backend in self.affinity.backends_for(request.affinity_key)
             if self.eligibility.may_run_on(request, backend)
         )
-        draws = max(MIN_DRAWS, min(MAX_DRAWS, count // DRAWN_SHARE))
+        draws = max(MIN_DRAWS, min(MAX_DRAWS, count // CANDIDATES_PER_DRAW))
         at_random = (candidates[int(random() * count)] for _ in range(draws))
         eligible: list[BackendRecord] = []
         for backend in chain(by_key, at_random):
@@ -112,12 +113,12 @@
         return eligible[int(random() * len(eligible))], eligible[int(random() * len(eligible))]
 
     def _refresh(self) -> None:
-        """Recalculate means, predictions and cutoffs, which then serve some picks in a large fleet."""
-        self.picks_left -= 1
-        if self.picks_left >= 0:
+        """Recalculate means, predictions and cutoffs, unless the current ones are still valid for further picks."""
+        self.picks_until_refresh -= 1
+        if self.picks_until_refresh >= 0:
             return
         ready, now, resumed_at = self.members.ready, self.context.now, self.context.resumed_at
-        self.picks_left = len(ready) // PICKS_PER_REFRESH
+        self.picks_until_refresh = len(ready) // BACKENDS_PER_PICK
         self.outliers.refresh(ready, now, self.table.typical_latency_us, resumed_at)
         self.warm_up.refresh(ready, now, self.table.service_time_us)
         self.table.refresh(ready, now, resumed_at)
@@ -127,8 +128,9 @@
         self.table.band_cutoffs = cutoffs([self._rank(backend) for backend in ready]) if ready else []
 
     def _rank(self, backend: BackendRecord) -> float:
-        """Return the value that bands compare: predicted time of what the backend has in flight."""
+        """Return the value by which bands rank a backend: the predicted time of its requests in flight."""
         now = self.context.now
         load = backend.own_load(now) + self.table.other_load(backend, now) + backend.immediate_failures.value_at(now)
-        # Without a random fraction small counts tie: with half the backends idle the median itself is idle.
+        # Without the random fraction small counts tie: if half of the backends are idle, the median load is that of an
+        # idle backend.
         return (load + self.context.rng.random()) * backend.service_time_us
--- a/lilacsill/balancing/logic/saturation.py
+++ b/lilacsill/balancing/logic/saturation.py
@@ -1,21 +1,22 @@
-"""Cache of saturation: what a late caller has found saturated stays so until something changes.
+"""Saturation cache: while the caller's CPU is saturated, a futile search for a backend is not repeated at once.
 
-A client that finds no backend is rejected and retries. In an overloaded caller the search alone took two thirds of the
-CPU, a state that outlasts its trigger (Bronson et al., Metastable Failures in Distributed Systems, HotOS 2021).
+A rejected client retries, and each retry searches again. In an overloaded caller these searches took two thirds of the
+CPU, a metastable failure that outlasts its trigger (Bronson et al., Metastable Failures in Distributed Systems, HotOS
+2021).
 """
 
 from __future__ import annotations
 
 from .records import RequestRecord
 
-SATURATED_US = 5_000  # lifetime of an entry without news; what decays by itself within it changes little
+ENTRY_LIFETIME_US = 5_000  # lifetime of an entry; decaying weights change little within it
 
 
 class SaturationCache:
-    """The least demanding request for which no backend was found since the latest change.
+    """Cache of the least demanding request for which no backend was found since the latest change.
 
     Attributes:
-        is_busy: Some backend might have been sampled, were it not for its predicted time.
+        is_busy: A backend passed the health and warm-up checks, but its predicted time was too long.
     """
 
     def __init__(self) -> None:
@@ -25,7 +26,7 @@
         self._relative_cost, self._uniform_draw = 0.0, 0.0
 
     def clear(self) -> None:
-        """Forget the entry: an attempt or a probe has ended, or the list of backends has changed."""
+        """Invalidate the entry, since an attempt or probe ended or the list of backends changed."""
         self._valid_until = 0
 
     def record(
@@ -34,24 +35,24 @@
         """Record that no backend was found for a request.
 
         Args:
-            request: The request.
+            request: Request for which no backend was found.
             now: Clock time, microseconds.
-            time_limit: Longest predicted time that it would have accepted, microseconds.
-            is_busy: Some backend might have been sampled, were it not for its predicted time.
-            lag_us: Usual lag of the caller's timers, microseconds.
-            depends_on_draw: A request with a lower `uniform_draw` may see more backends.
+            time_limit: Upper bound of the predicted time for this request, microseconds.
+            is_busy: A backend passed the health and warm-up checks, but its predicted time was too long.
+            lag_us: Smoothed lag of the caller's timers, microseconds.
+            depends_on_draw: More backends may be eligible for a request with a lower `uniform_draw`.
         """
         self.is_busy = is_busy
         if request.attempt_count:
-            return  # A repeat asks for more: a backend where it was not tried, inside its dedup scope.
-        # Requests that a late caller reads have waited together: one search serves them all.
-        self._valid_until = now + max(SATURATED_US, int(lag_us))
+            return  # a retry is more constrained: to backends that it has not tried, within its dedup scope
+        # Requests that queued up while the caller lagged are read together: one search serves all of them.
+        self._valid_until = now + max(ENTRY_LIFETIME_US, int(lag_us))
         self._time_limit, self._time_left = time_limit, request.target_at - now
         self._relative_cost = request.relative_cost
         self._uniform_draw = request.uniform_draw if depends_on_draw else 0.0
 
     def covers(self, request: RequestRecord, now: int, time_limit: float) -> bool:
-        """Return whether a request demands at least as much as the recorded one, so that a search is futile."""
+        """Return whether a request is at least as demanding as the recorded one, so that a search is futile."""
         if request.attempt_count or now >= self._valid_until:
             return False
         return (
--- a/lilacsill/balancing/logic/warm_up_budget.py
+++ b/lilacsill/balancing/logic/warm_up_budget.py
@@ -1,4 +1,4 @@
-"""Warm-up budget: it keeps all balancers together from overloading a backend that has just started."""
+"""Warm-up budget: limits the sends of all balancers to backends that have just started, to avoid an overload."""
 
 from __future__ import annotations
 
@@ -7,33 +7,33 @@
 from ..interface import FleetChanged, Settings
 from .records import BackendRecord
 
-MIN_FLEET_SHARE = 0.4  # of the rate that overloads warming backends, what the fleet may send at the least
-FLEET_SHARE = 0.6  # the same where few balancers hold credits back
-ASSUMED_TARGET_SHARE = 0.45  # assumed service time before any response, as a share of the shortest target
+MIN_FLEET_SHARE = 0.4  # of the overload rate of warming backends: minimum rate of the fleet's sends
+FLEET_SHARE = 0.6  # the same: maximum rate, which applies where few balancers can hold back credits
+ASSUMED_TARGET_SHARE = 0.45  # service time before the first response, as a fraction of the shortest latency target
 
 
 class WarmUpBudget:
-    """Credits for sends to warming backends; each balancer earns its share and spends one credit a send.
+    """Credits for sends to warming backends; each balancer earns its share and spends one credit per send.
 
-    So the fleet's total stays bounded whatever traffic, retries and rejections each balancer has. The first credit
-    arrives at a random time, so that of many quiet balancers some may send at once. Where balancers lend each other
-    shares, credits are earned by the share as of that time.
+    This bounds the total of the fleet, regardless of each balancer's traffic, retries and rejections. The first credit
+    arrives at a random time, so that some of many balancers with little traffic can send immediately. Where balancers
+    lend shares to each other, a credit is earned with the share that is valid at that time.
 
     Attributes:
-        start_fraction: Share of its capacity that a backend starts with.
-        warm_up_us: Time until its capacity is complete, microseconds.
-        balancer_count: Balancers of the fleet.
-        overload_multiple: Multiple of its capacity that overloads a warming backend,
-        overload_window_us: when it is sent within this window, microseconds.
-        assumed_service_time_us: Service time before any response, microseconds.
-        rng: Draws the time of the first credit.
-        credit: Credits of this balancer at `credited_at`, at most 1.
-        fleet_rate: Credits a microsecond of all balancers.
-        credited_at: Clock time as of which `credit` counts, microseconds.
-        share: Share of `fleet_rate` that this balancer earns until `share_until`.
+        start_fraction: Fraction of its capacity with which a backend starts.
+        warm_up_us: Time from its start until a backend has its full capacity, microseconds.
+        balancer_count: Number of balancers in the fleet.
+        overload_multiple: Multiple of its current capacity that overloads a warming backend.
+        overload_window_us: Time window of `overload_multiple`, microseconds.
+        assumed_service_time_us: Assumed service time before the first response, microseconds.
+        rng: Random source for the time of the first credit.
+        credit: Credits of this balancer as of `credited_at`, at most 1.
+        fleet_rate: Credits per microsecond that all balancers earn together.
+        credited_at: Clock time of the latest update of `credit`, microseconds.
+        share: Fraction of `fleet_rate` that this balancer earns until `share_until`.
         share_until: Clock time at which `share` ends, microseconds.
-        share_after: Its share from then on.
-        warmest_fraction: Highest capacity fraction among warming backends.
+        share_after: Fraction that it earns from `share_until` on.
+        warmest_fraction: Highest capacity fraction of the warming backends; 1 if there are none.
     """
 
     def __init__(self, settings: Settings, rng: Random) -> None:
@@ -48,14 +48,14 @@
         self.share_until, self.warmest_fraction = 0, 1.0
 
     def capacity_fraction(self, backend: BackendRecord, now: int) -> float:
-        """Return the share of its capacity that a backend surely has: the slowest warm-up the settings allow."""
-        started_at = max(backend.started_at, backend.returned_at)
+        """Return the fraction of its capacity that a backend has at least, by the slowest warm-up of the settings."""
+        started_at = max(backend.started_at, backend.maintenance_changed_at)
         if not started_at or now - started_at >= self.warm_up_us:
             return 1.0
         return self.start_fraction + (1.0 - self.start_fraction) * max(0, now - started_at) / self.warm_up_us
 
     def refresh(self, backends: list[BackendRecord], now: int, service_time_us: float) -> None:
-        """Recalculate the rate of credits.
+        """Recalculate the rate at which credits are earned.
 
         Args:
             backends: Backends that accept work.
@@ -66,7 +66,7 @@
         warming = [fraction for fraction in fractions if fraction < 1.0]
         self.credit = self._credit_at(now) if self.fleet_rate else self.rng.random()
         overload_rate = self.overload_multiple * sum(warming) / (service_time_us or self.assumed_service_time_us)
-        unspent_rate = self.balancer_count / self.overload_window_us  # each balancer may hold one credit back
+        unspent_rate = self.balancer_count / self.overload_window_us  # each balancer may hold back one credit
         self.fleet_rate = max(
             MIN_FLEET_SHARE * overload_rate, min(FLEET_SHARE * overload_rate, overload_rate - unspent_rate)
         )
@@ -74,15 +74,15 @@
         self.warmest_fraction = max(warming, default=1.0)
 
     def set_share(self, event: FleetChanged, now: int) -> None:
-        """Take over the number of balancers and this balancer's share."""
+        """Set the number of balancers and this balancer's share."""
         self.credit, self.credited_at, self.balancer_count = self._credit_at(now), now, event.balancer_count
         self.share, self.share_until = event.warm_up_share, event.until_us
         self.share_after = event.warm_up_share_after
 
     def admits(self, backend: BackendRecord, now: int, uniform_draw: float) -> bool:
-        """Return whether a backend may be sampled: it is warm, or there is a credit and the draw selects it.
+        """Return whether a backend may be sampled: it is warm, or a credit is available and the draw selects it.
 
-        Among warming backends the warmer ones are sampled more often.
+        Warming backends are sampled more often the higher their capacity fraction is.
         """
         fraction = self.capacity_fraction(backend, now)
         return fraction >= 1.0 or (self._credit_at(now) >= 1.0 and uniform_draw * self.warmest_fraction < fraction)
--- a/lilacsill/balancing/mechanisms/__init__.py
+++ b/lilacsill/balancing/mechanisms/__init__.py
@@ -1,1 +1,1 @@
-"""Building blocks of decisions that decide nothing themselves: deadlines, decay, majority vote, bands, hashing."""
+"""Algorithms without balancing policy: deadline queue, decay, majority vote, quantile bands, rendezvous hashing."""
--- a/lilacsill/balancing/mechanisms/bands.py
+++ b/lilacsill/balancing/mechanisms/bands.py
@@ -1,4 +1,4 @@
-"""Quantile bands: the Quantile process of Los and Sauerwald, which compares two samples by bands of load."""
+"""Quantile bands: the Quantile process of Los and Sauerwald, which compares two samples by the load band of each."""
 
 from __future__ import annotations
 
@@ -6,20 +6,22 @@
 from math import ceil, log2
 from random import Random
 
-QUERIES = 8  # parameter k of the Quantile process; docs/design.md has the figures behind it
-ROUNDING = 1e-9  # a rank that is an integer but for rounding is not rounded up
+QUERIES = 8  # parameter k of the Quantile process; docs/design.md has the measurements
+ROUNDING_TOLERANCE = 1e-9  # keeps a rank that exceeds an integer only by rounding error from being rounded up
 
 
 @lru_cache(maxsize=4096)
 def cutoff_ranks(count: int, queries: int = QUERIES) -> tuple[int, ...]:
-    """Return the ranks, from the most loaded down, at which Quantile(d1 .. dk) divides the backends into bands.
+    """Return the ranks at which Quantile(d1 .. dk) divides the backends into bands; rank 1 has the highest load.
 
     Args:
         count: Number of backends, above 0.
-        queries: Parameter k of the process.
+        queries: Parameter k of the Quantile process.
     """
     fractions = [2 ** (-0.5 * log2(count) ** ((queries - i) / queries)) for i in range(1, queries)]
-    ranks = {ceil(fraction * count - ROUNDING) for fraction in fractions if fraction < 0.5} | {ceil(count / 2)}
+    ranks = {ceil(fraction * count - ROUNDING_TOLERANCE) for fraction in fractions if fraction < 0.5} | {
+        ceil(count / 2)
+    }
     return tuple(sorted(ranks))
 
 
@@ -29,15 +31,15 @@
     return [ordered[rank - 1] for rank in cutoff_ranks(len(loads))]
 
 
-def lower_band(rng: Random | None, band_cutoffs: list[float], load_i: float, load_j: float) -> bool:
-    """Return whether the first of two samples takes the request: it lies in the lower band, or wins the tie.
+def prefers_first(rng: Random | None, band_cutoffs: list[float], first_load: float, second_load: float) -> bool:
+    """Return whether the first of two samples is chosen: its load is in a lower band, or it wins a tie.
 
     Args:
-        rng: Draws the winner of a tie; None if the order of the samples is random already: the first wins.
-        band_cutoffs: Cutoffs of the bands.
-        load_i: Load of the first sample.
-        load_j: Load of the second sample.
+        rng: Random source that breaks a tie; None if the samples are in random order, so that the first one wins.
+        band_cutoffs: Loads that separate the bands.
+        first_load: Load of the first sample.
+        second_load: Load of the second sample.
     """
-    band_i = sum(load_i >= cutoff for cutoff in band_cutoffs)
-    band_j = sum(load_j >= cutoff for cutoff in band_cutoffs)
-    return band_i < band_j or (band_i == band_j and (rng is None or rng.random() < 0.5))
+    first_band = sum(first_load >= cutoff for cutoff in band_cutoffs)
+    second_band = sum(second_load >= cutoff for cutoff in band_cutoffs)
+    return first_band < second_band or (first_band == second_band and (rng is None or rng.random() < 0.5))
--- a/lilacsill/balancing/mechanisms/deadline_queue.py
+++ b/lilacsill/balancing/mechanisms/deadline_queue.py
@@ -1,4 +1,4 @@
-"""A queue of deadlines for an event loop whose clock and timers belong to the caller."""
+"""Queue of deadlines for a component whose caller owns the clock and the timers."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class DeadlineQueue:
-    """Callbacks by due time; equal times run in the order in which they were added.
+    """Callbacks ordered by due time; callbacks with equal due times run in the order of their addition.
 
     Attributes:
-        armed_at: Due time that the caller has last been asked to set a timer for, microseconds; None if that timer
-            has fired or none was asked for.
+        armed_at: Due time of the timer that the caller was last requested to set, microseconds; None if that timer
+            fired or none was requested.
     """
 
     def __init__(self) -> None:
@@ -21,12 +21,12 @@
         self.armed_at: int | None = None
 
     def add(self, due_at: int, callback: Callable[..., None], *arguments: object) -> None:
-        """Call the callback with the arguments at `due_at`, microseconds."""
+        """Schedule a call of the callback with the arguments at `due_at`, microseconds."""
         self._count += 1
         heappush(self._entries, (due_at, self._count, callback, arguments))
 
     def next_to_arm(self) -> int | None:
-        """Return the earliest due time, which becomes `armed_at`, or None if an armed timer covers it already."""
+        """Return the earliest due time and store it as `armed_at`; None if the armed timer fires early enough."""
         if not self._entries:
             return None
         due_at = self._entries[0][0]
@@ -36,7 +36,7 @@
         return due_at
 
     def run_due(self, now: int) -> None:
-        """Run every callback that is due, including those that become due on the way."""
+        """Run every callback that is due, including callbacks that these add with a due time of `now` or earlier."""
         while self._entries and self._entries[0][0] <= now:
             _, _, callback, arguments = heappop(self._entries)
             callback(*arguments)
--- a/lilacsill/balancing/mechanisms/decay.py
+++ b/lilacsill/balancing/mechanisms/decay.py
@@ -1,14 +1,14 @@
-"""A weight that decays by itself."""
+"""Weight that decays over time."""
 
 from __future__ import annotations
 
 
 class DecayingWeight:
-    """A count that decays hyperbolically: it halves within its halving time, and ever more slowly after that.
+    """A count with hyperbolic decay: it halves within its halving time and decays ever more slowly after that.
 
     Attributes:
-        since: Clock time of the latest addition, microseconds; 0 if there was none.
-        halving_us: Time in which the latest weight halves, microseconds.
+        since: Clock time of the latest addition, microseconds; 0 if there is none.
+        halving_us: Time from `since` until the weight has halved, microseconds.
     """
 
     __slots__ = ("_weight", "since", "halving_us")
@@ -17,11 +17,11 @@
         self._weight, self.since, self.halving_us = 0.0, 0, 1
 
     def value_at(self, now: int) -> float:
-        """Return the weight that is left at `now`."""
+        """Return the decayed weight at `now`."""
         return self._weight and self._weight * self.halving_us / (self.halving_us + now - self.since)
 
     def add(self, now: int, halving_us: int) -> None:
-        """Add 1 to what is left of the weight, and decay the sum with this halving time from now on."""
+        """Add 1 to the decayed weight; the sum decays with the new halving time from `now` on."""
         self._weight, self.since, self.halving_us = self.value_at(now) + 1.0, now, halving_us
 
     def clear(self) -> None:
--- a/lilacsill/balancing/mechanisms/rendezvous.py
+++ b/lilacsill/balancing/mechanisms/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing (Thaler and Ravishankar, 1998): the score of a node for a key, the same in every process."""
+"""Rendezvous hashing (Thaler and Ravishankar, 1998): scores of nodes for a key, equal in every process."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def score(seed: int, key: int) -> int:
-    """Return 64 pseudo-random bits for a pair of node seed and key; the nodes with the highest scores get the key."""
+    """Return a 64-bit pseudo-random score of a node for a key; the nodes with the highest scores own the key."""
     mixed = ((seed ^ key) * MULTIPLIER) & MASK_64
     mixed = ((mixed ^ mixed >> 32) * MULTIPLIER) & MASK_64
     return mixed ^ mixed >> 29
--- a/lilacsill/balancing/settings_parser.py
+++ b/lilacsill/balancing/settings_parser.py
@@ -1,4 +1,4 @@
-"""Parser of settings: the JSON object of a deployment becomes the types of the interface."""
+"""Parser that converts the JSON settings of a deployment to the interface types."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from .interface import DedupScope, DiscoveryMode, Idempotency, Prices, RequestClass, Settings, Tenant
 
-IDEMPOTENCY = {
+IDEMPOTENCY_BY_NAME = {
     "retryable": Idempotency.IDEMPOTENT,
     "dedup": Idempotency.DEDUPLICATED,
     "fragile": Idempotency.NOT_IDEMPOTENT,
@@ -15,7 +15,7 @@
 
 
 class SettingsError(Exception):
-    """The settings contradict the protocol; the text names the key and the rule."""
+    """The settings are invalid; the message names the key and the violated rule."""
 
 
 def parse_settings(document: dict[str, Any]) -> Settings:
@@ -68,7 +68,7 @@
         name=str(profile["name"]),
         latency_target_us=int(profile["aimUs"]),
         deadline_us=int(profile["deadlineUs"]),
-        idempotency=IDEMPOTENCY[profile["repeat"]],
+        idempotency=IDEMPOTENCY_BY_NAME[profile["repeat"]],
         dedup_scope=DedupScope(profile.get("dedupScope", "all")),
         dedup_window_us=int(profile.get("memorySpanUs", 0)),
         value=float(profile.get("value", 1.0)),
--- a/lilacsill/balancing/simulator_adapter.py
+++ b/lilacsill/balancing/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""Adapter between balancers and the simulator: frames on standard input and output.
+"""Adapter between balancers and the simulator, which exchanges frames over standard input and output.
 
-One process hosts many balancers. The adapter decides nothing. Run it as
-``python -m lilacsill.balancing.simulator_adapter``. Bad input gives one plain line on standard error and exit
-status 2.
+One process hosts many balancers. The adapter makes no balancing decisions. Run it as
+``python -m lilacsill.balancing.simulator_adapter``. Invalid input leads to a one-line message on standard error and
+exit status 2.
 """
 
 from __future__ import annotations
@@ -32,83 +32,83 @@
     WireError,
 )
 
-EXIT_BAD_INPUT = 2
+EXIT_INVALID_INPUT = 2
 
 
 class Host:
-    """All balancer instances of this process. An event affects its own instance only.
+    """Balancer instances of this process. An event affects only the instance that it names.
 
     Attributes:
         balancers: Running instances by number.
-        lists: Lists of backends that frames have defined, by number.
+        lists: Lists of backends that frames defined, by number.
     """
 
     def __init__(self) -> None:
         self.balancers: dict[int, Balancer] = {}
         self.lists: dict[int, list[Backend]] = {}
 
-    def answer(self, data: bytes) -> bytes:
-        """Handle all events of one complete frame and return the reply.
+    def handle_frame(self, data: bytes) -> bytes:
+        """Handle all events of a complete frame and return the reply frame.
 
         Raises:
-            WireError: The frame contradicts the protocol.
+            WireError: The frame violates the protocol.
         """
         frame, reply = Frame(data), Reply()
-        for at in frame.record_offsets():
+        for record_offset in frame.record_offsets():
             try:
-                self._handle_record(frame, at, reply)
+                self._handle_record(frame, record_offset, reply)
             except WireError as error:
-                raise WireError(f"frame at clock {frame.now}, byte {at}: {error}") from None
+                raise WireError(f"frame at clock {frame.now}, byte {record_offset}: {error}") from None
             except (KeyError, ValueError) as error:
-                raise WireError(f"frame at clock {frame.now}, byte {at}: bad value {error}") from None
+                raise WireError(f"frame at clock {frame.now}, byte {record_offset}: invalid value {error}") from None
         return reply.encode()
 
-    def _handle_record(self, frame: Frame, at: int, reply: Reply) -> None:
-        code, body = frame.data[at], at + 1
+    def _handle_record(self, frame: Frame, record_offset: int, reply: Reply) -> None:
+        code, body_offset = frame.data[record_offset], record_offset + 1
         if code == DEFINE_LIST_CODE:
-            number, offset, count = DEFINE_LIST.unpack_from(frame.data, body)
+            number, offset, count = DEFINE_LIST.unpack_from(frame.data, body_offset)
             self.lists[number] = frame.list_entries(offset, count)
             return
         if code == SPAWN_CODE:
-            self._spawn(frame, body)
+            self._spawn(frame, body_offset)
             return
-        (instance,) = INSTANCE.unpack_from(frame.data, body)
+        (instance,) = INSTANCE.unpack_from(frame.data, body_offset)
         balancer = self.balancers.get(instance)
         if balancer is None:
-            raise WireError(f"event {code} for instance {instance}, which is not running")
+            raise WireError(f"event with code {code} for instance {instance}, which is not running")
         if code == CRASH_CODE:
             del self.balancers[instance]
             return
-        event = self._decode(frame, code, body)
+        event = self._decode(frame, code, body_offset)
         try:
             actions = balancer.handle(frame.now, event)
-        except Exception as error:  # reported to the simulator completely, never hidden
+        except Exception as error:  # reported to the simulator, which must see every error
             reply.add_error(instance, error)
             return
         for action in actions:
             reply.add(instance, action)
 
-    def _decode(self, frame: Frame, code: int, body: int) -> Event:
+    def _decode(self, frame: Frame, code: int, body_offset: int) -> Event:
         if code == DISCOVERY_CODE:
-            return self._decode_discovery(frame, body)
+            return self._decode_discovery(frame, body_offset)
         if code == PEER_MESSAGE_CODE:
-            return frame.peer_message(body)
+            return frame.peer_message(body_offset)
         decoder = DECODERS.get(code)
         if decoder is None:
             raise WireError(f"unknown event code {code}")
-        return decoder(frame.data, body)
+        return decoder(frame.data, body_offset)
 
-    def _decode_discovery(self, frame: Frame, body: int) -> BackendsChanged:
-        _, _, number, kind_code = DISCOVERY.unpack_from(frame.data, body)
+    def _decode_discovery(self, frame: Frame, body_offset: int) -> BackendsChanged:
+        _, _, number, kind_code = DISCOVERY.unpack_from(frame.data, body_offset)
         kind = LIST_KINDS[kind_code]
         if kind is ListKind.FAILED:
             return BackendsChanged(kind, [])
         if number not in self.lists:
-            raise WireError(f"list {number} was never defined")
+            raise WireError(f"list {number} of backends is not defined")
         return BackendsChanged(kind, self.lists[number])
 
-    def _spawn(self, frame: Frame, body: int) -> None:
-        instance, seed, offset, length = SPAWN.unpack_from(frame.data, body)
+    def _spawn(self, frame: Frame, body_offset: int) -> None:
+        instance, seed, offset, length = SPAWN.unpack_from(frame.data, body_offset)
         text = frame.tail_bytes(offset, length)
         try:
             document = json.loads(text)
@@ -123,10 +123,10 @@
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer frames until the input ends; each reply is flushed.
+    """Reply to frames until the end of the input; flush after each reply.
 
     Raises:
-        WireError: The input contradicts the protocol.
+        WireError: The input violates the protocol.
     """
     host = Host()
     while True:
@@ -134,24 +134,26 @@
         if not header:
             return
         if len(header) < HEADER.size:
-            raise WireError(f"input ends inside a frame header, {len(header)} of {HEADER.size} bytes")
+            raise WireError(f"input ends inside a frame header: got {len(header)} of {HEADER.size} bytes")
         now, size, _ = HEADER.unpack(header)
         if size < HEADER.size:
-            raise WireError(f"frame at clock {now}: length {size} is less than its header")
+            raise WireError(
+                f"frame at clock {now}: length of {size} bytes is less than its header of {HEADER.size} bytes"
+            )
         body = source.read(size - HEADER.size)
         if len(body) < size - HEADER.size:
             raise WireError(f"frame at clock {now}: input ends {size - HEADER.size - len(body)} bytes early")
-        sink.write(host.answer(header + body))
+        sink.write(host.handle_frame(header + body))
         sink.flush()
 
 
 def main() -> int:
-    """Serve standard input and output; return the exit status."""
+    """Serve frames on standard input and output; return the exit status."""
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except WireError as error:
         print(f"lilacsill.balancing: {error}", file=sys.stderr)
-        return EXIT_BAD_INPUT
+        return EXIT_INVALID_INPUT
     return 0
 
 
--- a/lilacsill/balancing/simulator_wire.py
+++ b/lilacsill/balancing/simulator_wire.py
@@ -1,8 +1,8 @@
-"""Binary format of the simulator's wire: frames of event records go in, frames of action records come out.
+"""Binary protocol of the simulator: request frames contain event records, reply frames contain action records.
 
-A frame is a header, records of fixed size, and a tail which records refer to by offset and length. All numbers are
-big-endian; the structs below are the protocol. A record of an event starts with its code, then the number of the
-balancer instance.
+A frame consists of a header, records of fixed size, and a tail; records refer to data in the tail by offset and
+length. All numbers are big-endian; the structs below define the protocol. An event record starts with its code,
+followed by the number of the balancer instance.
 """
 
 from __future__ import annotations
@@ -41,34 +41,36 @@
 REPLY_HEADER = Struct(">II")  # length of the frame in bytes, number of records
 EVENT_SIZE, LIST_ENTRY_SIZE = 48, 24  # bytes
 
-# Events, without the code. Numbers of requests are 64 bits, identities of backends 6 bytes.
+# Event records, without the code. Request numbers have 64 bits, backend identities 6 bytes.
 LIST_ENTRY = Struct(">6sHBHBfQ")  # backend, zone, kind, cell, state, capacity hint, started at
 INSTANCE = Struct(">H")
-SPAWN = Struct(">HQII")  # instance, seed, settings in the tail: offset, length
+SPAWN = Struct(">HQII")  # instance, seed, settings in the tail (offset, length)
 DISCOVERY = Struct(">HQBB")  # instance, unused, number of the list, kind
 REQUEST = Struct(">HQIIQHBI")  # instance, request, tenant, time-out, affinity key, class, flags, estimated cost
-STREAM = Struct(">HQH")  # instance, request, attempt
-ENDED = Struct(">HQBHI6sHB4f")  # instance, request, answered, attempt, latency, backend, outcome, report
-CLIENT_GONE = Struct(">HQ")  # instance, request
+STREAM_STARTED = Struct(">HQH")  # instance, request, attempt
+ATTEMPT_ENDED = Struct(
+    ">HQBHI6sHB4f"
+)  # instance, request, answered, attempt, latency, backend, outcome, report (length, four fields)
+CLIENT_DISCONNECTED = Struct(">HQ")  # instance, request
 TIMER_FIRED = Struct(">HQ")  # instance, token
-PROBED = Struct(">H6sHIB4f")  # instance, backend, outcome, latency, report: its length and four fields
-PEER_MESSAGE = Struct(">HHII")  # instance, sender, payload in the tail: offset, length
-DEFINE_LIST = Struct(">BII")  # number of the list, entries in the tail: offset, count
+PROBE_ENDED = Struct(">H6sHIB4f")  # instance, backend, outcome, latency, report (length, four fields)
+PEER_MESSAGE = Struct(">HHII")  # instance, sender, payload in the tail (offset, length)
+DEFINE_LIST = Struct(">BII")  # number of the list, entries in the tail (offset, count)
 
-# Actions, with the code. All are 24 bytes long.
+# Action records, including the code. Each is 24 bytes long.
 SEND = Struct(">BHQI6s3x")  # code, instance, request, time-out, backend
-REJECT = Struct(">BHQI9x")  # code, instance, request, time to the retry
+REJECT = Struct(">BHQI9x")  # code, instance, request, retry delay
 FAIL = Struct(">BHQ13x")  # code, instance, request
 CANCEL = Struct(">BHQH11x")  # code, instance, request, attempt
 SET_TIMER = Struct(">BHIQ9x")  # code, instance, delay, token
 PROBE = Struct(">BH6s15x")  # code, instance, backend
-SEND_PEER_MESSAGE = Struct(">BHHII11x")  # code, instance, receiver, payload in the tail: offset, length
-TEXT = Struct(">BHII13x")  # code, instance, text in the tail: offset, length
+SEND_PEER_MESSAGE = Struct(">BHHII11x")  # code, instance, receiver, payload in the tail (offset, length)
+TEXT = Struct(">BHII13x")  # code, instance, text in the tail (offset, length)
 WATCH = Struct(">BHB20x")  # code, instance, 1
 FETCH = Struct(">BH21x")  # code, instance
 
 SPAWN_CODE, DISCOVERY_CODE, PEER_MESSAGE_CODE, CRASH_CODE, DEFINE_LIST_CODE = 10, 20, 90, 100, 110
-ERROR_CODE = 100  # of a reply: handling an event has failed
+ERROR_CODE = 100  # action code: the instance failed to handle an event
 HAS_COST_FLAG, IS_RETRY_FLAG = 1, 2
 
 OUTCOMES = {
@@ -87,15 +89,15 @@
 
 
 class WireError(Exception):
-    """The input contradicts the protocol; the text names the place and the rule."""
+    """The input violates the protocol; the message names the position and the violated rule."""
 
 
 class Frame:
-    """One complete frame of events.
+    """A complete frame of event records.
 
     Attributes:
-        data: All its bytes.
-        now: Its clock time, microseconds.
+        data: Bytes of the frame, including the header.
+        now: Clock time of the frame, microseconds.
     """
 
     def __init__(self, data: bytes) -> None:
@@ -106,26 +108,26 @@
             raise WireError(f"frame at clock {self.now}: {count} records do not fit its {len(data)} bytes")
 
     def record_offsets(self) -> Iterator[int]:
-        """Return the offset of each record."""
+        """Return the byte offset of each record in the frame."""
         return iter(range(HEADER.size, self._tail, EVENT_SIZE))
 
     def tail_bytes(self, offset: int, length: int) -> bytes:
-        """Return a part of the tail.
+        """Return a range of bytes of the tail.
 
         Raises:
-            WireError: It exceeds the frame.
+            WireError: The range exceeds the tail.
         """
         start = self._tail + offset
         if start + length > len(self.data):
-            raise WireError(f"offset {offset} and length {length} lie beyond the tail")
+            raise WireError(f"offset {offset} and length {length} are beyond the tail")
         return self.data[start : start + length]
 
     def list_entries(self, offset: int, count: int) -> list[Backend]:
         """Return the entries of a list of backends in the tail.
 
         Raises:
-            WireError: They exceed the frame.
-            KeyError: A state is unknown.
+            WireError: The entries exceed the tail.
+            KeyError: The code of a state is unknown.
         """
         return [
             Backend(backend, STATES[state], zone, cell, kind, capacity_hint, started_at)
@@ -134,45 +136,48 @@
             )
         ]
 
-    def peer_message(self, at: int) -> PeerMessageReceived:
-        """Decode the message of another balancer.
+    def peer_message(self, body_offset: int) -> PeerMessageReceived:
+        """Decode a message of another balancer.
+
+        Args:
+            body_offset: Byte offset of the record's fields, after its code.
 
         Raises:
-            WireError: Its payload exceeds the frame.
+            WireError: The payload exceeds the tail.
         """
-        _, sender, offset, length = PEER_MESSAGE.unpack_from(self.data, at)
+        _, sender, offset, length = PEER_MESSAGE.unpack_from(self.data, body_offset)
         return PeerMessageReceived(sender, self.tail_bytes(offset, length))
 
 
-def _decode_request(data: bytes, at: int) -> Event:
-    _, request, tenant, timeout_us, key, request_class, flags, cost = REQUEST.unpack_from(data, at)
+def _decode_request(data: bytes, body_offset: int) -> Event:
+    _, request, tenant, timeout_us, key, request_class, flags, cost = REQUEST.unpack_from(data, body_offset)
     cost_hint_us = cost if flags & HAS_COST_FLAG else 0
     is_retry = bool(flags & IS_RETRY_FLAG)
     return RequestArrived(request, request_class, timeout_us, tenant, key, cost_hint_us, is_retry)
 
 
-def _decode_attempt_ended(data: bytes, at: int) -> Event:
-    fields = ENDED.unpack_from(data, at)
+def _decode_attempt_ended(data: bytes, body_offset: int) -> Event:
+    fields = ATTEMPT_ENDED.unpack_from(data, body_offset)
     _, request, is_answered, attempt, latency_us, backend, outcome, report_length = fields[:8]
     report = fields[8:][:report_length]
     return AttemptEnded(request, attempt, backend, OUTCOMES[outcome], latency_us, is_answered != 0, report)
 
 
-def _decode_stream_started(data: bytes, at: int) -> Event:
-    _, request, attempt = STREAM.unpack_from(data, at)
+def _decode_stream_started(data: bytes, body_offset: int) -> Event:
+    _, request, attempt = STREAM_STARTED.unpack_from(data, body_offset)
     return StreamStarted(request, attempt)
 
 
-def _decode_client_disconnected(data: bytes, at: int) -> Event:
-    return ClientDisconnected(CLIENT_GONE.unpack_from(data, at)[1])
+def _decode_client_disconnected(data: bytes, body_offset: int) -> Event:
+    return ClientDisconnected(CLIENT_DISCONNECTED.unpack_from(data, body_offset)[1])
 
 
-def _decode_timer_fired(data: bytes, at: int) -> Event:
-    return TimerFired(TIMER_FIRED.unpack_from(data, at)[1])
+def _decode_timer_fired(data: bytes, body_offset: int) -> Event:
+    return TimerFired(TIMER_FIRED.unpack_from(data, body_offset)[1])
 
 
-def _decode_probe_ended(data: bytes, at: int) -> Event:
-    fields = PROBED.unpack_from(data, at)
+def _decode_probe_ended(data: bytes, body_offset: int) -> Event:
+    fields = PROBE_ENDED.unpack_from(data, body_offset)
     _, backend, outcome, latency_us, report_length = fields[:5]
     return ProbeEnded(backend, OUTCOMES[outcome], latency_us, fields[5:][:report_length])
 
@@ -185,22 +190,22 @@
     70: _decode_timer_fired,
     80: _decode_probe_ended,
 }
-"""Decoders of events by code; each takes the frame and the offset behind the code."""
+"""Decoders of events by code; each takes the bytes of a frame and the offset of a record's fields, after its code."""
 
 
 class Reply:
-    """The answer to one frame: actions of all its events, in order."""
+    """Reply to a frame: the actions of all its events, in order."""
 
     def __init__(self) -> None:
         self._records: list[bytes] = []
         self._tail = bytearray()
 
     def add(self, instance: int, action: Action) -> None:
-        """Append an action of an instance."""
+        """Append an action of a balancer instance."""
         self._records.append(_ENCODERS[type(action)](self, instance, action))
 
     def add_error(self, instance: int, error: Exception) -> None:
-        """Append the failure of an instance to handle an event."""
+        """Append an error record: the instance failed to handle an event."""
         self._records.append(self._encode_text(ERROR_CODE, instance, f"{type(error).__name__}: {error}"))
 
     def encode(self) -> bytes:
@@ -210,7 +215,7 @@
         return REPLY_HEADER.pack(size, len(self._records)) + records + self._tail
 
     def _append_to_tail(self, data: bytes) -> tuple[int, int]:
-        """Append to the tail; return offset and length."""
+        """Append data to the tail and return its offset and length."""
         offset = len(self._tail)
         self._tail += data
         return offset, len(data)
--- a/lilacsill/mesh/proxy/endpoint_table.py
+++ b/lilacsill/mesh/proxy/endpoint_table.py
@@ -13,7 +13,7 @@
 
 from random import Random
 
-from lilacsill.balancing.mechanisms.bands import cutoffs, lower_band
+from lilacsill.balancing.mechanisms.bands import cutoffs, prefers_first
 from lilacsill.mesh.runtime.messages import Endpoint, Load
 
 FRESH_REPORT_US = 500_000  # a younger report counts in full; an older one fades to the mean of the other endpoints
@@ -129,7 +129,7 @@
         bands = cutoffs([entry.score for entry in self._ready])
         count, random = len(candidates), self._rng.random
         first, second = candidates[int(random() * count)], candidates[int(random() * count)]
-        return first if lower_band(self._rng, bands, first.score, second.score) else second
+        return first if prefers_first(self._rng, bands, first.score, second.score) else second
 
     def _update_scores(self, now: int) -> None:
         # A proxy spends more time here than anywhere else: comparisons are cheaper than calls of min and max.
--- a/lilacsill/mesh/proxy/route_statistics.py
+++ b/lilacsill/mesh/proxy/route_statistics.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lilacsill.balancing.mechanisms.majority import usual
+from lilacsill.balancing.mechanisms.majority import majority_value
 
 MIN_SAMPLES = 8  # fewer say too little
 MIN_GAIN = 0.02  # of the smoothing; the first samples count in equal parts
@@ -34,4 +34,4 @@
         A client that comes back after a refusal has less time left than is usual on its route.
         """
         votes = self._usual_patience.setdefault(route, [0, 0])
-        return max(0, usual(votes, patience_us) - patience_us)
+        return max(0, majority_value(votes, patience_us) - patience_us)
--- a/tests/balancing/test_bands.py
+++ b/tests/balancing/test_bands.py
@@ -7,13 +7,13 @@
 
 import pytest
 
-from lilacsill.balancing.mechanisms.bands import cutoff_ranks, cutoffs, lower_band
+from lilacsill.balancing.mechanisms.bands import cutoff_ranks, cutoffs, prefers_first
 
 
 def choose(rng: Random, loads: list[float], cuts: list[float]) -> int:
     """Two uniform samples with replacement, compared by band."""
     i, j = rng.randrange(len(loads)), rng.randrange(len(loads))
-    return i if lower_band(rng, cuts, loads[i], loads[j]) else j
+    return i if prefers_first(rng, cuts, loads[i], loads[j]) else j
 
 
 @pytest.mark.parametrize(
--- a/tests/balancing/test_beliefs.py
+++ b/tests/balancing/test_beliefs.py
@@ -27,7 +27,7 @@
 from lilacsill.balancing.logic.outcomes import FAILED_IMMEDIATELY, MAY_STILL_RUN, is_overload_rejection
 from lilacsill.balancing.logic.records import RequestRecord
 from lilacsill.balancing.mechanisms.decay import DecayingWeight
-from lilacsill.balancing.mechanisms.majority import VOTES, usual
+from lilacsill.balancing.mechanisms.majority import MAX_VOTES, majority_value
 from lilacsill.emulator.lab.module import here
 from lilacsill.emulator.lab.scripts import SCRIPTS
 from lilacsill.emulator.lab.world import World
@@ -208,11 +208,11 @@
     s = ConcurrencyWindow(balancer_count=2)
     s.restart(0, 4)
     now = 0
-    while s.answers_needed:
+    while s.responses_needed:
         while s.admits(now, 4, 0.0, 0):
             s.record_send(now)
         window = s.limit
-        s.record_end(now, answered=True)
+        s.record_end(now, has_response=True)
         assert s.limit == window + 1.0
         now += MS
     assert s.admits(now, 4, 10 * MS, 0)
@@ -223,7 +223,7 @@
     s.restart(0, 2)
     for _ in range(40):
         s.record_send(0)
-        s.record_end(0, answered=True)
+        s.record_end(0, has_response=True)
     for _ in range(50):
         s.record_send(0)
     late = SECOND
@@ -362,12 +362,12 @@
 def test_what_is_usual_has_most_of_the_latest_votes(values: list[int]) -> None:
     votes = [0, 0]
     for at, value in enumerate(values):
-        found = usual(votes, value)
-        assert votes[1] <= VOTES
-        latest = values[max(0, at + 1 - 2 * VOTES) : at + 1]
-        if found and len(latest) <= VOTES:
-            assert latest.count(found) >= VOTES // 8
+        found = majority_value(votes, value)
+        assert votes[1] <= MAX_VOTES
+        latest = values[max(0, at + 1 - 2 * MAX_VOTES) : at + 1]
+        if found and len(latest) <= MAX_VOTES:
+            assert latest.count(found) >= MAX_VOTES // 8
     begun = votes[0]
-    for _ in range(3 * VOTES):  # whatever it was, a change of habit is noticed
-        found = usual(votes, 9)
+    for _ in range(3 * MAX_VOTES):  # whatever it was, a change of habit is noticed
+        found = majority_value(votes, 9)
     assert found == 9 != begun
--- a/tests/balancing/test_failures.py
+++ b/tests/balancing/test_failures.py
@@ -248,7 +248,7 @@
 def test_a_server_that_peers_fall_silent_about_is_drawn_rarely() -> None:
     # bajio big-2: each of 351 balancers found ten hung servers by losing a request to each.
     d = Drive(servers=12, report_fields=("inflight",), can_message_peers=True, balancer_count=300)
-    tags = {s.id: tag for tag, s in d.balancer.members.by_tag.items()}
+    tags = {s.id: tag for tag, s in d.balancer.members.by_id_hash.items()}
     for _ in range(20):
         for b in d.backends[1:]:
             d.event(PeerMessageReceived(1, REPORT.pack(tags[b.id], 1, 0)))
@@ -272,7 +272,7 @@
         for _ in range(30):
             d.end(only(d.request()[1], Send)[0], Outcome.OK, 100 * MS, report=(1.0,))
             d.wait(100 * MS)
-        d.event(PeerMessageReceived(1, REPORT.pack(next(iter(d.balancer.members.by_tag)), 6, 0)))
+        d.event(PeerMessageReceived(1, REPORT.pack(next(iter(d.balancer.members.by_id_hash)), 6, 0)))
         actions = d.event(RequestArrived(900, 0, 4 * SECOND, is_retry=retry))
         assert bool(only(actions, Send)) is not retry
 
@@ -286,11 +286,11 @@
         d.list(Backend(f"new{i}"), Backend(f"new{i - 1}", BackendState.GONE))
     d.list(Backend("s0", BackendState.GONE))
     # The last one, and the one whose attempt is out.
-    assert set(d.balancer.members.backends) == {"s0", "new49"} and len(d.balancer.members.by_tag) == 2
+    assert set(d.balancer.members.backends) == {"s0", "new49"} and len(d.balancer.members.by_id_hash) == 2
     d.end(send, Outcome.OK)
     d.event(ProbeEnded("s0", Outcome.TIMEOUT, 50 * MS))
     d.list()
-    assert set(d.balancer.members.backends) == {"new49"} and len(d.balancer.members.by_tag) == 1
+    assert set(d.balancer.members.backends) == {"new49"} and len(d.balancer.members.by_id_hash) == 1
 
 
 def test_attempts_that_clients_leave_do_not_pile_up_as_load() -> None:
--- a/tests/balancing/test_late.py
+++ b/tests/balancing/test_late.py
@@ -23,7 +23,7 @@
 from lilacsill.balancing.logic.context import Context
 from lilacsill.balancing.logic.records import RequestRecord
 from lilacsill.balancing.logic.sampling import Sampler
-from lilacsill.balancing.logic.saturation import SATURATED_US, SaturationCache
+from lilacsill.balancing.logic.saturation import ENTRY_LIFETIME_US, SaturationCache
 
 from tests.balancing.helpers import MS, SAFE, SECOND, Drive, only
 
@@ -76,7 +76,7 @@
         _, actions = caller.request()
         assert not only(actions, Probe)
         out += only(actions, Send)
-    assert caller.balancer.sampler.probe_policy.is_caller_late()
+    assert caller.balancer.sampler.probe_policy.is_cpu_saturated()
     caller.turns(40, 0)
     for send in out:
         caller.end(send, Outcome.OK)
@@ -105,7 +105,7 @@
         s.other_load, s.reported_at = 500.0, caller.now - 100 * MS
         for _ in range(3):
             s.abandoned.add(caller.now, SECOND)
-    caller.balancer.sampler.picks_left = 0
+    caller.balancer.sampler.picks_until_refresh = 0
     _, actions = caller.request()
     assert not only(actions, Send) and not only(actions, Probe)
 
@@ -133,7 +133,7 @@
     caller.end(out, Outcome.OK)
     caller.request()
     assert len(looks) == 2
-    caller.now += core(caller).settings.tick_us + max(SATURATED_US, int(core(caller).timer_lag_us))
+    caller.now += core(caller).settings.tick_us + max(ENTRY_LIFETIME_US, int(core(caller).timer_lag_us))
     caller.request()
     assert len(looks) == 3
 
--- a/tests/balancing/test_settings.py
+++ b/tests/balancing/test_settings.py
@@ -105,7 +105,7 @@
 
 
 def test_what_is_no_event_is_named() -> None:
-    with pytest.raises(TypeError, match="str is no event"):
+    with pytest.raises(TypeError, match="str is not an event"):
         Drive().event("gone")  # type: ignore[arg-type]
 
 
--- a/tests/balancing/test_simulator_adapter.py
+++ b/tests/balancing/test_simulator_adapter.py
@@ -109,7 +109,7 @@
     "not finite": (frame(1, [spawn(0, NAN)], NAN), b"overload_multiple"),
     "no whole number": (frame(1, [spawn(0, INF)], INF), b"settings"),
     "out of range": (frame(1, [spawn(0, RANGE)], RANGE), b"warm_up_start_fraction"),
-    "unknown outcome": (frame(1, [spawn(0, FACTS_BYTES), ended(0, 77)], FACTS_BYTES), b"bad value 77"),
+    "unknown outcome": (frame(1, [spawn(0, FACTS_BYTES), ended(0, 77)], FACTS_BYTES), b"invalid value 77"),
     "note beyond the tail": (
         frame(1, [spawn(0, FACTS_BYTES), struct.pack(">BHHII", 90, 0, 1, 9999, 4)], FACTS_BYTES),
         b"beyond",
