--- a/lilacsill/balancing/logic/affinity.py
+++ b/lilacsill/balancing/logic/affinity.py
@@ -20,12 +20,12 @@
 
     def __init__(self) -> None:
         self._by_key: dict[int, tuple[BackendRecord, ...]] = {}
-        self._hashed: list[tuple[int, BackendRecord]] = []
+        self._hashed_backends: list[tuple[int, BackendRecord]] = []
 
     def set_backends(self, ready: list[BackendRecord]) -> None:
         """Set the backends over which keys are distributed."""
         self._by_key.clear()
-        self._hashed = [(backend.id_hash, backend) for backend in ready]
+        self._hashed_backends = [(backend.id_hash, backend) for backend in ready]
 
     def backends_for(self, key: int) -> tuple[BackendRecord, ...]:
         """Return the backends of a key in order of preference; none for key 0, which means no key."""
@@ -35,6 +35,6 @@
         if backends is None:
             if len(self._by_key) >= MAX_KEYS:
                 del self._by_key[next(iter(self._by_key))]
-            highest = nlargest(BACKENDS_PER_KEY, self._hashed, lambda hashed: score(hashed[0], key))
+            highest = nlargest(BACKENDS_PER_KEY, self._hashed_backends, lambda entry: score(entry[0], key))
             backends = self._by_key[key] = tuple(backend for _, backend in highest)
         return backends
--- a/lilacsill/balancing/logic/overdue_attempts.py
+++ b/lilacsill/balancing/logic/overdue_attempts.py
@@ -55,7 +55,7 @@
     def cancel_lost(self, backend: BackendRecord, load: float, requested_at: int) -> None:
         """Cancel the oldest attempt at a backend whose reported load is lower than its attempts in flight.
 
-        In this case the backend has ended an attempt without a response that reached this balancer. A cancel wastes no
+        In this case the backend has ended an attempt whose response did not reach this balancer. A cancel wastes no
         work, and a repeatable request is retried on another backend.
 
         Args:
