--- a/lilacsill/mesh/simulation/store_fleet.py
+++ b/lilacsill/mesh/simulation/store_fleet.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from lilacsill.mesh.runtime.messages import Message, Patch, Reply
-from lilacsill.mesh.store.leaving import Leaving
+from lilacsill.mesh.store.leaving import PlannedDeparture
 from lilacsill.mesh.store.node import DiskContents, Store, StoreSettings
 
 from .network import MS, SECOND, Machine, Net
@@ -88,7 +88,7 @@
             machine.end(power=False)
             ended()
 
-        Leaving(store.replica, store.membership, grace_us, stop)
+        PlannedDeparture(store.replica, store.membership, grace_us, stop)
 
     def up(self) -> list[str]:
         """Return the addresses of the machines that run."""
--- a/lilacsill/mesh/store/heartbeats.py
+++ b/lilacsill/mesh/store/heartbeats.py
@@ -60,8 +60,8 @@
         """Answer another machine, with a lease if it may have one."""
         self._learn_from(heartbeat)
         own = self._heartbeat()
-        sender_answers = self._detector.recent_reply(heartbeat.sender, RECENT_REPLY_US) is not None
-        lease_us = self._lease_manager.lease_offer_us(heartbeat, sender_answers)
+        sender_is_responsive = self._detector.recent_reply(heartbeat.sender, RECENT_REPLY_US) is not None
+        lease_us = self._lease_manager.lease_offer_us(heartbeat, sender_is_responsive)
         reply(
             HeartbeatReply(
                 sender=own.sender,
--- a/lilacsill/mesh/store/lease_manager.py
+++ b/lilacsill/mesh/store/lease_manager.py
@@ -1,7 +1,8 @@
-"""A member's read leases, and its votes on later views, which wait until the leases that it granted end. No I/O.
+"""The read leases of one member, and its votes on later views. No I/O.
 
-Each member is both holder and grantor; `lilacsill.mesh.store.leases` has the rules of both. The highest ballot that a
-member has promised serves as its fencing token: a lease that was requested with a lower one is void.
+A member accepts a later view only after all leases that it has granted have ended. Each member is both a holder and a
+grantor of leases; `lilacsill.mesh.store.leases` implements the rules of both roles. The highest ballot that a member
+has promised is its fencing token: a lease that was requested with a lower ballot is void.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class _DeferredVote(NamedTuple):
-    """A request for a vote that waits for granted leases to end."""
+    """An accept request that waits for the granted leases to end."""
 
     request: Accept
     reply: Replier
@@ -31,17 +32,17 @@
 
     Args:
         replica: the member.
-        on_release: called when the member has released the leases that it holds, so that it can say so.
+        on_release: called after the member has released the leases that it holds, to notify their grantors.
     """
 
     def __init__(self, replica: Replica, on_release: Callable[[], None]) -> None:
         self._replica, self._environment = replica, replica.environment
         self.grantor = LeaseGrantor(replica.environment.now())
         self.holder = LeaseHolder()
-        self.promised: Ballot = replica.acceptor.promised(replica.view)  # the fencing token, as it is on disk
+        self.promised: Ballot = replica.acceptor.promised(replica.view)  # the fencing token, as stored on disk
         self._on_release = on_release
         self._deferred: list[_DeferredVote] = []
-        self._retry: Timer | None = None  # of the deferred votes
+        self._retry: Timer | None = None  # runs the deferred votes
         replica.view_listeners.append(self._on_view_change)
 
     def _on_view_change(self) -> None:
@@ -52,11 +53,11 @@
     # Holder
 
     def is_valid(self) -> bool:
-        """Return whether the view is certainly in force: leases of a majority of its members run."""
+        """Return whether the view is certainly in force: a majority of its members have unexpired leases granted."""
         return not self.invalid_reason()
 
     def invalid_reason(self) -> str:
-        """Return for operators why this member may not rely on its view; empty if it may."""
+        """Return, for operators, why this member may not rely on its view; an empty string if it may."""
         replica, now = self._replica, self._environment.now()
         number = replica.view.number
         if not replica.is_member:
@@ -68,13 +69,13 @@
             return f"of {len(replica.view.members) - 1} other members of view {number} {voters} grant a lease"
         return ""
 
-    def on_lease_granted(self, reply: HeartbeatReply, asked_at: int) -> None:
-        """Take the lease from the reply to a heartbeat sent at `asked_at` (microseconds)."""
+    def on_lease_granted(self, reply: HeartbeatReply, requested_at_us: int) -> None:
+        """Record the lease that the reply to a heartbeat grants. The heartbeat was sent at `requested_at_us`."""
         if reply.lease_us and reply.view.number == self._replica.view.number:
-            self.holder.add(reply.sender, reply.lease_us, asked_at)
+            self.holder.add(reply.sender, reply.lease_us, requested_at_us)
 
     def status(self) -> dict[str, object]:
-        """Return for operators the lease that this member has, and those that it has granted."""
+        """Return, for operators, the lease that this member holds and the leases that it has granted."""
         replica, now = self._replica, self._environment.now()
         grantors = self.holder.grantors(replica.view.members, now)
         return {
@@ -93,42 +94,43 @@
 
     # Grantor
 
-    def lease_offer_us(self, request: Heartbeat, sender_answers: bool) -> int:
+    def lease_offer_us(self, request: Heartbeat, sender_is_responsive: bool) -> int:
         """Grant a lease to the sender of a heartbeat, if this member may.
 
         Args:
             request: the heartbeat.
-            sender_answers: whether the sender has lately answered a heartbeat of this member.
+            sender_is_responsive: whether the sender has recently replied to a heartbeat of this member.
 
         Returns:
-            The length of the lease in microseconds; 0: no lease.
+            The duration of the lease in microseconds; 0 if no lease is granted.
         """
         replica = self._replica
         view = replica.view
         if not replica.is_member or request.view.number != view.number or request.sender not in view.members:
             return 0
         if request.promised > replica.acceptor.promised(view):
-            # A vote is under way, and its proposer may not reach this member: take its ballot from the heartbeat.
+            # A vote is in progress, and its proposer may be unable to reach this member: use the ballot that the
+            # heartbeat carries.
             self.prepare(Prepare(replica.me, view.number + 1, request.promised), lambda answer: None)
         self.grantor.release(request.sender, request.promised)
         if self._deferred:
             self._accept_deferred()
-        # A member that does not answer is about to be removed from the chain, which its lease would delay.
-        if replica.view_pending or not request.requests_lease or not sender_answers:
+        # A member that does not reply is about to be removed from the chain, and a lease would delay the removal.
+        if replica.view_pending or not request.requests_lease or not sender_is_responsive:
             return 0
         return self.grantor.grant(request.sender, request.promised, self._environment.now())
 
     def prepare(self, request: Prepare, reply: Replier) -> None:
-        """Answer phase 1 of a vote on the next view.
+        """Handle phase 1 of a vote on the next view.
 
-        A member that promises relies on no lease, and grants none for the time being.
+        A member that makes a promise releases the leases that it holds and suspends granting leases.
         """
         replica = self._replica
         view = replica.view
 
         def on_answer(answer: Message) -> None:
             if isinstance(answer, Promise) and answer.ok and replica.view == view:
-                # The order matters: leases that are requested from here on carry the ballot.
+                # The ballot must be set before the release, so that every later lease request carries it.
                 self.promised = max(answer.ballot, self.promised)
                 self.holder.release_all(self._environment.now())
                 self._on_release()
@@ -140,7 +142,7 @@
         replica.acceptor.prepare(view, request, on_answer)
 
     def accept(self, request: Accept, reply: Replier) -> None:
-        """Answer phase 2 of a vote, once all leases granted for the present view have ended."""
+        """Handle phase 2 of a vote after all leases that were granted for the current view have ended."""
         self._deferred.append(_DeferredVote(request, reply))
         self.grantor.suspend_grants(self._environment.now())
         self._accept_deferred()
--- a/lilacsill/mesh/store/leases.py
+++ b/lilacsill/mesh/store/leases.py
@@ -1,17 +1,18 @@
-"""Read leases: a member's right to rely on its view being in force, for a short time. No I/O; the clock is passed in.
+"""Read leases: for a short time, a member may rely on its view being in force. No I/O; the clock is passed in.
 
-Each member asks the others for a lease with its heartbeats. A voter that has accepted no later view grants a lease
-for the view, up to an end on its own monotonic clock, and accepts no later view before that end. The holder counts
-the end from the moment at which it sent the request, less the drift of clocks. While leases of a majority run, no
-later view can be agreed, because each agreement needs a voter that still waits.
+Each member requests leases from the other members with its heartbeats. A voter that has not accepted a later view
+grants a lease for the view. The lease ends at a time on the voter's own monotonic clock, and the voter accepts no later
+view before that time. The holder computes the end from the time at which it sent the request, minus an allowance for
+clock drift. While the leases of a majority are unexpired, no later view can be chosen, because every majority includes
+a voter that must still wait.
 
-Leases delay no failover. Those of a dead holder end before the others suspect it. A live holder releases its leases
-when it promises to vote on a later view, and says so with its next heartbeat: heartbeats carry the ballot of the
-promise, and each grant keeps the ballot that came with its request, so that a late heartbeat cannot release a newer
-lease.
+Leases do not delay failover. The leases of a dead holder end before the other members suspect it. A live holder
+releases its leases when it makes a promise in a vote on a later view, and notifies the grantors with its next
+heartbeat: heartbeats carry the promised ballot, and each grant stores the ballot of its request, so that a delayed
+heartbeat cannot release a newer lease.
 
-Grants are kept in memory only. A voter therefore waits for the length of one lease after its start before it accepts
-anything. All times are microseconds of the member's own monotonic clock.
+Grants are kept in memory only. After its start, a voter therefore accepts nothing for the duration of one lease. All
+times are microseconds of the member's own monotonic clock.
 """
 
 from __future__ import annotations
@@ -22,21 +23,21 @@
 from lilacsill.mesh.runtime.freshness import max_elapsed_us, min_elapsed_us
 from lilacsill.mesh.runtime.messages import Ballot, Member, View
 
-LEASE_US = 450_000  # shorter than the time without a reply after which a member is suspected
+LEASE_US = 450_000  # shorter than `SUSPECT_AFTER_US`, so that leases of a dead holder end before it is suspected
 
 
 class Grant(NamedTuple):
-    """A lease, as its grantor keeps it."""
+    """A lease as its grantor records it."""
 
     end_us: int  # on the grantor's clock
-    promised: Ballot  # the highest one that the holder had promised when it asked
+    promised: Ballot  # the highest ballot that the holder had promised when it requested the lease
 
 
 class LeaseGrantor:
     """The leases that one voter has granted."""
 
     def __init__(self, started_at: int) -> None:
-        # What the previous incarnation of this process granted is not known.
+        # The leases that the previous run of this process granted are unknown.
         self._unknown_until_us = started_at + max_elapsed_us(LEASE_US)
         self._grants: dict[Member, Grant] = {}
         self._suspended_until_us = 0
@@ -45,7 +46,7 @@
         """Grant or renew a lease.
 
         Returns:
-            Its length in microseconds; 0: no lease, because a vote on a later view is under way.
+            The duration of the lease in microseconds; 0 if a vote on a later view is in progress.
         """
         if now < self._suspended_until_us:
             return 0
@@ -56,62 +57,62 @@
         return LEASE_US
 
     def release(self, holder: Member, promised: Ballot) -> None:
-        """Drop the holder's lease, unless it was requested after the holder made this promise."""
+        """Remove the holder's lease, unless it was requested after the holder made this promise."""
         grant = self._grants.get(holder)
         if grant is not None and grant.promised < promised:
             del self._grants[holder]
 
     def clear(self) -> None:
-        """Drop all leases: a later view is in force, so those for the one before bind nobody.
+        """Remove all leases: a later view is in force, so leases for the previous view have no effect.
 
-        The vote is over with it, so leases for the new view may be granted at once.
+        The vote has ended as well, so leases for the new view may be granted immediately.
         """
         self._grants.clear()
         self._suspended_until_us = 0
 
     def suspend_grants(self, now: int) -> None:
-        """Grant nothing for the length of one lease, so that those that run come to an end during a vote."""
+        """Grant no lease for the duration of one lease, so that all current leases expire during a vote."""
         self._suspended_until_us = now + LEASE_US
 
     def blocked_for_us(self, now: int) -> int:
-        """Return for how long this voter may accept no later view."""
+        """Return for how many microseconds this voter must not accept a later view."""
         return max(0, self._unknown_until_us - now, *self.remaining_by_holder(now).values())
 
     def remaining_by_holder(self, now: int) -> Mapping[Member, int]:
-        """Return for how many microseconds the lease of each holder still runs."""
+        """Return the remaining microseconds of each holder's unexpired lease."""
         return {holder: grant.end_us - now for holder, grant in self._grants.items() if grant.end_us > now}
 
 
 class LeaseHolder:
-    """The leases that one member has been granted: one of each voter, all for the same view."""
+    """The leases that one member holds: at most one from each voter, all for the same view."""
 
     def __init__(self) -> None:
         self._ends: dict[Member, int] = {}  # microseconds on this member's clock, by grantor
         self._released_at_us: int | None = None
 
-    def add(self, grantor: Member, lease_us: int, asked_at: int) -> None:
-        """Add the lease that answers a request sent at `asked_at`."""
-        if self._released_at_us is not None and asked_at <= self._released_at_us:
+    def add(self, grantor: Member, lease_us: int, requested_at_us: int) -> None:
+        """Add the lease that was granted in reply to a request sent at `requested_at_us`."""
+        if self._released_at_us is not None and requested_at_us <= self._released_at_us:
             return
-        end_us = asked_at + min_elapsed_us(lease_us)
+        end_us = requested_at_us + min_elapsed_us(lease_us)
         self._ends[grantor] = max(end_us, self._ends.get(grantor, end_us))
 
     def release_all(self, now: int) -> None:
-        """Release all leases, and ignore the answers to requests sent until now.
+        """Release all leases, and ignore replies to requests that have already been sent.
 
-        To be called when another view takes effect or is about to be voted on.
+        Called when another view takes effect or is about to be voted on.
         """
         self._ends.clear()
         self._released_at_us = now
 
     def grantors(self, members: Iterable[Member], now: int) -> list[Member]:
-        """Return those of the members whose leases still run."""
+        """Return the members whose leases have not expired."""
         return [member for member in members if self._ends.get(member, now) > now]
 
     def remaining_us(self, view: View, me: Member, now: int) -> int:
-        """Return for how long leases of a majority of the view still run, 0 if they do not.
+        """Return for how many microseconds leases of a majority of the view remain; 0 if fewer members grant one.
 
-        The holder counts as one of the majority.
+        The holder counts towards the majority.
         """
         others_needed = len(view.members) // 2
         if not others_needed:
--- a/lilacsill/mesh/store/leaving.py
+++ b/lilacsill/mesh/store/leaving.py
@@ -1,9 +1,9 @@
-"""The planned end of one replica: it leaves the chain first, once the others have enough complete copies. No I/O.
+"""The planned shutdown of one replica, which leaves the chain before it stops. No I/O.
 
-After half of the grace period the replica announces that it ends in any case, so that the others agree on a view
-without it if one of them is complete. After three quarters of the period it ends. Where no other copy is complete it
-ends as a member, with its data on disk: nothing is lost unless the disk is lost, too, and nothing is acknowledged until
-the machine is back.
+The replica leaves the chain once the other members have enough complete copies. After half of the grace period it
+announces that it will stop in any case, so that the others agree on a view without it if one of them is complete. After
+three quarters of the grace period it stops. If no other copy is complete it stops while it is still a member, with its
+data on disk: no data is lost unless the disk is lost as well, but no change is acknowledged until the machine is back.
 """
 
 from __future__ import annotations
@@ -17,13 +17,14 @@
 from .replica import Replica
 
 CHECK_INTERVAL_US = 100_000
-# After the others have received the view without this machine. They must have it on disk, since this machine may be one
-# of the few that voted for it, and cannot be asked any more.
+# The delay between the time at which the others have received the view without this machine and its stop. Within the
+# delay they write the view to disk: this machine may be one of the few voters that accepted the view, and it cannot be
+# asked after it has stopped.
 LINGER_US = 300_000
 
 
-class Leaving:
-    """The end of one replica. It begins when the object is made; `stop` is called once, at the end."""
+class PlannedDeparture:
+    """The planned shutdown of one replica. It begins when the object is created and calls `stop` once, at its end."""
 
     def __init__(self, replica: Replica, membership: Membership, grace_us: int, stop: Callable[[], None]) -> None:
         self._replica, self._membership, self._stop = replica, membership, stop
@@ -32,7 +33,11 @@
         self._dispensable_since_us: int | None = None
         replica.departure = Departure.PLANNED
         self._environment.after(grace_us // 2, self._announce_end)
-        log.info("leaves")
+        log.info(
+            "replica %s is shutting down: requests to leave the chain, grace period %d ms",
+            replica.me.address,
+            grace_us // 1000,
+        )
         self._check()
 
     def _announce_end(self) -> None:
--- a/lilacsill/mesh/store/membership.py
+++ b/lilacsill/mesh/store/membership.py
@@ -1,8 +1,8 @@
-"""One machine's part in the membership of the store: the wiring of its parts, and questions about the outcome. No I/O.
+"""The membership of the store as one machine manages it: connects the components and answers queries. No I/O.
 
-At each interval a machine sends heartbeats (`heartbeats`), proposes another view where one is wanted (`view_proposer`)
-and, as the tail, chooses the learner to bring up to date (`learner_scheduler`). `reconfiguration` decides which view is
-wanted, from what `cluster_monitor` and `failure_detector` know.
+At each heartbeat interval a machine sends heartbeats (`heartbeats`), proposes a new view if one is needed
+(`view_proposer`) and, as the tail, selects the learner to bring up to date (`learner_scheduler`). `reconfiguration`
+computes the next view from the state that `cluster_monitor` and `failure_detector` report.
 """
 
 from __future__ import annotations
@@ -23,11 +23,11 @@
 from .replica import Replica
 from .view_proposer import ViewProposer
 
-LEASE_REQUEST_DELAY_US = 1_000  # after the adoption of a view: leases requested until then are void
+LEASE_REQUEST_DELAY_US = 1_000  # after a view is adopted: leases that were requested up to that time are void
 
 
 class LearnerState(StrEnum):
-    """How far a learner is, as `status` shows it."""
+    """The synchronisation state of a learner, as shown by `status`."""
 
     WAITING = "waiting"
     SYNCING = "syncing"
@@ -35,7 +35,7 @@
 
 
 class Membership:
-    """The membership as one machine sees it."""
+    """The membership of the store as seen by one machine."""
 
     def __init__(
         self,
@@ -69,46 +69,46 @@
     # Events
 
     def _on_view_change(self) -> None:
-        """Ask for leases of the new view without waiting for the next interval."""
+        """Request leases for the new view without waiting for the next heartbeat interval."""
         self._environment.after(LEASE_REQUEST_DELAY_US, self._heartbeats.send_state)
 
     def handle_heartbeat(self, heartbeat: Heartbeat, reply: Callable[[Message], None]) -> None:
-        """Answer the heartbeat of another machine."""
+        """Reply to the heartbeat of another machine."""
         self._heartbeats.handle_heartbeat(heartbeat, reply)
 
     def handle_view_change(self, change: ViewChange, reply: Callable[[Message], None]) -> None:
-        """Adopt a view that was chosen."""
+        """Adopt a view that has been chosen, and reply with the number of the view in force here."""
         self._replica.adopt(change.view)
         reply(ViewChangeReply(self._replica.view.number))
 
     def on_leases_released(self) -> None:
-        """Tell the grantors at once, with a heartbeat, so that they need not wait for the leases to end."""
+        """Notify the grantors immediately with a heartbeat, so that they need not wait for the leases to end."""
         self._heartbeats.send()
 
     def on_learner_synced(self) -> None:
-        """Go on to the next learner."""
+        """Start to synchronise the next learner."""
         self._learners.on_learner_synced()
 
-    # Questions
+    # Queries
 
     def peers(self) -> list[str]:
-        """Return the sorted addresses of all known machines of the store, with this one."""
+        """Return the sorted addresses of all known machines of the store, including this one."""
         return self._detector.peers()
 
     def holds_lease(self) -> bool:
-        """Return whether the view is certainly in force: leases of a majority of its members run."""
+        """Return whether the view is certainly in force: a majority of its members have unexpired leases granted."""
         return self._lease_manager.is_valid()
 
     def is_alone(self) -> bool:
-        """Return whether no other machine could take over from this one."""
+        """Return whether this machine is the only member of the chain and there is no learner that could replace it."""
         return self._replica.view.chain == (self._replica.me,) and not self._monitor.state().learners
 
     def has_too_few_copies(self) -> bool:
-        """Return whether changes are on too few disks as long as a learner has not joined the chain."""
+        """Return whether changes are on too few disks until a learner joins the chain."""
         return has_too_few_copies(self._monitor.state())
 
     def is_dispensable(self) -> bool:
-        """Return whether the chain goes on without this machine, and all of the chain know that."""
+        """Return whether this machine is outside the chain and all members of the chain have adopted that view."""
         replica = self._replica
         if replica.in_chain:
             return False
@@ -116,13 +116,13 @@
         return all(reply is not None and reply.view.number >= replica.view.number for reply in replies)
 
     def departure_blocker(self) -> str:
-        """Return for operators what the departure of this machine waits for; empty if it does not leave."""
+        """Return, for operators, what the departure of this machine waits for; empty if it is not departing."""
         if not self._replica.departure:
             return ""
         return departure_blocker(self._monitor.state(), self._replica.me)
 
     def learner_states(self) -> dict[str, LearnerState]:
-        """Return for operators the state of each learner, by address."""
+        """Return, for operators, the state of each learner by address."""
         states: dict[str, LearnerState] = {}
         for machine in self._monitor.state().learners:
             if machine.complete:
--- a/lilacsill/mesh/store/metrics.py
+++ b/lilacsill/mesh/store/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a replica for monitoring (`GET /metrics`). Load this module only when they are asked for."""
+"""The metrics of a replica (`GET /metrics`). Import this module only when metrics are requested, to save memory."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 def encode_metrics(store: Store, now: int) -> bytes:
-    """Return the figures of the moment `now`, in microseconds of the replica's clock, as text."""
+    """Return the metrics at time `now` (microseconds of the replica's clock) in the text format."""
     text = MetricsText()
     _add_view(text, store, now)
     _add_replication(text, store)
--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -1,4 +1,4 @@
-"""One machine of the store: its parts and the handlers of messages. No I/O."""
+"""One machine of the store: its components and the message handlers. No I/O."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
 from .quotas import StoreQuotas
 from .replica import NO_VIEW, Replica
 
-FIRST_INCARNATION = "first"  # of the disk of a seed when the whole system starts for the first time
+FIRST_INCARNATION = "first"  # incarnation of the disks of the seeds when the whole system starts for the first time
 
 Handler = Callable[[Any, Callable[[Message], None]], None]
 
@@ -54,9 +54,9 @@
         seeds: Control addresses of the machines to contact first.
         fresh_start: Whether the whole system starts for the first time, so that the seeds form the first view.
         new_incarnation: Incarnation of this machine's disk if the disk is empty.
-        max_lost_machines: So many machines may be lost at once.
-        max_lost_zones: So many zones or regions may be lost at once.
-        timing: The bounds on what all proxies share.
+        max_lost_machines: The number of machines that may be lost at the same time.
+        max_lost_zones: The number of zones or regions that may be lost at the same time.
+        timing: The timing bounds, which are the same for all proxies.
     """
 
     address: str
@@ -69,14 +69,14 @@
 
 
 class DiskContents(msgspec.Struct, frozen=True):
-    """What is on the disk as the process starts."""
+    """The contents of the disk when the process starts."""
 
     items: Iterable[Item]
     facts: facts.Facts
 
 
 class Store:
-    """One machine of the store. It observes its chain."""
+    """One machine of the store. It is the observer of its chain."""
 
     def __init__(self, environment: ReplicaEnvironment, settings: StoreSettings, disk: DiskContents) -> None:
         self.replica = replica = recover(environment, settings, disk)
@@ -113,39 +113,40 @@
     def _on_leases_released(self) -> None:
         self.membership.on_leases_released()
 
-    # As the observer of the chain
+    # `ChainObserver`
 
     def on_commit(self) -> None:
-        """Notify the followers."""
+        """Publish committed changes to the followers."""
         self.followers.publish()
 
     def on_writable(self) -> None:
-        """Replicate the calls and the claims that wait at the head."""
+        """Replicate the calls and claims that are queued at the head."""
         self.frontend.append_waiting_calls()
         self.operation_claims.append_waiting_claims()
 
     def on_learner_synced(self) -> None:
-        """Go on to the next learner."""
+        """Start to synchronise the next learner."""
         self.membership.on_learner_synced()
 
 
 def recover(environment: ReplicaEnvironment, settings: StoreSettings, disk: DiskContents) -> Replica:
-    """Return the replica that the disk holds.
+    """Return the replica that is stored on the disk.
 
-    An empty disk makes a new machine, which knows of no view. The seeds of the very first start are the exception.
+    With an empty disk this is a new machine that has no view yet, except that at the first start of the whole system
+    the seeds form the first view.
     """
     stored = facts.read(disk.facts, settings.address)
     if stored is not None:
         return Replica(environment, stored, disk.items)
-    is_founder = settings.fresh_start and settings.address in settings.seeds
-    me = Member(settings.address, FIRST_INCARNATION if is_founder else settings.new_incarnation)
-    view = View(0, founders(settings.seeds)) if is_founder else NO_VIEW
-    replica = Replica(environment, facts.StoredReplica(me, view, is_founder, 0, 0, AcceptorState()), ())
+    is_initial_member = settings.fresh_start and settings.address in settings.seeds
+    me = Member(settings.address, FIRST_INCARNATION if is_initial_member else settings.new_incarnation)
+    view = View(0, initial_members(settings.seeds)) if is_initial_member else NO_VIEW
+    replica = Replica(environment, facts.StoredReplica(me, view, is_initial_member, 0, 0, AcceptorState()), ())
     identity = {**replica.view_facts(), **facts.incarnation(me), **facts.sequence(0)}
     environment.save(Save(facts=identity), ignore_completion)
     return replica
 
 
-def founders(seeds: list[str]) -> tuple[Member, ...]:
+def initial_members(seeds: list[str]) -> tuple[Member, ...]:
     """Return the members of the first view."""
     return tuple(Member(seed, FIRST_INCARNATION) for seed in sorted(seeds))
--- a/lilacsill/mesh/store/operation_claims.py
+++ b/lilacsill/mesh/store/operation_claims.py
@@ -1,8 +1,9 @@
-"""The entry of claims on operations: which proxy may run an operation, as the head of the chain records it. No I/O.
+"""Handling of claims on operations: the head of the chain records which proxy may run an operation. No I/O.
 
-A claim is granted when its record is on the disks of all of the chain, and these are enough disks. Claims that come
-while the head cannot append wait and are appended together, each with a record of its own. A member that is not the
-head, or does not know the outcome, says so and names the chain; a claim may be repeated as it is.
+A claim is granted when its record is on the disks of all members of the chain, provided that the chain has enough
+members. Claims that arrive while the head cannot append are queued and appended together, each with its own record. A
+member that is not the head, or that does not know the outcome, replies with UNKNOWN and the members of the chain. A
+claim may be retried unchanged.
 """
 
 from __future__ import annotations
@@ -17,37 +18,37 @@
 from .chain import Chain
 from .claim_batch import ClaimBatch, ClaimDecision
 from .commit_check import CommitCheck
-from .operation_retention import NOTHING, OperationRetention
+from .operation_retention import NO_FLOOR, OperationRetention
 from .replica import Replica
 from .replies import Replier
 
-CLAIM_TIMEOUT_US = 800_000  # as of the calls of operators
-MAX_WAITING_CLAIMS = 4096  # what 400 claims a second are in ten seconds; more are not known to have an outcome
+CLAIM_TIMEOUT_US = 800_000  # the same as for operators' calls
+MAX_WAITING_CLAIMS = 4096  # the claims of ten seconds at 400 per second; claims beyond this are answered with UNKNOWN
 CHECKPOINT_INTERVAL_US = 5_000_000
 
 
-def _no_answers() -> dict[ClaimStatus, int]:
+def _zero_counts() -> dict[ClaimStatus, int]:
     return dict.fromkeys(ClaimStatus, 0)
 
 
 class ClaimCounts(msgspec.Struct):
-    """Counts of this member in this run of the process.
+    """The claims that this member has handled since the process started.
 
     Attributes:
         answered: Claims that were answered, by outcome.
-        replaced: Claims that took the place of another one.
+        replaced: Granted claims that replaced an earlier claim.
     """
 
-    answered: dict[ClaimStatus, int] = msgspec.field(default_factory=_no_answers)
+    answered: dict[ClaimStatus, int] = msgspec.field(default_factory=_zero_counts)
     replaced: int = 0
 
     def by_outcome(self) -> dict[str, int]:
-        """Return the answered claims by the name of the outcome."""
+        """Return the number of answered claims by the name of the outcome."""
         return {status.name.lower(): count for status, count in self.answered.items()}
 
 
 class _PendingClaim:
-    """A claim that is not answered yet."""
+    """A claim that has not been answered."""
 
     def __init__(self, claim: Claim, reply: Replier) -> None:
         self.claim, self._reply = claim, reply
@@ -62,10 +63,10 @@
 
 
 class OperationClaims:
-    """The entry at one member.
+    """The claims that are sent to one member.
 
     Attributes:
-        counts: For operators.
+        counts: The counts of handled claims, for operators.
     """
 
     def __init__(self, replica: Replica, chain: Chain, commit_check: CommitCheck, key_window_us: int) -> None:
@@ -73,19 +74,21 @@
         self._commit_check = commit_check
         self._retention = OperationRetention(key_window_us)
         self._waiting: list[_PendingClaim] = []
-        self._due_floor = NOTHING  # records up to this sequence number are deleted with the next changes
-        self._was_head_in = replica.view.number if replica.is_head else None  # number of the last view as the head
+        self._pending_floor = NO_FLOOR  # the next batch deletes records up to this sequence number
+        self._last_head_view = (
+            replica.view.number if replica.is_head else None
+        )  # number of the last view in which this member was the head
         self.counts = ClaimCounts()
         replica.view_listeners.append(self._on_view)
 
     def start(self) -> None:
-        """Begin to delete old records, where this member is the head."""
+        """Start the periodic deletion of old records, which takes effect while this member is the head."""
         self._check_retention()
 
     # Claims
 
     def handle_claim(self, claim: Claim, reply: Replier) -> None:
-        """Decide a claim at the head; elsewhere tell who that is."""
+        """Decide a claim at the head; at other members reply with the members of the chain."""
         pending = _PendingClaim(claim, reply)
         is_head = self._replica.is_head and self._replica.complete
         if not is_head or len(self._waiting) >= MAX_WAITING_CLAIMS:
@@ -96,13 +99,14 @@
         self.append_waiting_claims()
 
     def append_waiting_claims(self) -> None:
-        """Decide all waiting claims, one on top of the other, and replicate their records together."""
+        """Decide all queued claims in order, each on top of those before it, and replicate their records together."""
         if not self._chain.may_append:
             return
-        # One that was answered already is not recorded: its proxy may have stated that it will never run the operation.
+        # A claim that has already been answered (after a timeout) is not recorded: its proxy may have declared that it
+        # will never run the operation.
         claims = [pending for pending in self._waiting if not pending.is_answered]
         self._waiting = []
-        floor, self._due_floor = self._due_floor, NOTHING
+        floor, self._pending_floor = self._pending_floor, NO_FLOOR
         if claims or floor:
             self._append(claims, floor)
 
@@ -120,18 +124,18 @@
             self._chain.replicate(batch.items, batch.seq, on_commit)
         for pending, decision in decisions:
             if decision.recorded_seq <= first_seq:
-                self._answer_present(pending, decision)
+                self._answer_without_append(pending, decision)
 
     def _on_appended(self, claims: list[_PendingClaim], is_on_chain: bool) -> None:
         self._commit_check.check_copies(is_on_chain, False, partial(self._grant, claims))
 
-    def _answer_present(self, pending: _PendingClaim, decision: ClaimDecision) -> None:
-        """Answer a claim for which nothing is appended."""
+    def _answer_without_append(self, pending: _PendingClaim, decision: ClaimDecision) -> None:
+        """Answer a claim for which no record is appended."""
         if decision.status is not ClaimStatus.GRANTED:
             self._answer(pending, decision.status, decision.owner)
             return
 
-        # The record was there before: it may be uncommitted, and it may be that of a head that lost its place.
+        # The record existed before: it may be uncommitted, and it may be from a head that has since been replaced.
         def on_commit(is_on_chain: bool) -> None:
             self._commit_check.check_copies(is_on_chain, True, partial(self._grant, [pending]))
 
@@ -161,7 +165,7 @@
         self._retention.record(now, replica.state.seq)
         oldest_seq = replica.state.oldest_operation_seq()
         floor = self._retention.floor(now)
-        self._due_floor = floor if oldest_seq is not None and oldest_seq <= floor else NOTHING
+        self._pending_floor = floor if oldest_seq is not None and oldest_seq <= floor else NO_FLOOR
         self.append_waiting_claims()
 
     # Views
@@ -170,8 +174,8 @@
         waiting, self._waiting = self._waiting, []
         for pending in waiting:
             self._answer(pending, ClaimStatus.UNKNOWN)
-        self._due_floor = NOTHING
+        self._pending_floor = NO_FLOOR
         number = self._replica.view.number
-        if not self._replica.is_head or self._was_head_in != number - 1:
-            self._retention.clear()  # others may have given out the numbers since
-        self._was_head_in = number if self._replica.is_head else None
+        if not self._replica.is_head or self._last_head_view != number - 1:
+            self._retention.clear()  # another head may have assigned the sequence numbers since
+        self._last_head_view = number if self._replica.is_head else None
--- a/lilacsill/mesh/store/operation_records.py
+++ b/lilacsill/mesh/store/operation_records.py
@@ -1,8 +1,9 @@
-"""The records of operations as items of the store, beside the configuration. No I/O.
+"""The records of operations, stored as items next to the configuration. No I/O.
 
-An item of the kind `operation` says which claim on an operation was granted. Its name is the operation's, its version
-counts the claims that followed each other. One item of the kind `operation_floor` says up to which sequence number such
-records are deleted. Both are replicated, saved and repaired like all items, but they are no configuration.
+An item of kind `operation` records which claim on an operation was granted. Its name is the name of the operation, and
+its version counts the successive claims. A single item of kind `operation_floor` holds the sequence number up to which
+such records are deleted. Both kinds are replicated, saved and repaired like all items, but are not part of the
+configuration.
 """
 
 from __future__ import annotations
@@ -29,21 +30,21 @@
 
 
 def owner_of(item: Item) -> OperationOwner:
-    """Return the owner that the record of an operation names."""
-    assert item.body is not None  # no operation has a tombstone
+    """Return the owner in the record of an operation."""
+    assert item.body is not None  # records of operations never have tombstones
     return _decoder.decode(item.body)
 
 
 def floor_item(floor: int, seq: int) -> Item:
-    """Return the item that deletes all records of operations up to a sequence number."""
+    """Return the item that deletes all records of operations up to the sequence number `floor`."""
     return Item(OPERATION_FLOOR, _FLOOR_NAME, floor, seq, b"%d" % floor)
 
 
 def floor_of(item: Item) -> int:
-    """Return up to which sequence number records are deleted, as of an `operation_floor`."""
+    """Return the sequence number up to which an `operation_floor` item deletes records."""
     return 0 if item.body is None else int(item.body)
 
 
 def highest_floor(items: Iterable[Item]) -> int:
-    """Return up to which sequence number records are deleted, as of these items; 0 if none of them says it."""
+    """Return the highest floor among the `operation_floor` items; 0 if there is none."""
     return max((floor_of(item) for item in items if item.kind == OPERATION_FLOOR), default=0)
--- a/lilacsill/mesh/store/operation_retention.py
+++ b/lilacsill/mesh/store/operation_retention.py
@@ -1,8 +1,8 @@
-"""For how long the head keeps the records of operations. No I/O.
+"""The retention of the records of operations at the head. No I/O.
 
-The head notes from time to time which sequence number it has reached. Records up to a number that it reached long
-enough ago are deleted. The time is that of the head's own steady clock, and of no earlier head: one that begins, or
-starts anew, has noted nothing and keeps all records that it finds for a complete period.
+The head periodically records a checkpoint: the sequence number that it has reached. Records up to a checkpoint that is
+older than the retention time are deleted. Times are those of the head's own monotonic clock, never of an earlier head:
+a new or restarted head has no checkpoints and keeps all existing records for a full retention time.
 """
 
 from __future__ import annotations
@@ -11,12 +11,12 @@
 
 import msgspec
 
-MARGIN_US = 10_000_000  # beyond KeyWindowS: for what is on its way, and for clocks that differ
-NOTHING = 0
+MARGIN_US = 10_000_000  # added to KeyWindowS for messages in flight and for clock drift
+NO_FLOOR = 0  # no record may be deleted
 
 
 class _Checkpoint(msgspec.Struct, frozen=True):
-    """A sequence number that was reached at this time at the latest."""
+    """A sequence number, and a time at which the head had reached it."""
 
     at_us: int
     seq: int
@@ -26,24 +26,24 @@
     """The checkpoints of one head."""
 
     def __init__(self, key_window_us: int) -> None:
-        """`key_window_us`: for how long a repeat of an operation may come."""
+        """`key_window_us`: for how long after an operation it may be retried."""
         self._retention_us = key_window_us + MARGIN_US
         self._checkpoints: deque[_Checkpoint] = deque()
 
     def record(self, now_us: int, seq: int) -> None:
-        """Take note of the sequence number that this head has reached."""
+        """Add a checkpoint if the sequence number that this head has reached has increased."""
         if not self._checkpoints or self._checkpoints[-1].seq < seq:
             self._checkpoints.append(_Checkpoint(now_us, seq))
 
     def floor(self, now_us: int) -> int:
-        """Return up to which sequence number records may be deleted; `NOTHING`: none."""
-        is_old = now_us - self._retention_us
-        while len(self._checkpoints) > 1 and self._checkpoints[1].at_us <= is_old:
+        """Return the sequence number up to which records may be deleted; `NO_FLOOR` if none may."""
+        cutoff_us = now_us - self._retention_us
+        while len(self._checkpoints) > 1 and self._checkpoints[1].at_us <= cutoff_us:
             self._checkpoints.popleft()
-        if not self._checkpoints or self._checkpoints[0].at_us > is_old:
-            return NOTHING
+        if not self._checkpoints or self._checkpoints[0].at_us > cutoff_us:
+            return NO_FLOOR
         return self._checkpoints[0].seq
 
     def clear(self) -> None:
-        """Forget all checkpoints."""
+        """Discard all checkpoints."""
         self._checkpoints.clear()
--- a/lilacsill/mesh/store/paxos.py
+++ b/lilacsill/mesh/store/paxos.py
@@ -1,8 +1,8 @@
-"""Agreement on the next view: for each view number one decree of Paxos (Lamport, "The Part-Time Parliament", 1998).
+"""Agreement on the next view: single-decree Paxos per view number (Lamport, "The Part-Time Parliament", 1998).
 
-The voters on view n + 1 are the members of view n. There is no leader and no log: any member may propose, and a view
-that was chosen is a fact that anyone may pass on. A member that has lost its disk has another incarnation, so it is not
-the member that is asked. No I/O.
+The voters on view n + 1 are the members of view n. There is no leader and no log: any member may propose, and any
+machine may forward a view that was chosen. A member that has lost its disk returns with another incarnation, so it is a
+different member and has no vote. No I/O.
 """
 
 from __future__ import annotations
@@ -19,49 +19,49 @@
 """Lower than the ballot of any proposal."""
 
 STORAGE_KEY = "accord"
-"""The name under which an acceptor's state is on disk."""
+"""The name under which the state of an acceptor is stored on disk."""
 
 
 class AcceptorState(msgspec.Struct, array_like=True):
-    """What an acceptor must not forget: it is on disk before an answer that rests on it is sent."""
+    """The durable state of an acceptor. It is on disk before any reply that depends on it is sent."""
 
-    view_number: int = 0  # of the view that is voted on
+    view_number: int = 0  # number of the view that is voted on
     promised: Ballot = NO_BALLOT
     accepted_ballot: Ballot | None = None
     accepted_view: View | None = None
 
 
 class StableStorage(Protocol):
-    """Where an acceptor keeps its state."""
+    """Durable storage for the state of an acceptor."""
 
     def persist(self, name: str, value: bytes, done: Callable[[], None]) -> None:
         """Write the value, and call `done` once it is on disk."""
 
 
 class Acceptor:
-    """One voter."""
+    """The Paxos acceptor of one voter."""
 
     def __init__(self, me: Member, state: AcceptorState, storage: StableStorage) -> None:
         self.me, self.state, self._storage = me, state, storage
 
     def has_accepted_next(self, view: View) -> bool:
-        """Return whether this voter has accepted a view after this one.
+        """Return whether this voter has accepted the successor of `view`.
 
-        It does not know whether that view was chosen, so it must not rely on this one being in force.
+        The voter does not know whether that successor was chosen, so it must not rely on `view` being in force.
         """
         return self.state.view_number == view.number + 1 and self.state.accepted_view is not None
 
     def promised(self, view: View) -> Ballot:
-        """Return the highest ballot promised for the view after this one."""
+        """Return the highest ballot that was promised for the successor of `view`."""
         return self.state.promised if self.state.view_number == view.number + 1 else NO_BALLOT
 
     def prepare(self, view: View, request: Prepare, reply: Callable[[Message], None]) -> None:
-        """Answer phase 1 with a `Promise`.
+        """Reply to phase 1 with a `Promise`.
 
         Args:
-            view: the view in force here.
-            request: what the proposer asks for.
-            reply: called once; after the state is on disk, if the answer is a promise.
+            view: the view in force at this voter.
+            request: the prepare request of the proposer.
+            reply: called once; if the promise is given, only after the state is on disk.
         """
         if not self._may_vote(view, request.to, request.view_number):
             reply(Promise(False, NO_BALLOT, None, None, view))
@@ -75,12 +75,12 @@
         self._persist(lambda: reply(answer))
 
     def accept(self, view: View, request: Accept, reply: Callable[[Message], None]) -> None:
-        """Answer phase 2 with an `Accepted`.
+        """Reply to phase 2 with an `Accepted`.
 
         Args:
-            view: the view in force here.
-            request: what the proposer asks for.
-            reply: called once; after the state is on disk, if the view was accepted.
+            view: the view in force at this voter.
+            request: the accept request of the proposer.
+            reply: called once; if the view is accepted, only after the state is on disk.
         """
         if not self._may_vote(view, request.to, request.view.number):
             reply(Accepted(False, NO_BALLOT, view))
@@ -108,15 +108,17 @@
 
 
 class ProposalCallbacks(msgspec.Struct):
-    """What a proposal needs of its proposer."""
+    """The callbacks through which a proposal sends requests and reports its outcome."""
 
-    ask: Callable[[Member, Message, Callable[[Message | None], None]], None]  # None: no answer in time
+    ask: Callable[[Member, Message, Callable[[Message | None], None]], None]  # the answer is None after a timeout
     on_chosen: Callable[[View], None]
-    on_failed: Callable[[View | None, Ballot], None]  # a later view in force elsewhere; the ballot to exceed
+    on_failed: Callable[
+        [View | None, Ballot], None
+    ]  # arguments: a later view in force at a voter, or None; the ballot to exceed
 
 
 class Phase(Enum):
-    """The state of a proposal."""
+    """The phase of a proposal."""
 
     PREPARE = auto()
     ACCEPT = auto()
@@ -124,28 +126,28 @@
 
 
 class Proposal:
-    """One attempt to have a view chosen, with one ballot. It ends once: chosen, failed or cancelled."""
+    """One attempt to get a view chosen with one ballot. It ends exactly once: chosen, failed or cancelled."""
 
     def __init__(self, view: View, proposed: View, ballot: Ballot, callbacks: ProposalCallbacks) -> None:
         assert proposed.number == view.number + 1 and proposed.members
         self._view, self._value, self._ballot, self._callbacks = view, proposed, ballot, callbacks
         self._phase = Phase.PREPARE
         self._highest_accepted = NO_BALLOT
-        self._votes = self._rejections = 0  # in this phase
+        self._votes = self._rejections = 0  # of the current phase
         self._ballot_to_exceed = ballot
 
     @property
     def is_finished(self) -> bool:
-        """Whether nothing more will come of it."""
+        """Whether the proposal was chosen, has failed or was cancelled."""
         return self._phase is Phase.FINISHED
 
     def begin(self) -> None:
-        """Send phase 1 to all voters."""
+        """Send the prepare request of phase 1 to all voters."""
         for member in self._view.members:
             self._callbacks.ask(member, Prepare(member, self._value.number, self._ballot), self._on_promise)
 
     def cancel(self) -> None:
-        """Ignore all answers from here on. The view may be chosen all the same."""
+        """Ignore all further answers. The view may still be chosen."""
         self._phase = Phase.FINISHED
 
     def _majority(self) -> int:
@@ -166,7 +168,7 @@
             self._begin_accept_phase()
 
     def _adopt_accepted(self, promise: Promise) -> None:
-        """A view that was accepted before may have been chosen, so it must be the one that is proposed."""
+        """Propose the accepted view with the highest ballot instead, because that view may already have been chosen."""
         if promise.accepted_view is None or promise.accepted_ballot is None:
             return
         if promise.accepted_ballot > self._highest_accepted:
@@ -193,7 +195,7 @@
             self._callbacks.on_chosen(self._value)
 
     def _on_rejection(self, view: View | None, promised: Ballot) -> None:
-        """A voter rejected the proposal, or did not answer: then `view` is None."""
+        """Handle a rejection by a voter, or a timeout, for which `view` is None."""
         self._ballot_to_exceed = max(self._ballot_to_exceed, promised)
         if view is not None and view.number > self._view.number:
             self._phase = Phase.FINISHED
--- a/lilacsill/mesh/store/predecessor.py
+++ b/lilacsill/mesh/store/predecessor.py
@@ -1,6 +1,6 @@
-"""Replication from the predecessor in the chain: the receiver's side. No I/O.
+"""Replication from the predecessor in the chain: the receiving side. No I/O.
 
-A message is acknowledged once its items are on this disk and on the disks of all members behind this one.
+A message is acknowledged once its items are on the disk of this machine and of all members behind it in the chain.
 """
 
 from __future__ import annotations
@@ -20,51 +20,51 @@
 
 
 class ReceivingChain(Protocol):
-    """What the link from the predecessor needs of its chain."""
+    """The methods of the chain that the link from the predecessor uses."""
 
     def save_changes(
         self, items: Iterable[Item], ranges: Iterable[int], changed_facts: facts.Facts, tombstone_floor: int, done: Done
     ) -> None:
-        """Write items and facts to disk together."""
+        """Write items and facts to disk atomically."""
 
     def advance_successor(self) -> None:
-        """Send the successor what it lacks."""
+        """Send the successor the changes that it lacks."""
 
     def wait_for_commit(self, seq: int, callback: CommitCallback) -> None:
-        """Call back once that sequence number is committed."""
+        """Call `callback` once the sequence number is committed."""
 
     def complete_waiters(self) -> None:
-        """Call back those that wait for what is committed by now."""
+        """Run the callbacks that wait for sequence numbers that are now committed."""
 
 
 class PredecessorLink:
-    """The link from the predecessor of one member in the present view."""
+    """The link from the predecessor of one member in the current view."""
 
     def __init__(self, replica: Replica, chain: ReceivingChain) -> None:
         self._replica, self._chain = replica, chain
 
-    def _is_addressed(self, request: SummaryRequest | Replicate) -> bool:
-        """Return whether the sender takes this machine for what it is.
+    def _matches_own_role(self, request: SummaryRequest | Replicate) -> bool:
+        """Return whether the request is for the current view and for the role that this machine has in it.
 
-        A machine that has lost its disk is a learner. In the place that it had in the chain before it would
-        acknowledge alone what the members behind it may lack.
+        A machine that has lost its disk is a learner. If it accepted requests for its former position in the chain, it
+        would acknowledge changes that the members behind it may lack.
         """
         replica = self._replica
         is_of_view = request.view_number == replica.view.number
         return is_of_view and request.to_learner is not replica.in_chain and not replica.is_head
 
     def handle_summary_request(self, request: SummaryRequest, reply: Replier) -> None:
-        """Tell the predecessor what this copy holds."""
-        if not self._is_addressed(request):
+        """Reply to the predecessor with a summary of this copy."""
+        if not self._matches_own_role(request):
             reply(REJECTED)
             return
         state = self._replica.state
         reply(Summary(self._replica.complete, state.seq, list(state.digests)))
 
     def handle_replicate(self, request: Replicate, reply: Replier) -> None:
-        """Save a batch of changes, or a chunk of a repair, and acknowledge it."""
+        """Save a batch of changes or a chunk of a repair, and acknowledge it."""
         replica = self._replica
-        if not self._is_addressed(request) or not (replica.complete or request.is_repair):
+        if not self._matches_own_role(request) or not (replica.complete or request.is_repair):
             reply(REJECTED)
             return
         changed_facts = facts.completeness(request.last)
@@ -73,7 +73,8 @@
             changed_facts |= facts.sequence(request.seq)
             floor = request.tombstone_floor
         else:
-            # At once, not only when the chunk is on disk: a view that is adopted meanwhile must take it into account.
+            # Set immediately, not only after the chunk is on disk, because a view that is adopted in the meantime must
+            # take the incomplete copy into account.
             replica.complete = False
         self._chain.save_changes(
             request.items, request.ranges, changed_facts, floor, lambda: self._on_saved(request, reply)
@@ -87,7 +88,7 @@
         else:
             replica.state.apply(request.items, request.seq, request.tombstone_floor)
         if request.view_number != replica.view.number:
-            self._chain.advance_successor()  # what is on this disk is part of the state, also in the next view
+            self._chain.advance_successor()  # the saved changes are part of the state in the next view as well
             reply(REJECTED)
             return
         replica.complete = replica.in_sync = request.last
--- a/lilacsill/mesh/store/process.py
+++ b/lilacsill/mesh/store/process.py
@@ -1,4 +1,4 @@
-"""The process of one replica: settings, disk, control server and signals."""
+"""The process of one replica: settings, disk, servers and signals."""
 
 from __future__ import annotations
 
@@ -17,22 +17,20 @@
 from lilacsill.mesh.runtime.settings import Settings
 
 from .disk import Disk
-from .leaving import Leaving
+from .leaving import PlannedDeparture
 from .local_environment import LocalEnvironment
 from .node import DiskContents, Store, StoreSettings
 from .status import status_of
 
-DISK_SHARE = (
-    8  # the state may take this part of the disk: the file, its log and a file that was moved away must all fit
-)
+DISK_TO_STATE_RATIO = 8  # the database, its log and a database that was moved aside must all fit on the disk
 INCARNATION_BYTES = 6
 
 
 class Process:
-    """One replica of the store and what it runs on."""
+    """One replica of the store with its disk, reactor and servers."""
 
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
-        """Open the disk, listen and begin.
+        """Open the disk, bind the servers and start the replica.
 
         Raises:
             OSError: The disk cannot be used, or the address is taken.
@@ -57,23 +55,25 @@
         )
         disk.items = []
         if settings.disk_mb:
-            store.frontend.max_state_bytes = (settings.disk_mb << 20) // DISK_SHARE
+            store.frontend.max_state_bytes = (settings.disk_mb << 20) // DISK_TO_STATE_RATIO
         handlers: dict[type, RequestHandler] = {**store.handlers, Status: self._handle_status}
         environment.handlers = handlers
         self._server = RpcServer(reactor, Address(settings.ip, port), handlers)
-        self._leaving: Leaving | None = None
+        self._departure: PlannedDeparture | None = None
         self._metrics_server = MetricsServer(reactor, Address(settings.ip, STORE_PORT), self._load_metrics_encoder)
         store.start()
         reactor.on_signal(signal.SIGTERM, self._on_terminate)
-        reactor.on_signal(signal.SIGHUP, lambda: None)  # a running replica has no use for new seeds
+        reactor.on_signal(signal.SIGHUP, lambda: None)  # ignored: a running replica does not use new seeds
 
     def _on_terminate(self) -> None:
-        if self._leaving is None:
+        if self._departure is None:
             grace_us = self._settings.timing.grace_period_us
-            self._leaving = Leaving(self._store.replica, self._store.membership, grace_us, self._reactor.stop)
+            self._departure = PlannedDeparture(
+                self._store.replica, self._store.membership, grace_us, self._reactor.stop
+            )
 
     def _load_metrics_encoder(self) -> Encode:
-        from .metrics import encode_metrics  # the library need not be in memory where nobody fetches metrics
+        from .metrics import encode_metrics  # imported lazily to save memory if no metrics are fetched
 
         return lambda: encode_metrics(self._store, self._reactor.now())
 
--- a/lilacsill/mesh/store/quorum.py
+++ b/lilacsill/mesh/store/quorum.py
@@ -1,7 +1,8 @@
-"""Confirm with a majority of the members that the present view is still in force. No I/O.
+"""Confirmation by a majority of the members that the current view is still in force. No I/O.
 
-An answer that rests on the state of one member alone (a read, a refusal, "nothing to change") is sent only after such a
-confirmation that began after the call arrived. A member on the minority side of a partition gets none.
+A reply that depends on the state of a single member (a read, a rejection, a change that is already applied) is sent
+only after a confirmation that was started after the call arrived. A member on the minority side of a partition cannot
+obtain a confirmation.
 """
 
 from __future__ import annotations
@@ -16,11 +17,11 @@
 
 
 def confirm_view(replica: Replica, done: Callable[[bool], None]) -> None:
-    """Ask all members of the view, this one too, whether it is in force.
+    """Ask all members of the view, including this one, whether it is in force.
 
     Args:
-        replica: the member that asks.
-        done: called once, with True if a majority confirmed and the view has not changed meanwhile.
+        replica: the member that requests the confirmation.
+        done: called once, with True if a majority confirmed and the view has not changed in the meantime.
     """
     view = replica.view
     confirmations, outstanding, finished = 0, len(view.members), False
--- a/lilacsill/mesh/store/quotas.py
+++ b/lilacsill/mesh/store/quotas.py
@@ -1,4 +1,4 @@
-"""The quotas that this member of the store owns: limits from its configuration, rights from its leases. No I/O."""
+"""The quotas that this member of the store owns: limits from the configuration, grants under read leases. No I/O."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from .lease_manager import LeaseManager
 from .replica import Replica
 
-TENANT = "tenant"  # kind of the items that describe tenants
+TENANT = "tenant"  # kind of the items that configure tenants
 
 
 class _TenantBody(msgspec.Struct):
-    """The body of a tenant's item, as far as quotas need it."""
+    """The fields of a tenant's item that quotas use."""
 
     RatePerS: float = 0.0
     BurstSize: float = 0.0
@@ -27,21 +27,21 @@
 
 
 class _DecodedLimit(msgspec.Struct, frozen=True):
-    """The limit that one state of an item sets."""
+    """The decoded limit of one revision of an item."""
 
-    seq: int  # of the item
+    seq: int  # sequence number of the item
     limit: TenantLimit
 
 
 class TenantLimits:
-    """The limits of tenants in one copy of the configuration. Each state of an item is decoded once."""
+    """The limits of tenants in one copy of the configuration. Each revision of an item is decoded once."""
 
     def __init__(self, replica: Replica) -> None:
         self._replica = replica
         self._decoded: dict[str, _DecodedLimit] = {}
 
     def limit_of(self, tenant: str) -> TenantLimit | None:
-        """Return the limit of a tenant; None: the configuration has no such tenant."""
+        """Return the limit of a tenant; None if the tenant is not configured."""
         item = self._replica.state.item(TENANT, tenant)
         if item is None or item.body is None:
             self._decoded.pop(tenant, None)
@@ -56,17 +56,21 @@
     try:
         tenant = _tenant_body.decode(body)
     except msgspec.DecodeError:
-        # The validation of operators' calls lets none of these pass.
-        log.warning("tenant %s: its limit cannot be read", item.name)
+        # The validation of operators' calls rejects such a body, so it can only be corrupt.
+        log.warning(
+            "tenant %s: invalid limit in the configuration (sequence number %d); applying a limit of 0",
+            item.name,
+            item.seq,
+        )
         return TenantLimit(0.0)
     return TenantLimit(tenant.RatePerS, tenant.BurstSize)
 
 
 class StoreQuotas:
-    """The surroundings of a quota owner that is a member of the chain.
+    """The environment of a quota owner that is a member of the chain.
 
     Attributes:
-        owner: Decides on the demands of proxies.
+        owner: Decides the token requests of proxies.
     """
 
     def __init__(self, replica: Replica, lease_manager: LeaseManager, timing: TimingBounds) -> None:
@@ -83,14 +87,14 @@
         self.owner.on_view_change(self._chain_view())
 
     def now(self) -> int:
-        """Return the time of the member's clock in microseconds."""
+        """Return the time in microseconds of this member's clock."""
         return self._replica.environment.now()
 
     def may_grant(self) -> bool:
-        """Return whether no later view can be in force, and this copy has every limit that was acknowledged."""
+        """Return whether no later view can be in force and this copy contains every acknowledged limit."""
         replica = self._replica
         return replica.in_chain and replica.complete and self._lease_manager.is_valid()
 
     def limit_of(self, tenant: str) -> TenantLimit | None:
-        """Return the limit of a tenant; None: the configuration has no such tenant."""
+        """Return the limit of a tenant; None if the tenant is not configured."""
         return self._tenant_limits.limit_of(tenant)
--- a/lilacsill/mesh/store/reconfiguration.py
+++ b/lilacsill/mesh/store/reconfiguration.py
@@ -1,31 +1,34 @@
-"""Decide which view should follow, and which learners to bring up to date, from what is known of the machines. No I/O.
-
-A machine outside the chain is a *learner*: the tail sends it everything, no commit waits for it, it does not count as a
-copy and, unless it was a member before, it has no vote. Once it is synced it becomes a member, at the end of the chain.
-
-A member that does not answer, or whose disk is stalled, is *suspended*: the chain goes on without it, and it keeps its
-vote until a new machine takes its place. If the view only shrank instead, then after the loss of one member of three
-both others would be needed for the next step. Since the vote is kept, the lost machine's return with its disk restores
-a majority before the machine is synced, and a machine that was suspected wrongly still helps to survive the loss of
-another one. A machine that has lost its disk loses its vote, too.
-
-A member that leaves in order may be back a moment later, since a restart begins like a removal. It keeps its vote, too,
-where the majority is the same with it as without: of two voters both are needed, as of three, but one of three may lose
-its disk while another one restarts. Where so many others are down that the rest would be no majority, members that are
-down lose their votes instead: a chain of one decides alone, since nothing can be decided without its only copy.
-
-Why a step is safe. View n + 1 is one Paxos decree among the members of view n, so there is only one view n + 1, and a
-majority of view n has accepted it before it is in force. A member that has accepted it no longer confirms view n, and
-a read or lease of view n needs a majority that does, so from then on there is none. Successive majorities therefore
-meet in the members of the older view, whatever the newer view consists of, and several members may change in one step.
-A committed change is on the disk of every member of its view. Each step must therefore keep these four rules:
-
-- a majority of the present members, with the suspended ones, is alive; otherwise no step is decided;
-- the head is a machine of the present chain that is complete, so it has every change that was acknowledged. A learner,
-  even a synced one, is never the head of the view in which it joins: the last changes may have been acknowledged
-  without it;
+"""Computes the next view and the learners to bring up to date from the known state of the machines. No I/O.
+
+A machine outside the chain is a *learner*: the tail replicates everything to it, but no commit waits for it, it does
+not count as a copy and, unless it was a member before, it has no vote. Once it is synced it becomes a member at the end
+of the chain.
+
+A member that does not respond, or whose disk is stalled, is *suspended*: the chain continues without it, and it keeps
+its vote until a new machine replaces it. If the view only shrank instead, then after the loss of one member of three
+both remaining members would be needed for the next view change. Because the vote is kept, a majority is restored as
+soon as the lost machine returns with its disk, before it is synced, and a machine that was suspected wrongly still
+helps to survive the loss of another machine. A machine that has lost its disk also loses its vote.
+
+A member that departs in a planned way may return shortly afterwards, because a restart begins like a removal. It also
+keeps its vote if the size of the majority is the same with and without it: the majority of two voters is two, as is
+that of three, but one of three may lose its disk while another one restarts. If so many other members are down that the
+remaining ones would not be a majority, members that are down lose their votes instead: a chain of one decides alone,
+because nothing can be decided without its only copy.
+
+Why a view change is safe: view n + 1 is one Paxos decree among the members of view n, so there is only one view n + 1,
+and a majority of view n has accepted it before it is in force. A member that has accepted it no longer confirms view n,
+and a read or a lease in view n needs the confirmation of a majority, so none is possible from then on. Successive
+majorities therefore intersect in the members of the older view, whatever the members of the newer view are, and several
+members may change in one view change. A committed change is on the disk of every member of its view. Each view change
+must therefore follow these four rules:
+
+- a majority of the current members, including the suspended ones, is alive; otherwise there is no view change;
+- the head is a complete machine of the current chain, so it has every acknowledged change. A learner, even a synced
+  one, is never the head of the view in which it joins: the last changes may have been acknowledged without it;
 - a member that can still serve leaves only if enough complete copies remain (`_can_leave`);
-- a learner joins behind all others, and is compared again with its predecessor before a change counts as on its disk.
+- a learner joins at the end of the chain, and is compared again with its predecessor before a change counts as being on
+  its disk.
 """
 
 from __future__ import annotations
@@ -38,15 +41,15 @@
 
 
 class MachineState(msgspec.Struct, frozen=True):
-    """What is known of one machine, with its present disk.
+    """The known state of one machine with its current disk.
 
     Attributes:
         member: The machine.
         alive: Whether it is not suspected.
-        complete: Whether a machine of the chain has every change that was acknowledged, or another one is synced in
-            this view. None: it has not said so in this view.
-        departure: Whether it asks to be removed from the chain, and why.
-        disk_lost: Whether it is back with another disk.
+        complete: For a machine in the chain, whether it has every acknowledged change; for any other machine, whether
+            it is synced in this view. None: not reported in this view.
+        departure: Whether the machine requests its removal from the chain, and why.
+        disk_lost: Whether the machine has returned with another disk.
     """
 
     member: Member
@@ -57,14 +60,14 @@
 
 
 class ClusterState(msgspec.Struct, frozen=True):
-    """What one member knows of all machines.
+    """The state of all machines as known to one member.
 
     Attributes:
-        view: The present view.
-        machines: The members in their order, then all others.
-        min_copies: So many complete copies must remain: one more than may be lost at once.
-        target_size: So many members are wanted.
-        known_machines: The number of machines that are known, with those that are down.
+        view: The current view.
+        machines: The members in their order, then all other machines.
+        min_copies: The number of complete copies that must remain: one more than may be lost at the same time.
+        target_size: The desired number of members.
+        known_machines: The number of known machines, including those that are down.
     """
 
     view: View
@@ -75,12 +78,12 @@
 
     @property
     def voters(self) -> list[MachineState]:
-        """The members, with the suspended ones."""
+        """The members, including the suspended ones."""
         return list(self.machines[: len(self.view.members)])
 
     @property
-    def living_chain(self) -> list[MachineState]:
-        """The machines of the chain that are alive, in their order."""
+    def live_chain(self) -> list[MachineState]:
+        """The machines in the chain that are alive, in the order of the chain."""
         chain = self.view.chain
         return [machine for machine in self.machines if machine.alive and machine.member in chain]
 
@@ -96,21 +99,21 @@
 
     @property
     def majority_alive(self) -> bool:
-        """Whether enough voters are alive to decide on a view."""
+        """Whether enough voters are alive to choose a view."""
         return sum(machine.alive for machine in self.voters) >= self.view.majority
 
 
 def next_view(cluster: ClusterState) -> View | None:
-    """Return the view that should follow; None: the present one is right, or nothing can be done."""
+    """Return the next view; None if the current view needs no change or cannot be changed."""
     if not cluster.majority_alive:
         return None
-    staying = _complete_first(_without_leavers(cluster))
+    staying = _complete_first(_without_departing(cluster))
     if not staying:
         return None
-    chain = [*staying, *_joining(cluster, staying)]
+    chain = [*staying, *_joining_learners(cluster, staying)]
     has_same_machines = {machine.member for machine in chain} == set(cluster.view.chain)
-    if has_same_machines and not _is_head_incomplete(cluster.living_chain[0], chain[0]):
-        return None  # another order alone is no reason for a step
+    if has_same_machines and not _is_head_incomplete(cluster.live_chain[0], chain[0]):
+        return None  # a different order alone does not justify a view change
     suspended = _suspended(cluster, chain)
     members = tuple(machine.member for machine in (*chain, *suspended))
     return View(cluster.view.number + 1, members, len(suspended))
@@ -120,124 +123,125 @@
     """Return the learners that the tail keeps up to date.
 
     Args:
-        cluster: What is known.
-        spares: So many learners stand by as successors, beyond those for the free places.
+        cluster: The known state of all machines.
+        spares: The number of standby learners beyond those that fill the free slots of the chain.
     """
-    return cluster.learners[: _free_places(cluster, cluster.living_chain) + spares]
+    return cluster.learners[: _free_slots(cluster, cluster.live_chain) + spares]
 
 
 def has_too_few_copies(cluster: ClusterState) -> bool:
-    """Return whether the chain is too short for what may be lost, and a machine is alive that can join it.
+    """Return whether the chain is too short for the tolerated losses while a live machine could join it.
 
-    A change that is acknowledged then might be on the only disk that is lost next, although no more disks are lost than
-    may be. Where no machine can join, the copies there are must do.
+    A change that is acknowledged in this state could be lost with a single disk, although the number of lost disks is
+    within the tolerance. If no machine can join, the existing copies must suffice.
     """
     wanted = max(cluster.min_copies, cluster.view.majority)
     return len(cluster.view.chain) < wanted and bool(cluster.learners)
 
 
 def departure_blocker(cluster: ClusterState, member: Member) -> str:
-    """Return for operators what a member that asks to be removed still waits for."""
+    """Return, for operators, what a departing member is still waiting for."""
     if member not in cluster.view.chain:
         return "left out of the chain"
     if not cluster.majority_alive:
         return f"no majority of {len(cluster.view.members)} members answers, to agree on a view without it"
-    rest = [machine for machine in cluster.living_chain if machine.member != member]
-    joining = len(_joining(cluster, rest))
-    copies = len(_lasting_copies(rest)) + joining
-    wanted = _wanted_copies(cluster)
+    rest = [machine for machine in cluster.live_chain if machine.member != member]
+    joining = len(_joining_learners(cluster, rest))
+    copies = len(_staying_copies(rest)) + joining
+    wanted = _required_copies(cluster)
     return f"{copies} complete copies without it, {wanted} wanted; {len(cluster.learners) - joining} learners syncing"
 
 
 def _suspended(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
-    """The members that keep a vote without a place in the chain, those that are alive first.
+    """Return the members that keep a vote without being in the chain, live members first.
 
-    A new machine in the chain takes the vote of one of them.
+    Each new machine in the chain takes the vote of one of them.
     """
     candidates = [machine for machine in cluster.voters if machine not in chain and not machine.disk_lost]
-    votes_left = max(0, max(cluster.target_size, len(cluster.view.members)) - len(chain))
-    staying = [machine for machine in candidates if not _ends(machine)]
+    free_votes = max(0, max(cluster.target_size, len(cluster.view.members)) - len(chain))
+    staying = [machine for machine in candidates if not _is_terminating(machine)]
     alive = [machine for machine in staying if machine.alive]
     down = [machine for machine in staying if not machine.alive]
-    # The end of a leaver must not leave a view without a living majority: fewer votes of members that are down remain.
-    votes_down = max(0, len(chain) + len(alive) - 1)
-    suspended = [*alive, *down[:votes_down]][:votes_left]
+    # When a departing machine stops, a majority of the view must still be alive, so members that are down keep fewer
+    # votes.
+    max_down = max(0, len(chain) + len(alive) - 1)
+    suspended = [*alive, *down[:max_down]][:free_votes]
     voters = len(chain) + len(suspended)
-    if voters % 2 == 0 and len(suspended) < votes_left:
-        # One more voter does not raise the majority of an even number.
-        suspended += [machine for machine in candidates if _ends(machine)][:1]
+    if voters % 2 == 0 and len(suspended) < free_votes:
+        # With an even number of voters, one more voter does not raise the majority.
+        suspended += [machine for machine in candidates if _is_terminating(machine)][:1]
     return suspended
 
 
-def _ends(machine: MachineState) -> bool:
-    """Whether the process of the machine is about to end."""
+def _is_terminating(machine: MachineState) -> bool:
+    """Return whether the process of the machine is about to stop."""
     return machine.departure in (Departure.PLANNED, Departure.IMMEDIATE)
 
 
-def _without_leavers(cluster: ClusterState) -> list[MachineState]:
-    """The living chain without the members that ask to be removed and may leave."""
-    staying = cluster.living_chain
-    leavers = [machine for machine in staying if machine.departure]
-    # The most urgent first: the more have left, the fewer others may.
-    for leaver in sorted(leavers, key=lambda machine: -machine.departure):
-        rest = [machine for machine in staying if machine is not leaver]
-        if _can_leave(cluster, leaver, rest):
+def _without_departing(cluster: ClusterState) -> list[MachineState]:
+    """Return the live chain without the departing members that may leave."""
+    staying = cluster.live_chain
+    departing_machines = [machine for machine in staying if machine.departure]
+    # The most urgent departure first: each departure reduces the number of others that may leave.
+    for departing in sorted(departing_machines, key=lambda machine: -machine.departure):
+        rest = [machine for machine in staying if machine is not departing]
+        if _can_leave(cluster, departing, rest):
             staying = rest
     return staying
 
 
-def _can_leave(cluster: ClusterState, leaver: MachineState, rest: list[MachineState]) -> bool:
-    """Whether enough complete copies remain: `min_copies`, or as many as there are machines.
+def _can_leave(cluster: ClusterState, departing: MachineState, rest: list[MachineState]) -> bool:
+    """Return whether enough complete copies remain: `min_copies`, or all other machines if there are fewer.
 
-    For a member whose process is about to end one copy is enough: if it stayed a member, it would only be missing in
-    the next majority.
+    If the departure is immediate, one copy is enough: a member that stops anyway would only be missing from the next
+    majority.
     """
-    copies = _lasting_copies(rest)
+    copies = _staying_copies(rest)
     if not copies:
-        return False  # no machine could be the head
-    if leaver.departure is Departure.IMMEDIATE:
+        return False  # no remaining machine could be the head
+    if departing.departure is Departure.IMMEDIATE:
         return True
-    joining = _joining(cluster, rest)
-    if leaver.departure is Departure.PLANNED and _is_successor_syncing(cluster, rest, joining):
+    joining = _joining_learners(cluster, rest)
+    if departing.departure is Departure.PLANNED and _is_replacement_syncing(cluster, rest, joining):
         return False
-    return len(copies) + len(joining) >= _wanted_copies(cluster)
+    return len(copies) + len(joining) >= _required_copies(cluster)
 
 
-def _is_successor_syncing(cluster: ClusterState, rest: list[MachineState], joining: list[MachineState]) -> bool:
-    """Whether the next view would be too small, and a learner is not synced yet that could join it.
+def _is_replacement_syncing(cluster: ClusterState, rest: list[MachineState], joining: list[MachineState]) -> bool:
+    """Return whether the next view would be too small while a learner that could join it is not synced yet.
 
-    If the leaver waits for it, a second loss leaves a majority of the next view.
+    If the departing member waits for that learner, a majority of the next view survives a second loss.
     """
     members = sum(not machine.departure for machine in rest) + len(joining)
     return members < cluster.target_size and len(joining) < len(cluster.learners)
 
 
-def _joining(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
-    """The synced learners for the places that are free, or will be."""
-    return [machine for machine in cluster.learners if machine.complete][: _free_places(cluster, chain)]
+def _joining_learners(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
+    """Return the synced learners for the slots of the chain that are free or will become free."""
+    return [machine for machine in cluster.learners if machine.complete][: _free_slots(cluster, chain)]
 
 
-def _free_places(cluster: ClusterState, chain: list[MachineState]) -> int:
+def _free_slots(cluster: ClusterState, chain: list[MachineState]) -> int:
     return max(0, cluster.target_size - sum(not machine.departure for machine in chain))
 
 
-def _lasting_copies(machines: list[MachineState]) -> list[MachineState]:
-    """The complete copies on machines that do not ask to be removed."""
+def _staying_copies(machines: list[MachineState]) -> list[MachineState]:
+    """Return the complete copies on machines that are not departing."""
     return [machine for machine in machines if machine.complete and not machine.departure]
 
 
-def _wanted_copies(cluster: ClusterState) -> int:
+def _required_copies(cluster: ClusterState) -> int:
     return min(cluster.min_copies, cluster.known_machines - 1)
 
 
 def _complete_first(chain: list[MachineState]) -> list[MachineState]:
-    """The chain in its order, but with a complete machine as the head; empty if none is complete."""
+    """Return the chain in its order, but with a complete machine moved to the head; empty if no machine is complete."""
     head = next((machine for machine in chain if machine.complete), None)
     if head is None:
         return []
     return [head, *(machine for machine in chain if machine is not head)]
 
 
-def _is_head_incomplete(present: MachineState, chosen: MachineState) -> bool:
-    """Whether the present head says that it is incomplete, as after the loss of the member that was repairing it."""
-    return present.complete is False and chosen is not present
+def _is_head_incomplete(current: MachineState, chosen: MachineState) -> bool:
+    """Return whether the current head reports an incomplete copy, as after the loss of the member that repaired it."""
+    return current.complete is False and chosen is not current
--- a/lilacsill/mesh/store/rejections.py
+++ b/lilacsill/mesh/store/rejections.py
@@ -1,6 +1,6 @@
-"""Why a call is not acknowledged: one type for each reason, with its facts as fields. No I/O.
+"""The reasons for which a call is rejected: one type per reason, with the details as fields. No I/O.
 
-A rejection is a value. Its `message` is the text that the operator reads, its `status` that of the HTTP response.
+A rejection is a value, not an exception. `message` is the text for the operator, and `status` is the HTTP status code.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class Rejection(msgspec.Struct, frozen=True):
-    """Base of all rejections."""
+    """Base class of all rejections."""
 
     status: ClassVar[int] = INVALID
 
@@ -26,7 +26,7 @@
         raise NotImplementedError
 
 
-# The call alone is wrong
+# The call is invalid by itself
 
 
 class NotJson(Rejection, frozen=True):
@@ -41,7 +41,7 @@
 
 
 class NotAnObject(Rejection, frozen=True):
-    """The body of the call is JSON, but no object."""
+    """The body of the call is JSON, but not an object."""
 
     @property
     def message(self) -> str:
@@ -52,7 +52,7 @@
 class SchemaViolation(Rejection, frozen=True):
     """A field is missing, unknown or out of its bounds."""
 
-    path: str  # keys and indices from the root, with dots between
+    path: str  # keys and indices from the root, separated by dots
     problem: str
 
     @property
@@ -62,7 +62,7 @@
 
 
 class InvalidTarget(Rejection, frozen=True):
-    """A route does not say where its requests go."""
+    """The target of a route is invalid."""
 
     route: str
     problem: str
@@ -74,7 +74,7 @@
 
 
 class ContradictoryChanges(Rejection, frozen=True):
-    """The call names one item twice, with different versions or contents."""
+    """The call contains one item twice, with different versions or contents."""
 
     kind: str
     name: str
@@ -85,7 +85,7 @@
         return f"{self.kind} {self.name}: named twice"
 
 
-# The call contradicts the configuration
+# The call conflicts with the current configuration
 
 
 class MatchTaken(Rejection, frozen=True):
@@ -101,7 +101,7 @@
 
 
 class KeyTaken(Rejection, frozen=True):
-    """Two tenants would have the same key. The key itself must not be shown."""
+    """Two tenants would have the same key. The key itself must not appear in the message."""
 
     taken_by: str
     tenant: str
@@ -125,7 +125,7 @@
 
 
 class ServiceInUse(Rejection, frozen=True):
-    """A service would be removed while routes refer to it."""
+    """The call removes a service that routes refer to."""
 
     service: str
     route_count: int
@@ -137,14 +137,14 @@
 
 
 class VersionConflict(Rejection, frozen=True):
-    """The version that was sent was accepted before, with another content."""
+    """The same version of the item was accepted before with different content."""
 
     status: ClassVar[int] = CONFLICT
 
     kind: str
     name: str
-    version: int  # that was sent
-    current_version: int  # the highest one that was accepted
+    version: int  # in the call
+    current_version: int  # the highest accepted version
 
     @property
     def message(self) -> str:
@@ -153,17 +153,17 @@
 
 
 class VersionForgotten(Rejection, frozen=True):
-    """The version that was sent is older than the history of the item.
+    """The version in the call is older than the recorded history of the item.
 
-    This is no refusal: the change may have been accepted before.
+    The outcome is unknown rather than a refusal, because the change may have been accepted before.
     """
 
     status: ClassVar[int] = UNKNOWN_OUTCOME
 
     kind: str
     name: str
-    version: int  # that was sent
-    current_version: int  # the highest one that was accepted
+    version: int  # in the call
+    current_version: int  # the highest accepted version
 
     @property
     def message(self) -> str:
@@ -172,7 +172,7 @@
 
 
 class StateTooLarge(Rejection, frozen=True):
-    """The configuration would exceed its limit."""
+    """The configuration would exceed its maximum size."""
 
     status: ClassVar[int] = TOO_LARGE
 
--- a/lilacsill/mesh/store/replica.py
+++ b/lilacsill/mesh/store/replica.py
@@ -1,7 +1,7 @@
-"""One machine of the chain: the state that all its parts share, and the adoption of views. No I/O.
+"""One machine of the chain: the state that its components share, and the adoption of views. No I/O.
 
-A change that was acknowledged is on the disks of all members of its view. Each later view begins with a member of the
-view before it that has everything, so the head has every acknowledged change. Messages of an older view are rejected.
+An acknowledged change is on the disks of all members of its view. The head of each later view is a complete member of
+the previous view, so the head has every acknowledged change. Messages of an older view are rejected.
 """
 
 from __future__ import annotations
@@ -16,21 +16,21 @@
 from .paxos import Acceptor
 from .state import ConfigState
 
-NO_VIEW = View(-1, ())  # of a machine that has not heard of a view yet
+NO_VIEW = View(-1, ())  # the view of a machine that has not learned of any view yet
 
 
 class Replica:
-    """What this machine has on disk, and what it knows of its place in the chain.
+    """The replicated state of this machine and its role in the chain.
 
     Attributes:
         environment: The clock, timers, peers and disk.
         me: This machine, with the incarnation of its disk.
-        view: The newest view that this machine knows of.
-        complete: Whether the state is a prefix of the changes of this view. If not, the predecessor must repair it.
+        view: The latest view that this machine has adopted.
+        complete: Whether the state is a prefix of the changes of this view. Otherwise the predecessor must repair it.
         in_sync: Whether the predecessor has brought this copy up to date in this view.
-        state: The items that are on this disk.
-        acceptor: This machine's vote on the next view.
-        departure: Whether this machine asks to be removed from the chain, and why.
+        state: The items on this disk.
+        acceptor: The Paxos acceptor with this machine's vote on the next view.
+        departure: Whether this machine requests its removal from the chain, and why.
         learner: The machine that this member, if it is the tail, brings up to date.
         view_listeners: Called in order after each adoption of a view.
     """
@@ -46,7 +46,7 @@
         self.learner: Member | None = None
         self.view_listeners: list[Callable[[], None]] = []
 
-    # The place in the view
+    # Role in the view
 
     @property
     def is_member(self) -> bool:
@@ -60,22 +60,22 @@
 
     @property
     def position(self) -> int:
-        """Index in the chain; the head has 0."""
+        """Index in the chain; 0 for the head."""
         return self.view.chain.index(self.me)
 
     @property
     def is_head(self) -> bool:
-        """Whether this machine is the first of the chain, which numbers the changes."""
+        """Whether this machine is first in the chain and assigns the sequence numbers."""
         return self.in_chain and self.view.chain[0] == self.me
 
     @property
     def is_tail(self) -> bool:
-        """Whether this machine is the last of the chain."""
+        """Whether this machine is last in the chain."""
         return self.in_chain and self.view.chain[-1] == self.me
 
     @property
     def successor(self) -> Member | None:
-        """The next member of the chain; behind the tail the learner that it brings up to date."""
+        """The next member of the chain; for the tail, the learner that it brings up to date."""
         if not self.in_chain:
             return None
         if self.is_tail:
@@ -89,14 +89,19 @@
 
     @property
     def view_pending(self) -> bool:
-        """Whether this machine has voted for a next view, which may be in force already."""
+        """Whether this machine has accepted the next view, which may already be in force."""
         return self.acceptor.has_accepted_next(self.view)
 
     # The disk
 
     def mark_outdated(self) -> None:
-        """Stop to lead: this copy is older than what was acknowledged, and must be repaired."""
-        log.warning("this copy is older than its successor's")
+        """Mark this copy as incomplete: it lacks acknowledged changes, so it must not lead and must be repaired."""
+        log.warning(
+            "the copy of %s (seq %d) is older than its successor's in view %d; marked incomplete until repaired",
+            self.me.address,
+            self.state.seq,
+            self.view.number,
+        )
         self.complete = False
         self.environment.save(Save(facts=self.view_facts()), ignore_completion)
 
@@ -105,41 +110,41 @@
         self.environment.save(Save(facts={name: value}), done)
 
     def view_facts(self) -> facts.Facts:
-        """Return the facts that change with the view."""
+        """Return the stored facts that change when a view is adopted."""
         return {**facts.view(self.view), **facts.completeness(self.complete)}
 
     # Views
 
     def adopt(self, view: View) -> bool:
-        """Adopt a view that was agreed on. Return whether it is newer than the present one."""
+        """Adopt a chosen view if it is newer than the current one, and return whether it is."""
         if view.number <= self.view.number:
             return False
-        log.info("view %d: %s", view.number, view)
+        log.info("%s adopts view %d: %s", self.me.address, view.number, view)
         before, was_in_chain = self.view, self.in_chain
         self.view, self.learner, self.in_sync = view, None, False
         self.complete = self.complete and self._stays_complete(before, was_in_chain)
-        # Separate from the saves of items, of which one may be pending.
+        # Saved separately from items, because a save of items may be pending.
         self.environment.save(Save(facts=self.view_facts()), ignore_completion)
         for callback in self.view_listeners:
             callback()
         return True
 
     def _stays_complete(self, before: View, was_in_chain: bool) -> bool:
-        """Return whether a copy that was complete in the view before is so in the present view."""
+        """Return whether a copy that was complete in the previous view is still complete in the current view."""
         if not self.in_chain:
-            return False  # a learner is compared anew in each view
+            return False  # a learner is compared again in each view
         if self.is_head:
-            # Whoever proposed it had it as synced; where the last writes of its disk are lost its successor reports it.
+            # The proposer knew this machine as synced. If its disk has lost the last writes, its successor reports it.
             return True
-        # A member that missed a view, or was behind the members that are before it now, may hold changes that were
-        # never acknowledged. A learner that becomes a member may lack changes that were acknowledged without it.
+        # A member that missed a view, or that preceded a member that now precedes it, may hold changes that were never
+        # acknowledged. A learner that becomes a member may lack changes that were acknowledged without it.
         if not was_in_chain or self.view.number != before.number + 1:
             return False
         predecessors_before = set(before.chain[: before.chain.index(self.me)])
         return predecessors_before.issuperset(self.view.chain[: self.position])
 
     def adopt_from(self, message: Message | None) -> None:
-        """Adopt the view that a message carries, if it carries one."""
+        """Adopt the view that a message carries, if any."""
         view = getattr(message, "view", None)
         if isinstance(view, View):
             self.adopt(view)
--- a/lilacsill/mesh/store/replies.py
+++ b/lilacsill/mesh/store/replies.py
@@ -1,4 +1,4 @@
-"""The type of what a request is answered with."""
+"""The type of the callback that sends the reply to a request."""
 
 from __future__ import annotations
 
--- a/lilacsill/mesh/store/route_index.py
+++ b/lilacsill/mesh/store/route_index.py
@@ -1,4 +1,4 @@
-"""Which route matches which host and path prefix, and how many routes refer to a service. No I/O."""
+"""Index of routes by host and path prefix, with the number of routes that refer to each service. No I/O."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 
 
 class RouteMatch(NamedTuple):
-    """The requests that a route applies to. No two routes have the same one."""
+    """The requests that a route matches. No two routes have the same match."""
 
     host: str  # in lower case
     path_prefix: str
 
 
-# The parts of a route's body that matter here, with the names of their JSON keys.
+# The parts of a route's body that the index needs. The fields are named after the JSON keys.
 
 
 class _Share(msgspec.Struct, rename="pascal"):
@@ -46,7 +46,7 @@
 
 
 class RouteReferences(msgspec.Struct, frozen=True):
-    """What one route takes and refers to."""
+    """The match of one route and the services that it refers to."""
 
     match: RouteMatch
     services: frozenset[str]
@@ -56,7 +56,7 @@
 
 
 def references_of(item: Item | None) -> RouteReferences | None:
-    """Return what the item refers to, or None if it is no route or was removed."""
+    """Return the match and the services of a route, or None if the item is not a route or was removed."""
     if item is None or item.kind != ROUTE or item.body is None:
         return None
     route = _decoder.decode(item.body)
@@ -71,7 +71,7 @@
 class RouteIndex:
     """The routes of one configuration.
 
-    Of two routes with the same match within a batch, the one that was changed last counts.
+    If two routes within a batch have the same match, the route that was changed last wins.
     """
 
     def __init__(self) -> None:
@@ -79,7 +79,7 @@
         self._reference_counts: dict[str, int] = {}  # by service
 
     def route_at(self, match: RouteMatch) -> str | None:
-        """Return the name of the route with this match."""
+        """Return the name of the route with this match, if any."""
         return self._routes.get(match)
 
     def reference_count(self, service: str) -> int:
@@ -87,7 +87,7 @@
         return self._reference_counts.get(service, 0)
 
     def replace(self, current: Item | None, item: Item) -> None:
-        """Replace an item by its successor of the same name; `current` None: there was none."""
+        """Replace an item by a newer version of the same item; `current` is None if there was no earlier version."""
         self._remove(current)
         references = references_of(item)
         if references is None:
--- a/lilacsill/mesh/store/sequenced_items.py
+++ b/lilacsill/mesh/store/sequenced_items.py
@@ -7,21 +7,21 @@
 
 
 class SequencedItems:
-    """One part of the items of a copy.
+    """A collection of items of one copy.
 
-    Items that come out of order are sorted on the next use that needs the order.
+    Items that are added out of order are sorted when the order is next needed.
 
     Attributes:
-        by_key: The items by kind and name, in the order of their sequence numbers unless some came out of order.
+        by_key: The items by kind and name, in the order of their sequence numbers unless items were added out of order.
     """
 
     def __init__(self) -> None:
         self.by_key: Items = {}
-        self._last_seq = 0  # no item has a higher sequence number
+        self._last_seq = 0  # an upper bound on the sequence numbers of the items
         self._is_ordered = True
 
     def put(self, item: Item) -> None:
-        """Add an item, of whose kind and name there is none."""
+        """Add an item. There must not be an item of the same kind and name."""
         if item.seq < self._last_seq:
             self._is_ordered = False
         else:
@@ -29,21 +29,21 @@
         self.by_key[item.kind, item.name] = item
 
     def remove(self, key: ItemKey) -> Item:
-        """Remove an item, and return it."""
+        """Remove and return an item."""
         return self.by_key.pop(key)
 
     def sort(self) -> None:
-        """Bring the items into their order."""
+        """Sort the items by sequence number if any were added out of order."""
         if not self._is_ordered:
             self.by_key = sorted_by_seq(self.by_key)
             self._last_seq, self._is_ordered = highest_seq(self.by_key), True
 
     def after(self, seq: int) -> list[Item]:
-        """Return the items with a higher sequence number, in their order; takes time in proportion to their number."""
+        """Return the items with a higher sequence number, in order, in time proportional to their number."""
         self.sort()
         return items_after(self.by_key, seq)
 
     def highest_seq(self) -> int:
-        """Return the sequence number of the last item; 0 if there is none."""
+        """Return the highest sequence number of the items; 0 if there are none."""
         self.sort()
         return highest_seq(self.by_key)
--- a/lilacsill/mesh/store/status.py
+++ b/lilacsill/mesh/store/status.py
@@ -1,4 +1,4 @@
-"""What operators see of one replica (`python -m lilacsill.mesh.store status HOST:PORT`). No I/O."""
+"""The status of one replica for operators (`python -m lilacsill.mesh.store status HOST:PORT`). No I/O."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def status_of(store: Store) -> dict[str, Any]:
-    """Return the status of a replica, to be encoded as JSON."""
+    """Return the status of a replica as a dict that can be encoded as JSON."""
     replica, membership, chain = store.replica, store.membership, store.chain
     view, claims = replica.view, store.operation_claims.counts
     return {
@@ -43,7 +43,7 @@
 
 
 def _quotas(store: Store) -> dict[str, dict[str, float]]:
-    """Return by tenant what this member has granted and denied, and the tokens of the buckets that it has now."""
+    """Return by tenant the granted and denied requests, and the tokens in the buckets that this member now owns."""
     owner = store.quotas.owner
     quotas: dict[str, dict[str, float]] = {
         tenant: {"granted": usage.granted, "denied": usage.denied} for tenant, usage in owner.usage.items()
--- a/lilacsill/mesh/store/successor.py
+++ b/lilacsill/mesh/store/successor.py
@@ -1,11 +1,11 @@
-"""Replication to the successor in the chain: the sender's state machine. No I/O.
+"""Replication to the successor in the chain: the state machine of the sender. No I/O.
 
-The sender first asks the successor for a summary of what it holds. It then sends either the changes that the successor
-lacks (streaming) or, where the digests show that the copies differ, all items of the differing ranges (repair, a form
-of anti-entropy). One message is in flight at a time and carries everything that is due, so that under load many
-changes share a message. Copies that are up to date are compared from time to time.
+The sender first requests a summary of the successor's copy. It then sends either the changes that the successor lacks
+(streaming) or, if the digests show that the copies differ, all items of the differing ranges (repair, a form of
+anti-entropy). One message is in flight at a time and carries all changes that are pending, so that under load many
+changes share a message. Copies that are up to date are compared periodically.
 
-Behind the tail the successor is the learner that is being synced, if there is one. No commit waits for a learner.
+The successor of the tail is the learner that is being synced, if any. No commit waits for a learner.
 """
 
 from __future__ import annotations
@@ -23,95 +23,97 @@
 from .replica import Replica
 from .state import size_of
 
-REPLICATE_TIMEOUT_US = 900_000  # until all members behind the sender have a message on disk
-TRANSFER_US_PER_BYTE = 8  # added to the time-out: the links carry at least 1 Mbit/s
+REPLICATE_TIMEOUT_US = 900_000  # the time within which all members behind the sender must have a message on disk
+TRANSFER_US_PER_BYTE = 8  # added to the timeout: links transfer at least 1 Mbit/s
 SUMMARY_TIMEOUT_US = 400_000
-RETRY_DELAY_US = 50_000  # after a message that failed
-REPAIR_CHUNK_BYTES = 32_000  # of a repair in one message at first: heartbeats share the link and must not be delayed
-MAX_REPAIR_CHUNK_BYTES = 16 * REPAIR_CHUNK_BYTES  # where chunks are fast
-FAST_CHUNK_US = 100_000  # after a chunk that was on the next disk within this time the next one may be twice as large
-MAX_BATCH_BYTES = 2 * REPAIR_CHUNK_BYTES  # of changes in one message; more are sent in several
-COMPARE_INTERVAL_US = 5_000_000  # between two comparisons of copies that are up to date
+RETRY_DELAY_US = 50_000  # after a failed message
+REPAIR_CHUNK_BYTES = 32_000  # initial size of a repair message: heartbeats share the link and must not be delayed
+MAX_REPAIR_CHUNK_BYTES = 16 * REPAIR_CHUNK_BYTES  # when chunks are acknowledged fast
+FAST_CHUNK_US = 100_000  # if a chunk is acknowledged within this time, the next chunk may be twice as large
+MAX_BATCH_BYTES = (
+    2 * REPAIR_CHUNK_BYTES
+)  # maximum size of the changes in one message; more changes are split into several messages
+COMPARE_INTERVAL_US = 5_000_000  # interval of the comparisons of copies that are up to date
 MAX_REPORTED_REPAIRS = 16
 
 
 class LinkState(Enum):
-    """What the link to the successor is doing."""
+    """The state of the link to the successor."""
 
-    UNKNOWN = auto()  # nothing is in flight, and it is not known what the successor holds
+    UNKNOWN = auto()  # no message is in flight, and the successor's state is unknown
     SUMMARISING = auto()  # a summary request is in flight
     REPAIRING = auto()  # a chunk of a repair is in flight
     STREAMING = auto()  # a batch of changes is in flight
-    IDLE = auto()  # nothing is in flight, and the successor has everything up to `SuccessorLink.acked_seq`
-    RETRYING = auto()  # a message failed, and `RETRY_DELAY_US` is not over
+    IDLE = auto()  # no message is in flight, and the successor has all changes up to `SuccessorLink.acked_seq`
+    RETRYING = auto()  # a message failed, and `RETRY_DELAY_US` has not elapsed
 
 
 class SendingChain(Protocol):
-    """What the link to the successor needs of its chain."""
+    """The methods of the chain that the link to the successor uses."""
 
     @property
     def pending_saves(self) -> int:
-        """Saves of items that are not on this disk yet."""
+        """The number of saves of items that are not on this disk yet."""
         ...
 
     def on_successor_confirmed(self) -> None:
-        """The successor has stated, for the first time in this view, that it holds no more than this copy."""
+        """Handle the first confirmation in this view that the successor is not ahead of this copy."""
 
     def on_successor_acknowledged(self) -> None:
-        """More changes may be on the disks of all members from the successor to the tail."""
+        """Handle an acknowledgement: more changes may be on the disks of all members from the successor to the tail."""
 
     def on_learner_synced(self) -> None:
-        """The learner behind this tail has everything that the tail has."""
+        """Handle the event that the learner behind this tail has all changes that the tail has."""
 
 
 class SuccessorLink:
-    """The link from one member to its successor in the present view.
+    """The link from one member to its successor in the current view.
 
     Attributes:
-        acked_seq: Everything up to this sequence number is on the disks of all members from the successor to the tail.
-            None: not known in this view.
-        is_confirmed: Whether the successor has stated in this view that it holds no more than this copy.
-        repairs: What was found to differ and was repaired, the latest last, for operators.
+        acked_seq: All changes up to this sequence number are on the disks of all members from the successor to the
+            tail. None: unknown in this view.
+        is_confirmed: Whether the successor has confirmed in this view that it is not ahead of this copy.
+        repairs: Descriptions of the latest repairs, newest last, for operators.
     """
 
     def __init__(self, replica: Replica, chain: SendingChain) -> None:
         self._replica, self._environment, self._chain = replica, replica.environment, chain
         self._state = LinkState.UNKNOWN
-        self._epoch = 0  # counts views and learners; replies to messages of an earlier epoch are dropped
+        self._epoch = 0  # incremented for each view and each learner; replies from an earlier epoch are ignored
         self._chunk_bytes = REPAIR_CHUNK_BYTES
         self.acked_seq: int | None = None
         self.is_confirmed = False
         self.repairs: list[str] = []
-        self.repair_count = 0  # in this run of the process
+        self.repair_count = 0  # since the process started
 
     def start(self) -> None:
-        """Begin to replicate and to compare copies."""
+        """Start replication and the periodic comparison of copies."""
         self.advance()
         self._environment.after(COMPARE_INTERVAL_US, self._compare)
 
     def reset(self) -> None:
-        """Forget what is known of the successor, which is another one from now on."""
+        """Discard the known state of the successor, because the successor changes."""
         self._epoch += 1
-        self._lose_track()
+        self._forget_progress()
         self._chunk_bytes = REPAIR_CHUNK_BYTES
         self._replica.state.drop_range_index()
 
     def reset_for_view(self) -> None:
-        """Forget what is known of the successor at the start of a view."""
+        """Discard the known state of the successor at the start of a view."""
         self.reset()
         self.is_confirmed = False
 
     def resync(self, address: str, view_number: int, synced: bool) -> None:
-        """Start anew where the successor at `address` says that it is not synced, as after a restart."""
+        """Restart replication if the successor at `address` reports that it is not synced, as after a restart."""
         successor = self._replica.successor
         if successor is None or successor.address != address:
             return
         if view_number == self._replica.view.number and not synced and not self._is_busy:
-            self._lose_track()
+            self._forget_progress()
             self.advance()
 
     def advance(self) -> None:
-        """Send what the successor lacks, unless a message is in flight or this copy is not up to date itself."""
+        """Send the changes that the successor lacks, unless a message is in flight or this copy is not up to date."""
         successor = self._replica.successor
         if successor is None or self._is_busy or not self._replica.is_up_to_date:
             return
@@ -124,7 +126,7 @@
     def _is_busy(self) -> bool:
         return self._state is not LinkState.UNKNOWN and self._state is not LinkState.IDLE
 
-    def _lose_track(self) -> None:
+    def _forget_progress(self) -> None:
         self._state, self.acked_seq = LinkState.UNKNOWN, None
 
     # Summary
@@ -145,8 +147,8 @@
             return
         state = self._replica.state
         if summary.complete and summary.seq > state.seq:
-            # A complete successor can only have more than this copy where this disk has lost what it had acknowledged.
-            self._lose_track()
+            # A complete successor can be ahead of this copy only if this disk has lost changes that it acknowledged.
+            self._forget_progress()
             self._replica.mark_outdated()
             return
         if not self.is_confirmed:
@@ -155,7 +157,7 @@
         if summary.complete and (summary.seq < state.seq or summary.digests == state.digests):
             self._send_batch(epoch, summary.seq)
             return
-        # The successor has missed something, holds changes that were never acknowledged, or its items are corrupt.
+        # The successor lacks changes, has changes that were never acknowledged, or has corrupt items.
         ranges = differing_ranges(state.digests, summary.digests)
         self._report_repair(ranges, summary)
         self._send_repair(epoch, ranges, state.seq)
@@ -167,16 +169,16 @@
         report = f"{successor.address}: {len(ranges)} ranges as of {seq}, it had {summary.seq}{incomplete}"
         self.repairs = [*self.repairs[1 - MAX_REPORTED_REPAIRS :], report]
         self.repair_count += 1
-        log.info("repairs %s", report)
+        log.info("repairing successor %s", report)
 
     # Repair
 
     def _send_repair(self, epoch: int, ranges: list[int], seq: int) -> None:
         """Send the next chunk: as many ranges as fit into it, and at least one.
 
-        Items that change during the repair are sent with the last chunk. So a copy that is complete has no item newer
-        than its sequence number, which it would give to another change if it became the head. A repair that was
-        interrupted starts anew with a summary, whose digests show which ranges are still to be sent.
+        Items that change during the repair are sent with the last chunk. A complete copy therefore has no item with a
+        sequence number above its own, which it would assign to another change if it became the head. An interrupted
+        repair starts again with a summary, whose digests show which ranges remain to be sent.
         """
         self._state = LinkState.REPAIRING
         items, count = self._chunk_of(ranges)
@@ -198,7 +200,7 @@
         self._send(message, partial(self._on_chunk_reply, epoch, message.last, send_rest, sent_at_us))
 
     def _chunk_of(self, ranges: list[int]) -> tuple[list[Item], int]:
-        """Return the items of the next chunk, and how many ranges they fill."""
+        """Return the items of the next chunk and the number of ranges that they cover."""
         items: list[Item] = []
         size = count = 0
         while count < len(ranges):
@@ -229,7 +231,7 @@
     # Batches of changes
 
     def _send_batch(self, epoch: int, after_seq: int) -> None:
-        """Send all changes after that sequence number, in several messages where they are too large for one."""
+        """Send all changes after that sequence number, in several messages if they exceed `MAX_BATCH_BYTES`."""
         state = self._replica.state
         items = state.items_since(after_seq)
         if sum(map(size_of, items)) > MAX_BATCH_BYTES:
@@ -249,10 +251,10 @@
         self._send(message, partial(self._on_batch_reply, epoch))
 
     def _send_large_batch(self, epoch: int, after_seq: int) -> None:
-        """Send the first part of the changes after that sequence number, as a repair of no ranges.
+        """Send the first part of the changes after that sequence number, as a repair without ranges.
 
-        The successor is not complete until it has the last part: it may have lost an older version of an item that is
-        in a later one.
+        The successor is incomplete until it has the last part: an earlier part lacks each change that was superseded
+        by a change of the same item in a later part.
         """
         self._state = LinkState.REPAIRING
         state = self._replica.state
@@ -264,7 +266,7 @@
         self._send_chunk(epoch, self._repair_message(part, seq, [], is_last), send_rest)
 
     def _on_batch_reply(self, epoch: int, reply: Message | None) -> None:
-        """Take the reply to a batch, or to the last chunk of a repair."""
+        """Handle the reply to a batch or to the last chunk of a repair."""
         if epoch != self._epoch:
             return
         if not isinstance(reply, ReplicateReply) or not reply.ok:
@@ -294,11 +296,11 @@
 
     def _retry(self, epoch: int) -> None:
         if epoch == self._epoch:
-            self._lose_track()
+            self._forget_progress()
             self.advance()
 
     def _compare(self) -> None:
-        """Check, while nothing changes, that the successor still holds what it was sent."""
+        """Check, while no changes are in flight, that the successor's copy still equals this one."""
         self._environment.after(COMPARE_INTERVAL_US, self._compare)
         replica, epoch = self._replica, self._epoch
         successor = replica.successor
@@ -311,14 +313,14 @@
     def _on_comparison(self, epoch: int, summary: Message | None) -> None:
         state = self._replica.state
         if epoch != self._epoch or self._is_busy or self._chain.pending_saves or self.acked_seq != state.seq:
-            return  # the copies have changed meanwhile, and the summary is outdated
+            return  # the copies have changed in the meantime, so the summary is outdated
         if isinstance(summary, Summary) and summary.seq == state.seq and summary.digests != state.digests:
-            self._lose_track()
+            self._forget_progress()
             self.advance()
 
 
 def _with_changes(items: list[Item], changes: list[Item]) -> list[Item]:
-    """Return the items and those changes that are not among them."""
+    """Return the items, followed by the changes of items that are not among them."""
     if not changes:
         return items
     sent = {(item.kind, item.name) for item in items}
@@ -326,7 +328,7 @@
 
 
 def _first_part(changes: list[Item], max_bytes: int) -> list[Item]:
-    """Return the first changes, up to so many bytes; one at least, if there are any."""
+    """Return the first changes up to `max_bytes` in total, but at least one if there are any."""
     size = 0
     for index, item in enumerate(changes):
         size += size_of(item)
--- a/lilacsill/mesh/store/validation.py
+++ b/lilacsill/mesh/store/validation.py
@@ -1,7 +1,7 @@
-"""Check a call against the configuration in force, and apply it to a draft. No I/O.
+"""Validates a call against the current configuration and applies it to a draft. No I/O.
 
-A change that was accepted before is recognised first and is not checked against today's configuration: its service may
-have been removed since, or its host and prefix be taken by another route, or a key by another tenant.
+A change that was accepted before is detected first and is not validated against the current configuration: since then
+its service may have been removed, its host and path prefix may be used by another route, or its key by another tenant.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 def is_success(outcome: Result[Any, Any]) -> bool:
-    """Return whether the outcome is no `Failure`, for callers that do not import `returns`."""
+    """Return whether the outcome is a `Success`, for callers that do not import `returns`."""
     return isinstance(outcome, Success)
 
 
@@ -31,7 +31,7 @@
     The cost depends on the length of the call, not on the size of the base.
 
     Returns:
-        The base with what the call changes; it has no items if all changes were accepted before.
+        A draft with the changes on top of the base; it contains no items if all changes were accepted before.
     """
     newer: Call = []
     superseded: Call = []
@@ -56,7 +56,7 @@
 
 
 def _put_newer(draft: Draft, newer: Call) -> Rejection | None:
-    """Put the changes into the draft, and check what they refer to there."""
+    """Put the changes into the draft and check their references against it."""
     items = []
     for seq, change in enumerate(newer, draft.seq + 1):
         body = None if change.body is None else msgspec.json.encode(change.body)
@@ -72,7 +72,7 @@
 
 
 def _check_references(draft: Draft, change: Change) -> Rejection | None:
-    """A route needs its services, and a service that routes refer to must stay."""
+    """Check that the services of a route exist, and that a removed service is not referred to by routes."""
     if change.kind == ROUTE and change.body is not None:
         for service in _services_of(change.body):
             if not _exists(draft.item(SERVICE, service)):
@@ -85,9 +85,9 @@
 
 
 def _check_superseded(base: Base, draft: Draft, superseded: Call) -> Rejection | None:
-    """Check changes that are too old to take effect: an invalid one is never acknowledged.
+    """Check changes that are too old to take effect, because an invalid change must never be acknowledged.
 
-    The services that they refer to must have existed at some time, or come with the call.
+    The services that they refer to must have existed at some time or be part of the call.
     """
     for change in superseded:
         if change.kind != ROUTE or change.body is None:
@@ -99,7 +99,7 @@
 
 
 def _record_superseded(base: Base, draft: Draft, superseded: Call) -> None:
-    """Record their contents: no later call may use the same version for another content."""
+    """Record the contents of superseded changes, so that no later call can use the same version for other content."""
     for change in superseded:
         current = base.item(change.kind, change.name)
         assert current is not None
@@ -111,7 +111,7 @@
 
 
 def _services_of(route: dict[str, Any]) -> list[str]:
-    """The services that a route with this body refers to."""
+    """Return the services that a route with this body refers to."""
     target = route["Rule"]["Then"]
     if "TargetService" in target:
         return [target["TargetService"]]
--- a/lilacsill/mesh/store/view_proposer.py
+++ b/lilacsill/mesh/store/view_proposer.py
@@ -1,7 +1,7 @@
 """Proposals of the next view. No I/O.
 
-Any member of the chain may propose. So that few do at once, each waits for the time that its place among the living
-members gives it: the first proposes immediately, and the others only if nothing comes of that.
+Any member of the chain may propose. To limit concurrent proposals, each member delays its proposal according to its
+position among the live members: the first proposes immediately, and the others only if no view is chosen until then.
 """
 
 from __future__ import annotations
@@ -18,9 +18,9 @@
 from .reconfiguration import next_view
 from .replica import Replica
 
-PROPOSER_DELAY_US = 150_000  # each member waits so much longer than the one before it
-VOTE_TIMEOUT_US = 500_000  # for the answer of one voter in one phase
-PROPOSAL_TIMEOUT_US = 2 * VOTE_TIMEOUT_US  # both phases
+PROPOSER_DELAY_US = 150_000  # each member waits this much longer than the live member before it
+VOTE_TIMEOUT_US = 500_000  # for the reply of one voter in one phase
+PROPOSAL_TIMEOUT_US = 2 * VOTE_TIMEOUT_US  # for both phases
 
 
 class ViewProposer:
@@ -29,45 +29,45 @@
     def __init__(self, replica: Replica, detector: FailureDetector, monitor: ClusterMonitor) -> None:
         self._replica, self._environment = replica, replica.environment
         self._detector, self._monitor = detector, monitor
-        self._wanted: View | None = None
-        self._wanted_since_us = 0
+        self._desired_view: View | None = None
+        self._desired_since_us = 0
         self._proposal: Proposal | None = None
-        self._round = 0  # the highest ballot number used or heard of in this incarnation
+        self._round = 0  # the highest ballot number used or seen since the process started
         replica.view_listeners.append(self._on_view_change)
 
     def check(self) -> None:
-        """Propose the next view, if another one is wanted and it is this member's turn."""
+        """Propose the next view if a view change is needed and this member's delay has elapsed."""
         replica, now = self._replica, self._environment.now()
         if not replica.in_chain or self._proposal is not None:
             return
-        wanted = self.next_view() or self._pending_view()
-        if wanted is None:
-            self._wanted = None
+        desired = self.next_view() or self._pending_view()
+        if desired is None:
+            self._desired_view = None
             return
-        if self._wanted is None or not _has_same_members(wanted, self._wanted):
-            self._wanted, self._wanted_since_us = wanted, now
-        living = [member for member in replica.view.chain if self._detector.is_alive(member)]
-        if now - self._wanted_since_us >= living.index(replica.me) * PROPOSER_DELAY_US:
-            self._propose(wanted)
+        if self._desired_view is None or not _has_same_members(desired, self._desired_view):
+            self._desired_view, self._desired_since_us = desired, now
+        alive = [member for member in replica.view.chain if self._detector.is_alive(member)]
+        if now - self._desired_since_us >= alive.index(replica.me) * PROPOSER_DELAY_US:
+            self._propose(desired)
 
     def next_view(self) -> View | None:
-        """Return the view that should follow; None: the present one is right, or nothing can be done."""
+        """Return the next view; None if the current view needs no change or cannot be changed."""
         return next_view(self._monitor.state())
 
     def _pending_view(self) -> View | None:
-        """A view that this member has accepted, proposed by any member, and that it does not know to be chosen."""
+        """Return a view, proposed by any member, that this member has accepted but does not know to be chosen."""
         return self._replica.acceptor.state.accepted_view if self._replica.view_pending else None
 
     def _on_view_change(self) -> None:
-        self._wanted = self._proposal = None
+        self._desired_view = self._proposal = None
 
-    def _propose(self, wanted: View) -> None:
+    def _propose(self, desired: View) -> None:
         replica = self._replica
         self._round += 1
         ballot = Ballot(max(self._round, replica.acceptor.state.promised.number + 1), replica.me.address)
-        log.info("proposes view %d: %s", wanted.number, wanted)
+        log.info("%s proposes view %d: %s", replica.me.address, desired.number, desired)
         callbacks = ProposalCallbacks(self._ask_voter, partial(self._on_chosen, replica.view), self._on_failed)
-        self._proposal = proposal = Proposal(replica.view, wanted, ballot, callbacks)
+        self._proposal = proposal = Proposal(replica.view, desired, ballot, callbacks)
         self._environment.after(PROPOSAL_TIMEOUT_US, self._on_timeout, proposal)
         proposal.begin()
 
@@ -77,7 +77,7 @@
     def _on_chosen(self, previous: View, view: View) -> None:
         addresses = {member.address for member in (*previous.members, *view.members)} - {self._replica.me.address}
         self._replica.adopt(view)
-        for address in sorted(addresses):  # so that a simulation depends on its seed alone
+        for address in sorted(addresses):  # sorted, so that a simulation depends only on its seed
             self._environment.ask(address, ViewChange(view), VOTE_TIMEOUT_US, _ignore_answer)
 
     def _on_failed(self, later_view: View | None, ballot_to_exceed: Ballot) -> None:
@@ -86,8 +86,8 @@
         if later_view is not None:
             self._replica.adopt(later_view)
         elif proposal is not None:
-            # Two members propose at once: each waits again for the time of its place.
-            self._wanted_since_us = self._environment.now() + PROPOSER_DELAY_US
+            # Two members have proposed at the same time: each waits again for the delay of its position.
+            self._desired_since_us = self._environment.now() + PROPOSER_DELAY_US
 
     def _on_timeout(self, proposal: Proposal) -> None:
         if self._proposal is proposal and not proposal.is_finished:
@@ -100,4 +100,4 @@
 
 
 def _ignore_answer(answer: Message | None) -> None:
-    """A member that misses the announcement learns of the view with the next heartbeat."""
+    """Ignore the reply: a member that misses the announcement learns of the view from the next heartbeat."""
--- a/tests/control/defects_point_1.py
+++ b/tests/control/defects_point_1.py
@@ -28,7 +28,7 @@
 
 
 def a_lease_is_counted_from_the_answer(patch: Patch) -> None:
-    def on_lease_granted(self: LeaseManager, message: HeartbeatReply, asked_at: int) -> None:
+    def on_lease_granted(self: LeaseManager, message: HeartbeatReply, requested_at_us: int) -> None:
         real(self, message, self._environment.now())
 
     real = LeaseManager.on_lease_granted
--- a/tests/control/defects_point_3.py
+++ b/tests/control/defects_point_3.py
@@ -20,7 +20,7 @@
     def joining(cluster: ClusterState, chain: list[MachineState]) -> list[MachineState]:
         return cluster.learners[: max(0, cluster.target_size - sum(not m.departure for m in chain))]
 
-    patch.setattr(reconfiguration, "_joining", joining)
+    patch.setattr(reconfiguration, "_joining_learners", joining)
 
 
 def a_learner_may_be_the_head(patch: Patch) -> None:
@@ -137,7 +137,7 @@
 def a_stranger_answers_in_its_old_place(patch: Patch) -> None:
     patch.setattr(
         PredecessorLink,
-        "_is_addressed",
+        "_matches_own_role",
         lambda self, request: request.view_number == self._replica.view.number and not self._replica.is_head,
     )
 
--- a/tests/control/long_days.py
+++ b/tests/control/long_days.py
@@ -323,7 +323,7 @@
 def tombstones_are_bounded(monkeypatch: Patch) -> None:
     """Many routes are dropped; all copies collect the same old tombstones, also a restarted and a repaired one."""
     monkeypatch.setattr(states, "MAX_TOMBSTONES", 40)
-    monkeypatch.setattr(states, "COLLECTED_AT_ONCE", 8)
+    monkeypatch.setattr(states, "TOMBSTONE_BATCH_SIZE", 8)
     scene = Scene(30)
     statuses: list[int] = []
     away = scene.at(2)
--- a/tests/mesh/defects.py
+++ b/tests/mesh/defects.py
@@ -161,7 +161,7 @@
         if not disk.facts and not settings.fresh_start and settings.address in settings.seeds:
             replica.me = Member(settings.address, node.FIRST_INCARNATION)
             replica.acceptor.me = replica.me
-            replica.view, replica.complete = View(0, node.founders(settings.seeds)), True
+            replica.view, replica.complete = View(0, node.initial_members(settings.seeds)), True
         return replica
 
     real = node.recover
--- a/tests/mesh/defects_operations.py
+++ b/tests/mesh/defects_operations.py
@@ -86,7 +86,7 @@
 
 
 def records_are_never_deleted(patch: Patch) -> None:
-    patch.setattr(OperationRetention, "floor", lambda self, now_us: operation_retention.NOTHING)
+    patch.setattr(OperationRetention, "floor", lambda self, now_us: operation_retention.NO_FLOOR)
 
 
 def records_stay_on_disk(patch: Patch) -> None:
@@ -95,7 +95,7 @@
 
 def each_view_begins_the_window_anew(patch: Patch) -> None:
     def on_view(self: OperationClaims) -> None:
-        self._was_head_in = None
+        self._last_head_view = None
         real(self)
 
     real = OperationClaims._on_view
