--- a/lilacsill/mesh/store/operation_claims.py
+++ b/lilacsill/mesh/store/operation_claims.py
@@ -36,7 +36,7 @@
 
     Attributes:
         answered: Claims that were answered, by outcome.
-        replaced: Granted claims that replaced an earlier claim.
+        replaced: Claims that replaced an earlier claim.
     """
 
     answered: dict[ClaimStatus, int] = msgspec.field(default_factory=_zero_counts)
@@ -75,9 +75,8 @@
         self._retention = OperationRetention(key_window_us)
         self._waiting: list[_PendingClaim] = []
         self._pending_floor = NO_FLOOR  # the next batch deletes records up to this sequence number
-        self._last_head_view = (
-            replica.view.number if replica.is_head else None
-        )  # number of the last view in which this member was the head
+        # The number of the last view in which this member was the head.
+        self._last_head_view = replica.view.number if replica.is_head else None
         self.counts = ClaimCounts()
         replica.view_listeners.append(self._on_view)
 
--- a/lilacsill/mesh/store/paxos.py
+++ b/lilacsill/mesh/store/paxos.py
@@ -114,7 +114,7 @@
     on_chosen: Callable[[View], None]
     on_failed: Callable[
         [View | None, Ballot], None
-    ]  # arguments: a later view in force at a voter, or None; the ballot to exceed
+    ]  # a later view that a voter reported, or None; the ballot to exceed
 
 
 class Phase(Enum):
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -30,13 +30,9 @@
 from .route_index import LIMITS, ROUTE, SERVICE, RouteIndex, RouteMatch
 from .sequenced_items import SequencedItems
 
-ITEM_OVERHEAD_BYTES = (
-    100  # size of an item on disk or in a message, in addition to its body and its history of accepted changes
-)
+ITEM_OVERHEAD_BYTES = 100  # of an item on disk or in a message, in addition to its body and its history
 MAX_TOMBSTONES = 4096  # after this many later removals, an older change of a removed item would be accepted as new
-TOMBSTONE_BATCH_SIZE = (
-    256  # tombstones beyond the bound are deleted in batches, so that few calls iterate over all items
-)
+TOMBSTONE_BATCH_SIZE = 256  # excess tombstones are deleted in batches, so that few calls iterate over all items
 
 
 def size_of(item: Item) -> int:
--- a/lilacsill/mesh/store/successor.py
+++ b/lilacsill/mesh/store/successor.py
@@ -30,9 +30,7 @@
 REPAIR_CHUNK_BYTES = 32_000  # initial size of a repair message: heartbeats share the link and must not be delayed
 MAX_REPAIR_CHUNK_BYTES = 16 * REPAIR_CHUNK_BYTES  # when chunks are acknowledged fast
 FAST_CHUNK_US = 100_000  # if a chunk is acknowledged within this time, the next chunk may be twice as large
-MAX_BATCH_BYTES = (
-    2 * REPAIR_CHUNK_BYTES
-)  # maximum size of the changes in one message; more changes are split into several messages
+MAX_BATCH_BYTES = 2 * REPAIR_CHUNK_BYTES  # of the changes in one message; larger batches are split
 COMPARE_INTERVAL_US = 5_000_000  # interval of the comparisons of copies that are up to date
 MAX_REPORTED_REPAIRS = 16
 
