--- a/lilacsill/mesh/proxy/__main__.py
+++ b/lilacsill/mesh/proxy/__main__.py
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run the proxy, or the command that the arguments name. Return the exit status."""
+    """Run the proxy, or the operator's command that the arguments name. Return the exit status."""
     if len(sys.argv) == 1:
         return run()
     from lilacsill.mesh.runtime.commands import Commands, run_command
--- a/lilacsill/mesh/proxy/active_config.py
+++ b/lilacsill/mesh/proxy/active_config.py
@@ -1,4 +1,4 @@
-"""The configuration that is in force in this process: routes, services, limits, tenants. No I/O."""
+"""The configuration in effect in this process: routes, services, limits and tenants. No I/O."""
 
 from __future__ import annotations
 
@@ -15,18 +15,18 @@
 from .routes import HostRoutes, Route, parse_route
 
 DEFAULT_HEALTH_PATH = "/health"
-UNREADABLE = (msgspec.MsgspecError, LookupError, TypeError, ValueError, AttributeError)  # of the body of an item
+DECODE_ERRORS = (msgspec.MsgspecError, LookupError, TypeError, ValueError, AttributeError)  # for an item body
 
 
 class Service(msgspec.Struct, frozen=True):
-    """What the configuration says of one service."""
+    """The configuration of one service."""
 
     health_path: bytes
-    max_connections: int | None  # that one backend accepts from all callers together; None: not limited
+    max_connections: int | None  # that one backend accepts, from all callers together; None: unlimited
 
 
 class Limits(msgspec.Struct, frozen=True):
-    """Limits on clients' connections and requests; the defaults hold until the configuration is known."""
+    """Limits on clients' connections and requests; the defaults apply until the configuration is known."""
 
     max_head_bytes: int = MAX_HEAD_BYTES
     max_body_bytes: int = 67_108_864
@@ -38,7 +38,7 @@
 
 
 def parse_service(body: bytes) -> Service:
-    """Read a service that the store has validated."""
+    """Parse the body of a service, which the store has validated."""
     fields: dict[str, Any] = msgspec.json.decode(body)
     max_connections = fields.get("MaxConnections")
     return Service(
@@ -48,11 +48,11 @@
 
 
 def parse_limits(body: bytes) -> Limits:
-    """Read limits that the store has validated; those that are left out keep their defaults."""
+    """Parse the body of the limits, which the store has validated; absent limits have their defaults."""
     fields: dict[str, Any] = msgspec.json.decode(body)
     header_wait_ms, idle_timeout_ms = fields.get("HeaderWaitMs"), fields.get("IdleTimeoutMs")
     return Limits(
-        # Clients keep within the limit of the configuration; what the proxy itself can take may be more.
+        # The configured limit binds clients; the proxy itself accepts MAX_HEAD_BYTES even if the limit is lower.
         max_head_bytes=max(MAX_HEAD_BYTES, int(fields.get("MaxHeaderBytes", 0))),
         max_body_bytes=int(fields.get("MaxBodyBytes", DEFAULT_LIMITS.max_body_bytes)),
         header_timeout_us=DEFAULT_LIMITS.header_timeout_us if header_wait_ms is None else int(header_wait_ms) * 1000,
@@ -61,19 +61,20 @@
 
 
 class ActiveConfig:
-    """The items that are in force.
+    """The configuration items in effect.
 
-    An item never goes back to a lower version within one run of the process.
+    Within one run of the process, an item never returns to a lower version.
 
     Attributes:
         limits: Limits on clients' connections and requests.
         tenants: The tenants by key.
-        seq: The number of the newest change that is in force.
-        was_complete: Whether all items of one moment have been here. Until then some may be on their way.
+        seq: The sequence number of the newest change that was applied.
+        was_complete: Whether the items were complete up to the newest known change at least once. Until then, some
+            items may not have arrived.
     """
 
     def __init__(self) -> None:
-        self._versions: dict[tuple[str, str], int] = {}  # by kind and name; also of items that were removed
+        self._versions: dict[tuple[str, str], int] = {}  # by kind and name; includes removed items
         self._routes: dict[str, Route] = {}
         self._hosts: dict[bytes, HostRoutes] = {}
         self._services: dict[str, Service] = {}
@@ -83,11 +84,11 @@
         self.was_complete = False
 
     def apply(self, items: list[Item], seq: int) -> None:
-        """Put items in force, except those that are not newer than what is here.
+        """Apply the items that are newer than the ones in effect.
 
         Args:
-            items: New or changed items; one without a body is removed.
-            seq: The number of the change that they bring the configuration to.
+            items: New or changed items; an item without a body is removed.
+            seq: The sequence number of the configuration after these items.
         """
         for item in items:
             key = (item.kind, item.name)
@@ -98,11 +99,17 @@
         self.seq = max(self.seq, seq)
 
     def _try_item(self, item: Item) -> None:
-        """Put one item in force. One that cannot be read, as of a later version, is not there; others still come."""
+        """Apply one item. One that cannot be decoded, such as from a later version, is skipped; others still apply."""
         try:
             self._apply_item(item)
-        except UNREADABLE as error:
-            log.warning("%s %s r%d cannot be read: %s", item.kind, item.name, item.version, type(error).__name__)
+        except DECODE_ERRORS as error:
+            log.warning(
+                "configuration: skipped %s %s, version %d, which cannot be decoded: %s",
+                item.kind,
+                item.name,
+                item.version,
+                type(error).__name__,
+            )
 
     def _apply_item(self, item: Item) -> None:
         if item.kind == "route":
@@ -134,21 +141,21 @@
             del self._hosts[route.host]
 
     def match(self, host: bytes, path: bytes) -> Route | None:
-        """Return the route of a request; None where there is none."""
+        """Return the route of a request; None if no route matches."""
         host_routes = self._hosts.get(host)
         return None if host_routes is None else host_routes.match(path)
 
     @property
     def has_tenants(self) -> bool:
-        """Whether there are tenants: requests then need a key, unless their route is public."""
+        """Whether tenants are configured: then requests need a key, unless their route is public."""
         return bool(self.tenants)
 
     def health_path(self, service: str) -> bytes | None:
-        """Return the path of the service's health check; None where the service is not known."""
+        """Return the path of the service's health check; None if the service is unknown."""
         known = self._services.get(service)
         return None if known is None else known.health_path
 
     def max_connections(self, service: str) -> int | None:
-        """Return how many connections one backend of the service accepts; None where that is not known."""
+        """Return how many connections one backend of the service accepts; None if unknown or unlimited."""
         known = self._services.get(service)
         return None if known is None else known.max_connections
--- a/lilacsill/mesh/proxy/admission.py
+++ b/lilacsill/mesh/proxy/admission.py
@@ -1,17 +1,17 @@
-"""Admission control before a backend: which requests run, wait, or are rejected. No I/O; the caller passes the time.
+"""Admission control for a backend: which requests run, wait, or are rejected. No I/O; the caller passes the time.
 
-All requests to the backend pass here, so the count of those in flight is exact. A request that would wait too long for
-its latency target is rejected at once, since its sender may find room elsewhere.
+All requests to the backend pass through it, so the number of requests in flight is exact. A request whose expected wait
+exceeds its latency target is rejected at once, since its sender may find a free slot at another backend.
 
-The queue is ordered by expected duration, weighted by priority: a full backend serves the most value when short work
-goes first (Smith, "Various optimizers for single-stage production", 1956). Short requests are mostly inner calls that
-another request waits for. They must not fail because longer work fills the queue, or their callers fail too and retry:
-they displace the longest request that waits, and may wait beyond their target.
+The queue is ordered by expected duration, weighted by priority: a full backend serves the most value when short
+requests go first (Smith, "Various optimizers for single-stage production", 1956). Short requests are mostly internal
+calls that another request waits for. They must not fail because longer requests fill the queue, or their callers fail
+too and retry: they displace the longest waiting request, and may wait beyond their latency target.
 
-Requests of a kind that is starved (`served_shares`) go before all others until it has its share again.
+Requests of a starved kind (`served_shares`) go before all others until the kind has its share again.
 
-A request that can only be late is worth less than one that can be in time, and goes behind it. Otherwise the clients
-that return after an outage fill the queue, and all that come after them are late, too.
+A request that will miss its latency target is worth less than one that can meet it, and goes behind it. Otherwise the
+clients that return after an outage fill the queue, and all requests behind theirs miss their targets, too.
 """
 
 from __future__ import annotations
@@ -28,14 +28,14 @@
 from .served_shares import RequestKind, ServedShares
 
 MAX_WAITING_PER_SLOT = 1.0
-PRIORITY_WEIGHT = 1.5  # each step of lower priority counts as so much longer
-LATE_WEIGHT = 2.2  # a late request counts as so much longer: it has 0.3 of its value, and 0.3 risks a second rejection
-STARVED_WEIGHT = 0.0  # of a request whose kind is starved
-DISPLACING_SHARE = 0.5  # of the weight of the longest request that waits: a lighter one displaces it
+PRIORITY_WEIGHT = 1.5  # factor for each step of lower priority
+LATE_WEIGHT = 2.2  # factor for a late request: it has 0.3 of its value, and 0.3 risks a second rejection
+STARVED_WEIGHT = 0.0  # of a request of a starved kind
+DISPLACING_SHARE = 0.5  # of the heaviest waiting request's weight: a request below it displaces that request
 
 
 class AdmissionState(StrEnum):
-    """Where a request is between its arrival and its end."""
+    """The state of a request in admission control."""
 
     NEW = "new"
     WAITING = "waiting"
@@ -44,7 +44,7 @@
 
 
 class AdmissionRequest:
-    """A request that asks for one of the backend's slots."""
+    """A request for one of the backend's slots."""
 
     __slots__ = (
         "priority",
@@ -53,7 +53,7 @@
         "kind",
         "on_started",
         "on_rejected",
-        "fleet_ms",
+        "fleet_duration_ms",
         "is_late",
         "state",
         "started_at",
@@ -67,31 +67,31 @@
         route: str,
         on_started: Callable[[], None],
         on_rejected: Callable[[RejectionReason], None],
-        fleet_ms: int | None = None,
+        fleet_duration_ms: int | None = None,
         is_late: bool = False,
     ) -> None:
         """Describe a request.
 
         Args:
             priority: Lower is more urgent.
-            start_by: The latest time, in microseconds, at which it is of use to start the request.
+            start_by: The latest time, in microseconds, at which starting the request is still useful.
             route: The name of its route.
-            on_started: Called once the request has a slot.
-            on_rejected: Called if the request leaves the queue without a slot.
-            fleet_ms: What requests of this route usually take in the whole fleet; None: not measured.
-            is_late: Whether the request can only miss its latency target.
+            on_started: Called when the request gets a slot.
+            on_rejected: Called if the request is rejected after it was queued.
+            fleet_duration_ms: The usual duration of the route's requests in the whole fleet; None: not measured.
+            is_late: Whether the request is expected to miss its latency target.
         """
         self.priority, self.start_by, self.route = priority, start_by, route
         self.kind = RequestKind(route, priority)
-        self.fleet_ms, self.is_late = fleet_ms, is_late
+        self.fleet_duration_ms, self.is_late = fleet_duration_ms, is_late
         self.on_started, self.on_rejected = on_started, on_rejected
         self.state = AdmissionState.NEW
         self.started_at = 0
-        self.weight = 0.0  # the lightest goes first
+        self.weight = 0.0  # the request with the lowest weight goes first
 
 
 class AdmissionController:
-    """The slots of one backend, and the queue for them."""
+    """The slots of one backend, and the queue of requests for them."""
 
     def __init__(self) -> None:
         self.slots = 1
@@ -100,11 +100,11 @@
         self.durations = DurationStatistics()
         self.failure_rate = FailureRate()
         self._served_shares = ServedShares()
-        self._queue: list[tuple[float, int, AdmissionRequest]] = []  # a heap; may contain requests that do not wait
-        self._sequence = 0  # of requests of the same weight the first goes first
+        self._queue: list[tuple[float, int, AdmissionRequest]] = []  # a heap; may contain requests that no longer wait
+        self._sequence = 0  # requests of the same weight go in order of arrival
 
     def load(self, now: int) -> Load:
-        """Return what other proxies are told about the load of this backend."""
+        """Return the load of this backend as reported to other proxies."""
         return Load(
             self.running + self.waiting,
             self.slots,
@@ -113,10 +113,10 @@
         )
 
     def admit(self, request: AdmissionRequest, now: int) -> RejectionReason | None:
-        """Start a request, let it wait, or reject it.
+        """Start, queue or reject a request.
 
         Returns:
-            Why the request is rejected, in which case `on_rejected` is not called; None if it runs or waits.
+            Why the request is rejected (`on_rejected` is not called then); None if it runs or waits.
         """
         self._served_shares.record_arrival(request.kind, now)
         if self.running < self.slots and not self.waiting:
@@ -136,7 +136,7 @@
         return None
 
     def withdraw(self, request: AdmissionRequest) -> bool:
-        """Take a request out of the queue. Return whether it was waiting: then it will never run."""
+        """Remove a request from the queue. Return whether it was waiting; if so, it will never run."""
         if request.state is not AdmissionState.WAITING:
             return False
         request.state = AdmissionState.DONE
@@ -147,20 +147,20 @@
         """Free the slot of a running request.
 
         Args:
-            request: The request; if it does not run, nothing changes.
+            request: The request; nothing changes unless it is running.
             now: The current time in microseconds.
-            measured: Whether a successful response of the backend ended the request, so that its duration counts.
+            measured: Whether the request ended with a successful response of the backend, so that its duration counts.
         """
         if request.state is not AdmissionState.RUNNING:
             return
         request.state = AdmissionState.DONE
         self.running -= 1
         if measured:
-            self.durations.record(request.route, (now - request.started_at) / 1000, request.fleet_ms)
+            self.durations.record(request.route, (now - request.started_at) / 1000, request.fleet_duration_ms)
         self.start_next(now)
 
     def start_next(self, now: int) -> None:
-        """Start waiting requests while there are free slots."""
+        """Start waiting requests while slots are free."""
         while self._queue and self.running < self.slots:
             request = heappop(self._queue)[2]
             if request.state is not AdmissionState.WAITING:
@@ -173,14 +173,14 @@
                 self._start(request, now)
 
     def reject_expired(self, now: int) -> None:
-        """Reject the requests that have waited too long."""
+        """Reject the waiting requests whose `start_by` has passed."""
         waiting = [entry for entry in self._queue if entry[2].state is AdmissionState.WAITING]
         self._queue = [entry for entry in waiting if now <= entry[2].start_by]
         heapify(self._queue)
         self._reject([request for _, _, request in waiting if now > request.start_by], RejectionReason.FULL)
 
     def reject_all(self, reason: RejectionReason) -> None:
-        """Reject all that wait: the backend takes nothing more."""
+        """Reject all waiting requests: the backend accepts no more."""
         queue, self._queue = self._queue, []
         self._reject([request for _, _, request in queue], reason)
 
@@ -204,7 +204,9 @@
     def _weight(self, request: AdmissionRequest) -> float:
         if self._served_shares.is_starved(request.kind):
             return STARVED_WEIGHT
-        weight = self.durations.expected_us(request.route, request.fleet_ms) * PRIORITY_WEIGHT**request.priority
+        weight = (
+            self.durations.expected_us(request.route, request.fleet_duration_ms) * PRIORITY_WEIGHT**request.priority
+        )
         return weight * LATE_WEIGHT if request.is_late else weight
 
     def _heaviest_waiting(self) -> AdmissionRequest | None:
--- a/lilacsill/mesh/proxy/attempts.py
+++ b/lilacsill/mesh/proxy/attempts.py
@@ -1,14 +1,14 @@
-"""The attempts of one request: where it was offered, and where it may go next. No I/O."""
+"""The attempts of one request: the endpoints that were tried, and the choice of the next one. No I/O."""
 
 from __future__ import annotations
 
 from .endpoint_table import EndpointLoad, EndpointTable
 
-MAX_REJECTIONS = 6  # offers that are rejected before the request is refused
+MAX_REJECTIONS = 6  # rejected offers after which the request is refused
 
 
 class Attempt:
-    """One attempt that is under way."""
+    """One attempt in progress."""
 
     __slots__ = ("entry", "number")
 
@@ -17,35 +17,36 @@
 
 
 class AttemptHistory:
-    """The endpoints that a request has been offered to, by what came of it."""
+    """The endpoints to which a request was offered, by the outcome of the attempt."""
 
-    __slots__ = ("arrivals", "_rejections", "_did_not_run", "_failed_at")
+    __slots__ = ("arrivals", "_rejections", "_not_run_endpoints", "_failed_endpoints")
 
     def __init__(self) -> None:
-        self.arrivals = 0  # at backends; the route bounds them, and the retry budget all beyond the first
+        # Attempts that reached a backend; limited by the route, and beyond the first also by the retry budget.
+        self.arrivals = 0
         self._rejections = 0
-        self._did_not_run: list[EndpointLoad] = []  # by a promise of the endpoint, or since there was no link
-        self._failed_at: list[EndpointLoad] = []
+        self._not_run_endpoints: list[EndpointLoad] = []  # as the endpoint guaranteed, or for lack of a link
+        self._failed_endpoints: list[EndpointLoad] = []
 
     def record_rejected(self, entry: EndpointLoad) -> None:
-        """The request did not reach the backend."""
-        self._did_not_run.append(entry)
+        """Record an attempt that did not reach the backend."""
+        self._not_run_endpoints.append(entry)
         self._rejections += 1
 
     def record_not_run(self, entry: EndpointLoad) -> None:
-        """The request reached the backend, which promises that it has not run it."""
-        self._did_not_run.append(entry)
+        """Record an attempt that reached the backend, which guarantees that it has not run the request."""
+        self._not_run_endpoints.append(entry)
         self.arrivals += 1
 
     def record_failed(self, entry: EndpointLoad) -> None:
-        """The request reached the backend and may have run."""
-        self._failed_at.append(entry)
+        """Record a failed attempt that reached the backend, so that the request may have run."""
+        self._failed_endpoints.append(entry)
         self.arrivals += 1
 
     def choose_next(self, table: EndpointTable, now: int) -> EndpointLoad | None:
-        """Choose the endpoint of the next attempt; None where there is none, or too many have rejected it."""
+        """Choose the endpoint of the next attempt; None if none is left or too many have rejected the request."""
         if self._rejections >= MAX_REJECTIONS:
             return None
-        # Where one that failed an earlier attempt is all there is, it is better than none.
-        untried = table.choose(now, [*self._did_not_run, *self._failed_at])
-        return untried or table.choose(now, self._did_not_run)
+        # An endpoint that failed an earlier attempt is tried again only if no other is left.
+        untried = table.choose(now, [*self._not_run_endpoints, *self._failed_endpoints])
+        return untried or table.choose(now, self._not_run_endpoints)
--- a/lilacsill/mesh/proxy/backend_connection.py
+++ b/lilacsill/mesh/proxy/backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the backend of this machine: one request at a time, responses matched by `Attempt-Id`."""
+"""A connection to the backend of this machine, for one request at a time; `Attempt-Id` identifies its response."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 from .reasons import FailureReason
 
-MAX_IDLE_US = 4_000_000  # backends close idle connections after a time; a request on its way then would be lost
-KEEP_ALIVE_SHARE = 0.5  # of the time-out that the backend's `Keep-Alive` header states
-STREAMED_FROM_BYTES = 64 * 1024  # a longer response is streamed, a shorter one is passed on when it is complete
+MAX_IDLE_US = 4_000_000  # backends close idle connections after some time; a request sent at that moment would be lost
+KEEP_ALIVE_SHARE = 0.5  # of the timeout in the backend's `Keep-Alive` header
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # a longer response is streamed; a shorter one is forwarded when it is complete
 MAX_BODY_BYTES = 64 * 1024 * 1024
 HOP_BY_HOP = frozenset(
     (
@@ -33,19 +33,19 @@
 
 
 class ResponseHandler(Protocol):
-    """The request that is in flight on a connection."""
+    """The request in flight on a connection."""
 
     attempt_id: bytes
     idempotent: bool
 
     def on_response(self, response: Message) -> None:
-        """Handle a complete response, or the end of one that was streamed."""
+        """Handle a complete response, or the end of a streamed one."""
 
     def on_response_part(self, response: Message) -> None:
-        """Handle that more of a long response has come; `response.take_body()` returns it."""
+        """Handle the next part of a long response, which `response.take_body()` returns."""
 
-    def on_lost(self, reason: FailureReason) -> None:
-        """Handle that no complete response will come; the request may have run."""
+    def on_failed(self, reason: FailureReason) -> None:
+        """Handle a failure: no complete response will arrive, and the request may have run."""
 
 
 class BackendConnectionOwner(Protocol):
@@ -55,17 +55,17 @@
         """Return the current time in microseconds."""
 
     def release(self, connection: BackendConnection) -> None:
-        """Take a connection back that has no request."""
+        """Take back a connection without a request in flight."""
 
-    def forget(self, connection: BackendConnection) -> None:
-        """Strike a connection off the list."""
+    def remove(self, connection: BackendConnection) -> None:
+        """Remove a connection from the pool."""
 
     def record_reset(self, idle_us: int, in_flight_us: int) -> None:
-        """Count a request that was lost with its connection."""
+        """Count a request whose connection ended before the response was complete."""
 
 
 def end_to_end_headers(message: Message) -> Headers:
-    """Return the header lines that are not meant for a single connection only (RFC 9110, section 7.6.1)."""
+    """Return the header lines without the hop-by-hop ones (RFC 9110, section 7.6.1)."""
     excluded = HOP_BY_HOP
     connection = message.fields.get(b"connection")
     if connection is not None and connection.lower() not in (b"close", b"keep-alive"):
@@ -74,23 +74,23 @@
 
 
 class BackendConnection(Connection):
-    """A connection that its pool hands to one request after the other."""
+    """A pooled connection, used for one request after the other."""
 
     def __init__(self, pool: BackendConnectionOwner) -> None:
         super().__init__()
         self._pool = pool
         self._reader = Reader(HttpResponseParser, MAX_BODY_BYTES, until_close=True, keep_header_lines=True)
         self.handler: ResponseHandler | None = None
-        self.max_idle_us = MAX_IDLE_US  # how long the backend keeps it
+        self.max_idle_us = MAX_IDLE_US  # how long it may be idle before the backend may close it
         self.idle_since = 0  # 0: it has not been idle yet
-        self.idle_us = 0  # how long it was idle before the request in flight; 0: it was new, or a response has begun
+        self.idle_us = 0  # idle time before the request in flight; 0: new connection, or response bytes have arrived
         self.sent_at = 0
         self.reusable = True
-        self.uploading = False  # a part of the request's body is still to be sent
+        self.uploading = False  # a part of the request body is still to be sent
 
     @property
     def can_be_reused(self) -> bool:
-        """Whether another request may go out on it."""
+        """Whether another request may be sent on the connection."""
         return self.open and self.reusable and self.written and not self.uploading
 
     def send_request(
@@ -106,13 +106,13 @@
         """Send a request.
 
         Args:
-            handler: Gets the response.
+            handler: Receives the response.
             method: The HTTP method.
             target: The request target.
-            headers: The header lines without framing.
-            body: What is there of the body.
-            content_length: The length of the body; None: not known, it is sent in chunks.
-            body_complete: Whether `body` is all of it; otherwise `send_body` follows.
+            headers: The header lines, except those for the framing.
+            body: The part of the body that is available.
+            content_length: The length of the body; None: unknown, so the body is sent in chunks.
+            body_complete: Whether `body` is the whole body; otherwise calls of `send_body` follow.
         """
         self.handler, self.uploading = handler, not body_complete
         self.sent_at = self._pool.now()
@@ -125,7 +125,7 @@
         self.send(encode_request_head(method, target, headers) + body)
 
     def send_body(self, data: bytes, last: bool, chunked: bool) -> None:
-        """Send more of the request's body."""
+        """Send more of the request body."""
         if chunked:
             data = _chunked(data, last)
         self.uploading = not last
@@ -134,20 +134,20 @@
 
     def on_data(self, data: bytes) -> None:
         """Pass responses to the request in flight."""
-        self.idle_us = 0  # the backend has not forgotten this connection
+        self.idle_us = 0  # the backend had not closed this connection
         responses = self._reader.feed(data)
         for response in responses:
             handler = self.handler
             if handler is None:  # bytes on an idle connection belong to no request
                 return self.drop()
-            if not _is_answer_to(handler, response):
-                continue  # an extra response; the one to this request is still due
+            if not _is_response_to(handler, response):
+                continue  # an extra response; the response to this request is still due
             self._end_response(response, is_last=response is responses[-1])
             handler.on_response(response)
         if self.closed or self.discarding:
             return None
         if self._reader.error is not None:
-            return self._lose(FailureReason.MALFORMED_RESPONSE)
+            return self._fail(FailureReason.MALFORMED_RESPONSE)
         return self._on_incomplete_response()
 
     def _end_response(self, response: Message, is_last: bool) -> None:
@@ -156,7 +156,7 @@
             self.reusable = False
         self.max_idle_us = _keep_alive_us(response)
         if is_last and self._reader.current is None and self._reader.error is None:
-            # Before the handler runs, since that starts the next request that waits for a slot.
+            # Released before the handler runs, since the handler starts the next request that waits for a slot.
             self._pool.release(self)
 
     def _on_incomplete_response(self) -> None:
@@ -165,42 +165,42 @@
             if handler is None:
                 self._pool.release(self)
         elif handler is None:
-            self.drop()  # the beginning of a response that nobody asked for
-        elif self._reader.in_body and current.received > STREAMED_FROM_BYTES:
-            if _is_answer_to(handler, current):
+            self.drop()  # the beginning of an unsolicited response
+        elif self._reader.in_body and current.received > STREAMING_THRESHOLD_BYTES:
+            if _is_response_to(handler, current):
                 handler.on_response_part(current)
             else:
                 current.take_body()
 
     def on_fault(self) -> None:
-        """Give up the request after a fault of this process."""
-        self._lose(FailureReason.INTERNAL_ERROR)
+        """Fail the request after an internal error of this process."""
+        self._fail(FailureReason.INTERNAL_ERROR)
 
     def eof_received(self) -> None:
-        """Take a response that ends with its connection. After a reset it is not complete."""
+        """Accept a response that ends with its connection, except after a reset: then it is incomplete."""
         handler, stream = self.handler, self.stream
         response = None if stream is None or stream.reset else self._reader.close()
-        if handler is not None and response is not None and _is_answer_to(handler, response):
+        if handler is not None and response is not None and _is_response_to(handler, response):
             self._end_response(response, is_last=True)
             handler.on_response(response)
         super().eof_received()
 
     def on_end(self) -> None:
-        """Give up the request: the backend has closed the connection."""
-        self._lose(FailureReason.CONNECTION_CLOSED)
+        """Fail the request: the backend has closed the connection."""
+        self._fail(FailureReason.CONNECTION_CLOSED)
 
-    def _lose(self, reason: FailureReason) -> None:
+    def _fail(self, reason: FailureReason) -> None:
         handler, self.handler = self.handler, None
         if handler is not None:
             self._pool.record_reset(self.idle_us, self._pool.now() - self.sent_at)
-        self._pool.forget(self)
+        self._pool.remove(self)
         if not self.closed:
             self.drop()
         if handler is not None:
-            handler.on_lost(reason)
+            handler.on_failed(reason)
 
 
-def _is_answer_to(handler: ResponseHandler, response: Message) -> bool:
+def _is_response_to(handler: ResponseHandler, response: Message) -> bool:
     return response.fields.get(b"attempt-id", b"") == handler.attempt_id
 
 
@@ -209,7 +209,7 @@
 
 
 def _keep_alive_us(response: Message) -> int:
-    """Return how long the connection may be idle, by the `Keep-Alive` header of a response."""
+    """Return how long the connection may be idle according to the `Keep-Alive` header of a response."""
     for parameter in response.fields.get(b"keep-alive", b"").split(b","):
         name, _, value = parameter.strip().partition(b"=")
         if name.lower() == b"timeout" and value.strip().isdigit():
--- a/lilacsill/mesh/proxy/backend_gateway.py
+++ b/lilacsill/mesh/proxy/backend_gateway.py
@@ -1,4 +1,4 @@
-"""Takes the requests that proxies offer to the backend of this machine."""
+"""Accepts or rejects the requests that proxies offer to the backend of this machine."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from .circuit_breaker import CircuitBreaker
 from .reasons import RejectionReason
 
-QUEUE_CHECK_US = 20_000  # how often the queue is searched for requests that have waited too long
+QUEUE_CHECK_US = 20_000  # interval of the checks for requests that have waited too long
 
 
 class BackendGateway:
-    """The way to the backend: admission control, connections, and the requests in flight."""
+    """Access to the backend: admission control, connections, and the requests in flight."""
 
     def __init__(self, reactor: Reactor, lifecycle: BackendLifecycle, address: Address) -> None:
         self.reactor, self.lifecycle = reactor, lifecycle
@@ -36,11 +36,11 @@
         return self.reactor.now()
 
     def after(self, delay_us: int, call: Callable[[], None]) -> None:
-        """Call something later."""
+        """Call a function after a delay."""
         self.reactor.after(delay_us, call)
 
     def load(self) -> Load:
-        """Return what other proxies are told about the load of the backend."""
+        """Return the load of the backend as reported to other proxies."""
         return self.admission.load(self.now())
 
     def offer(self, offer: Offer, sink: OutcomeSink) -> BackendRequest | None:
@@ -48,7 +48,7 @@
 
         Args:
             offer: The request.
-            sink: Gets the outcome, which may come before this method returns.
+            sink: Receives the outcome, possibly before this method returns.
 
         Returns:
             The accepted request; None if it was rejected.
@@ -58,7 +58,7 @@
         if reason is not None:
             self._reject(sink, reason, now)
             return None
-        # A slot takes one connection at most, and one connection is reserved for health checks.
+        # A slot uses at most one connection, and one connection is reserved for health checks.
         self.admission.slots = max(1, min(self.lifecycle.slots, self.pool.max_connections - 1))
         request = BackendRequest(self, offer, sink)
         reason = self.admission.admit(request.admission, now)
@@ -74,7 +74,7 @@
         return request
 
     def drain(self) -> None:
-        """Begin to drain: what waits is rejected once the time for it is over."""
+        """Start to drain: requests that still wait after `admitted_drain_us` are rejected."""
         self.reactor.after(self.lifecycle.admitted_drain_us, self.admission.reject_all, RejectionReason.DRAINING)
 
     def _rejection_reason(self, offer: Offer, now: int) -> RejectionReason | None:
--- a/lilacsill/mesh/proxy/backend_lifecycle.py
+++ b/lilacsill/mesh/proxy/backend_lifecycle.py
@@ -1,7 +1,7 @@
-"""What a proxy knows of the backend beside it: incarnation, state, and when its drain began. No I/O.
+"""The lifecycle of the backend beside a proxy: its incarnation, its state, and the start of its drain. No I/O.
 
-A backend has another identity after each start: its server name names one incarnation. The proxy learns of it by
-heartbeats, or by the health check when the proxy itself was started later than the backend.
+A backend has a new server name after each start: the name identifies one incarnation. The proxy learns it from
+heartbeats, or from a health check if the proxy itself was started later than the backend.
 """
 
 from __future__ import annotations
@@ -13,44 +13,44 @@
 
 from .reasons import RejectionReason
 
-# An incarnation whose place another one has taken has it again after so many heartbeats in a row: then the heartbeat of
-# the other one was late, and its backend is over.
+# A replaced incarnation becomes the current one again after this many heartbeats in a row: then the heartbeat that
+# replaced it was late, and the backend that sent it has ended.
 RETURN_AFTER_HEARTBEATS = 2
-# A health check is no proof that the backend does not leave: without a heartbeat it counts for so long.
+# A successful health check does not prove that the backend is not draining: without a heartbeat it expires after this.
 HEALTH_CHECK_VALID_US = 3_000_000
-DRAIN_SHARE = 0.5  # of the drain time: so long requests that were admitted before the drain may still start
+DRAIN_SHARE = 0.5  # of the drain time: requests admitted before the drain may start during this part of it
 
 
 class EndpointState(StrEnum):
-    """The state of a backend as its proxy announces it; the texts go over the wire."""
+    """The state of a backend as announced by its proxy; the texts are sent over the wire."""
 
-    WAITING = "waiting"  # nothing was heard of it
+    WAITING = "waiting"  # no heartbeat and no valid health check
     READY = "ready"
     DRAINING = "draining"
     GONE = "gone"
-    LEAVING = "leaving"  # the proxy itself shuts down
+    LEAVING = "leaving"  # the proxy itself is shutting down
 
 
 class BackendHeartbeat(msgspec.Struct):
-    """What a backend reports of itself."""
+    """A backend's report on itself."""
 
     server: str  # the incarnation
     service: str
     slots: int
     draining: bool
-    sequence: int  # higher in each later heartbeat of an incarnation
+    sequence: int  # increases with each heartbeat of an incarnation
     warmup_left_ms: int
 
 
 class ReplacedIncarnation(msgspec.Struct):
-    """An incarnation whose place another one has taken."""
+    """An incarnation that another one has replaced."""
 
     sequence: int  # of its latest heartbeat
-    heartbeats: int = 0  # since the latest one of the incarnation that has its place
+    heartbeats: int = 0  # received since the latest heartbeat of the current incarnation
 
 
 def parse_heartbeat(server: str, body: Any) -> BackendHeartbeat | None:
-    """Return the heartbeat that the JSON body of a call holds; None if it is not a complete heartbeat."""
+    """Parse the JSON body of a heartbeat call; None if it is not a complete heartbeat."""
     try:
         details, condition = body["Details"], body["Condition"]
         return BackendHeartbeat(
@@ -69,21 +69,21 @@
     """The lifecycle of the backend of this machine."""
 
     def __init__(self, drain_us: int) -> None:
-        """Begin without a backend. `drain_us` is how long work may reach a draining backend."""
-        self.admitted_drain_us = int(drain_us * DRAIN_SHARE)  # for what was admitted before the drain
-        self.server = ""  # empty: no incarnation has been heard of since this proxy started
+        """Start without a known backend. `drain_us` is how long requests may reach a draining backend."""
+        self.admitted_drain_us = int(drain_us * DRAIN_SHARE)  # for requests admitted before the drain
+        self.server = ""  # empty: no incarnation is known since this proxy started
         self.service = ""
         self.slots = 1
         self.state = EndpointState.WAITING
         self.warming_up_until = 0
-        self.ended_incarnations: set[str] = set()  # those that have said so
+        self.ended_incarnations: set[str] = set()  # those that reported their end
         self._replaced: dict[str, ReplacedIncarnation] = {}
-        self._health_checked_at: int | None = None  # None: heartbeats tell of this incarnation, or nothing does
-        self._last_sequence: int | None = None  # None: no heartbeat of this incarnation
+        self._health_checked_at: int | None = None  # None: known from heartbeats, or not at all
+        self._last_sequence: int | None = None  # None: no heartbeat of this incarnation yet
         self._drain_started_at = 0
 
     def on_heartbeat(self, heartbeat: BackendHeartbeat, now: int) -> bool:
-        """Take a heartbeat. Return whether other machines must be notified. A late heartbeat changes nothing."""
+        """Process a heartbeat; a late one is ignored. Return whether other machines must be notified."""
         if heartbeat.server in self.ended_incarnations or self._is_late(heartbeat):
             return False
         before = self._announced()
@@ -108,7 +108,7 @@
         return heartbeat.sequence <= self._last_sequence
 
     def _may_take_over(self, heartbeat: BackendHeartbeat) -> bool:
-        """Return whether another incarnation than the present one is the one that runs."""
+        """Return whether the sender, which is not the current incarnation, may replace it."""
         replaced = self._replaced.get(heartbeat.server)
         if replaced is None:
             return True
@@ -129,7 +129,7 @@
         self.warming_up_until = now + heartbeat.warmup_left_ms * 1000
 
     def on_health_check(self, server: str, service: str, slots: int, now: int) -> bool:
-        """Take a good health check that came before any heartbeat. Return whether other machines must be notified."""
+        """Process a successful health check before any heartbeat. Return whether other machines must be notified."""
         if self.server or server in self.ended_incarnations:
             return False
         self.server, self.service, self.slots = server, service, max(1, slots)
@@ -137,8 +137,8 @@
         self._health_checked_at = now
         return True
 
-    def end_health_check(self, now: int) -> bool:
-        """Stop relying on a health check that no heartbeat has followed in time.
+    def expire_health_check(self, now: int) -> bool:
+        """Expire a health check that was not followed by a heartbeat in time.
 
         Returns:
             Whether other machines must be notified.
@@ -150,10 +150,10 @@
         return True
 
     def on_reported_drain(self, server: str, now: int) -> bool:
-        """Take from other machines that this incarnation drains, which it told an earlier run of this proxy.
+        """Start draining: other machines report that this incarnation announced it to an earlier run of this proxy.
 
         Returns:
-            Whether that is new here.
+            Whether this proxy did not know of the drain.
         """
         if server != self.server or self.state is not EndpointState.READY:
             return False
@@ -161,7 +161,7 @@
         return True
 
     def on_stopped(self, server: str, now: int) -> bool:
-        """Take that an incarnation has ended. Return whether other machines must be notified."""
+        """Record that an incarnation has ended. Return whether other machines must be notified."""
         self.ended_incarnations.add(server)
         if self.server not in ("", server):
             return False
@@ -173,12 +173,12 @@
             self.state, self._drain_started_at = EndpointState.DRAINING, now
 
     def rejection_reason(self, server: str, now: int, admitted: bool = False) -> RejectionReason | None:
-        """Return why a request is rejected; None: it may be passed to the backend.
+        """Return why a request is rejected; None if it may be passed to the backend.
 
         Args:
-            server: The incarnation that the request is meant for.
+            server: The incarnation that the request is addressed to.
             now: The current time in microseconds.
-            admitted: Whether the request was admitted before the drain; then it has some time left to start.
+            admitted: Whether the request was admitted before the drain; then it may start within `admitted_drain_us`.
         """
         state = self.state
         if server == self.server and state is EndpointState.READY:
--- a/lilacsill/mesh/proxy/backend_monitor.py
+++ b/lilacsill/mesh/proxy/backend_monitor.py
@@ -1,4 +1,4 @@
-"""Watches the requests in flight at the backend: which are overdue or lost, and whether the backend is silent."""
+"""Monitors the requests in flight at the backend: detects overdue and lost requests, and a silent backend."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from .reasons import FailureReason, RejectionReason
 
 CHECK_US = 150_000
-STALLED_US = 150_000  # a check that is so late: this process was stalled, and responses may be there unread
-OVERDUE_FACTOR = 5.0  # times the usual duration
-KNOWN_AFTER_US = 100_000  # what is in flight for so long is surely known to the backend
+STALL_THRESHOLD_US = 150_000  # a check delayed by more means that this process was stalled; responses may be unread
+OVERDUE_FACTOR = 5.0  # multiple of the usual duration
+REPORT_LAG_US = 100_000  # a load report includes all requests in flight for longer than this
 
 
 class BackendMonitor:
-    """Checks the requests of one backend at intervals, and with each report of the backend."""
+    """Checks the requests at one backend, at intervals and with each load report of the backend."""
 
     def __init__(
         self,
@@ -36,14 +36,14 @@
         self._checked_at = 0
 
     def start(self) -> None:
-        """Check at intervals until there are no requests."""
+        """Start checking at intervals, until there are no requests."""
         if not self._running:
             self._running, self._checked_at = True, self._reactor.now()
             self._reactor.after(CHECK_US, self._check)
 
     def _check(self) -> None:
         now = self._reactor.now()
-        was_stalled, self._checked_at = now - self._checked_at > CHECK_US + STALLED_US, now
+        was_stalled, self._checked_at = now - self._checked_at > CHECK_US + STALL_THRESHOLD_US, now
         if not was_stalled:
             self._check_in_flight(self._in_flight(), now)
         self._running = bool(self._requests)
@@ -51,7 +51,7 @@
             self._reactor.after(CHECK_US, self._check)
 
     def _in_flight(self) -> list[BackendRequest]:
-        """Return the requests that the backend should have, without those whose senders know better already."""
+        """Return the requests that the backend should have, except those that are suspected already."""
         return [request for request in self._requests if request.is_in_flight and not request.is_suspected]
 
     def _check_in_flight(self, in_flight: list[BackendRequest], now: int) -> None:
@@ -65,18 +65,18 @@
         return self._admission.durations.expected_us(request.admission.route)
 
     def _check_overdue(self, request: BackendRequest, now: int) -> None:
-        """Count a request as a failure of the backend, once, if it takes far longer than is usual."""
+        """Count a request as a failure of the backend, once, if it takes far longer than usual."""
         age_us = now - request.admission.started_at
         if not request.is_overdue and age_us > max(RESPONSE_TIMEOUT_US, OVERDUE_FACTOR * self._expected_us(request)):
             request.is_overdue = True
             self._admission.failure_rate.record(False, now)
 
     def _on_silent(self, in_flight: list[BackendRequest], now: int) -> None:
-        """Open the circuit breaker, and tell the senders of all reads, which may try them elsewhere.
+        """Open the circuit breaker and suspect all reads, so that their senders may try another backend.
 
-        Whether a write has run is not known, so it waits until its time is up.
+        Whether a write has run is unknown, so writes wait for a response until they time out.
         """
-        log.info("circuit breaker open: the backend is silent, %d requests in flight", len(in_flight))
+        log.info("circuit breaker opened: no response from the backend, %d requests in flight", len(in_flight))
         self._circuit_breaker.record_failure(now)
         self._admission.reject_all(RejectionReason.UNREACHABLE)
         self._pool.close_idle()
@@ -85,24 +85,24 @@
                 request.suspect(FailureReason.BACKEND_SILENT)
 
     def on_report(self, report: bytes, answered: BackendRequest) -> None:
-        """Take a backend's report of its load, and suspect a request that it seems to have lost.
+        """Process a load report of the backend, and suspect a request that the backend seems to have lost.
 
         Args:
-            report: The value of the `Server-Load` header of a response; it counts the answered request, too.
-            answered: The request that was answered.
+            report: The value of the `Server-Load` header of a response; it may count the answered request, too.
+            answered: The request that the response answers.
         """
         now = self._reactor.now()
-        # What was sent a moment ago may have come after the report was made.
-        known = [
+        # The newest requests may have reached the backend after it made the report.
+        reported = [
             request
             for request in self._in_flight()
-            if (request is answered or now - request.admission.started_at > KNOWN_AFTER_US)
+            if (request is answered or now - request.admission.started_at > REPORT_LAG_US)
         ]
-        if self._lost_requests.record_report(report, len(known)):
-            self._suspect_oldest([request for request in known if request is not answered], now)
+        if self._lost_requests.record_report(report, len(reported)):
+            self._suspect_oldest([request for request in reported if request is not answered], now)
 
     def _suspect_oldest(self, in_flight: list[BackendRequest], now: int) -> None:
-        """Suspect the oldest overdue read. A write is never tried elsewhere: it may run."""
+        """Suspect the oldest overdue read. A write may be running, so it is never sent to another backend."""
         overdue = [
             request
             for request in in_flight
--- a/lilacsill/mesh/proxy/backend_pool.py
+++ b/lilacsill/mesh/proxy/backend_pool.py
@@ -14,20 +14,20 @@
 from .backend_connection import MAX_IDLE_US, BackendConnection
 from .idle_limit import IdleLimit
 
-CONNECT_TIMEOUT_US = 300_000  # the backend is on this machine
-DEFAULT_MAX_CONNECTIONS = 100  # before the configuration is known
+CONNECT_TIMEOUT_US = 300_000  # short, since the backend is on this machine
+DEFAULT_MAX_CONNECTIONS = 100  # until the configuration is known
 SWEEP_US = MAX_IDLE_US // 4
 
 
 class BackendPool:
-    """All connections to one backend. The one used last goes first, so that the others can be closed by age."""
+    """All connections to one backend. The most recently used one goes first, so that the others can age and close."""
 
     def __init__(self, reactor: Reactor, address: Address) -> None:
         self._reactor, self._address = reactor, address
-        self.max_connections = DEFAULT_MAX_CONNECTIONS  # the backend resets what is beyond that
+        self.max_connections = DEFAULT_MAX_CONNECTIONS  # the backend resets connections beyond this number
         self.idle_limit = IdleLimit()
         self.connections: set[BackendConnection] = set()
-        self._idle: deque[BackendConnection] = deque()  # the one that was used last at the end
+        self._idle: deque[BackendConnection] = deque()  # the most recently used one last
         self._connecting = 0
         self._sweep_timer: Timer | None = None
 
@@ -41,9 +41,9 @@
         on_connected: Callable[[BackendConnection], None],
         on_failed: Callable[[OSError], None],
     ) -> None:
-        """Find or open a connection for a request that has a slot.
+        """Reuse or open a connection for a request that has a slot.
 
-        Where `max_connections` are open, an idle one is closed for it. One of the two callbacks is called, perhaps
+        If `max_connections` are open, an idle one is closed to make room. One of the two callbacks is called, possibly
         before this method returns.
         """
         connection = self._take_idle(idempotent)
@@ -76,20 +76,20 @@
         while self._idle:
             connection = self._idle[-1]
             idle_us = now - connection.idle_since
-            if connection.open and idle_us < self._limit_us(connection, True, now):
-                if idle_us > self._limit_us(connection, idempotent, now):
-                    return None  # good enough for a later read; the others have been idle for longer
+            if connection.open and idle_us < self._idle_limit_us(connection, True, now):
+                if idle_us > self._idle_limit_us(connection, idempotent, now):
+                    return None  # still good enough for a later read; the others have been idle for longer
                 self._idle.pop()
                 if connection.nothing_to_read():
                     return connection
             self.discard(connection)
         return None
 
-    def _limit_us(self, connection: BackendConnection, idempotent: bool, now: int) -> int:
+    def _idle_limit_us(self, connection: BackendConnection, idempotent: bool, now: int) -> int:
         return self.idle_limit.limit_us(idempotent, connection.max_idle_us, now)
 
     def release(self, connection: BackendConnection) -> None:
-        """Take a connection back: keep it for the next request, or close it where it cannot serve another."""
+        """Take back a connection: keep it for the next request, or close it if it cannot be reused."""
         if connection in self._idle:
             return
         if not connection.can_be_reused:
@@ -101,32 +101,32 @@
             self._sweep_timer = self._reactor.after(MAX_IDLE_US, self._sweep)
 
     def _sweep(self) -> None:
-        """Close the connections that have been idle for too long."""
+        """Close the connections that have reached their idle limit."""
         self._sweep_timer = None
         now = self.now()
         for connection in list(self._idle):
-            if now - connection.idle_since >= self._limit_us(connection, True, now):
+            if now - connection.idle_since >= self._idle_limit_us(connection, True, now):
                 self.discard(connection)
         if self._idle:
             self._sweep_timer = self._reactor.after(SWEEP_US, self._sweep)
 
-    def forget(self, connection: BackendConnection) -> None:
-        """Strike a connection off the list."""
+    def remove(self, connection: BackendConnection) -> None:
+        """Remove a connection from the pool."""
         self.connections.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
 
     def discard(self, connection: BackendConnection) -> None:
-        """Close a connection. Its request, if there is one, is not notified."""
+        """Close a connection without notifying its request, if it has one."""
         connection.handler = None
-        self.forget(connection)
+        self.remove(connection)
         connection.drop()
 
     def close_idle(self) -> None:
-        """Close all idle connections: they lead to an incarnation that is over, or to a silent backend."""
+        """Close all idle connections: their incarnation of the backend has ended, or the backend is silent."""
         for connection in list(self._idle):
             self.discard(connection)
 
     def record_reset(self, idle_us: int, in_flight_us: int) -> None:
-        """Count a request that was lost with its connection."""
+        """Count a request whose connection ended before the response was complete."""
         self.idle_limit.record_reset(idle_us, in_flight_us, self.now())
--- a/lilacsill/mesh/proxy/backend_request.py
+++ b/lilacsill/mesh/proxy/backend_request.py
@@ -1,7 +1,8 @@
-"""One offered request on its way through admission to the backend, and the response on its way back.
+"""One offered request: its admission, its transmission to the backend, and the response to its sender.
 
-The sender of the offer gets exactly one outcome: `Rejected` (a guarantee: the request has not run and never will),
-a response of the backend, or `NoResponse` (the request may have run). `Suspected` may precede it where none may come.
+The sender of the offer gets exactly one outcome: `Rejected` (a guarantee that the request has not run and never will),
+a response of the backend, or `NoResponse` (the request may have run). `Suspected` precedes the outcome if the backend
+may not answer.
 """
 
 from __future__ import annotations
@@ -29,56 +30,56 @@
 from .circuit_breaker import CircuitBreaker
 from .reasons import FailureReason, RejectionReason
 
-MAX_BUFFERED_BYTES = 256 * 1024  # that the receiver has not taken; beyond that the sender is paused
-LATE_SHARE = 0.7  # of the expected duration: with less time to its latency target a request can only be late
-MIN_TIME_LEFT_US = 1_000  # with less time left it is not passed to the backend
-RESPONSE_MARGIN_US = 30_000  # the backend's own 504 is given this long to come
-OK_BELOW = 300  # HTTP statuses below are successes
+MAX_BUFFERED_BYTES = 256 * 1024  # sent but not accepted by the receiver; above this the sender is paused
+LATE_SHARE = 0.7  # of the expected duration: a request with less time to its latency target is late
+MIN_TIME_LEFT_US = 1_000  # a request with less time left is not passed to the backend
+RESPONSE_MARGIN_US = 30_000  # wait after the deadline for the backend's own 504
+OK_BELOW = 300  # lower HTTP statuses are successes
 SERVER_ERROR, GATEWAY_TIMEOUT = 500, 504
-MISDIRECTED_REQUEST = 421  # the backend is not the one that was meant
-NOT_RUN_STATUSES = (408, MISDIRECTED_REQUEST, 429, 503)  # to a client each says that the request has not run
+MISDIRECTED_REQUEST = 421  # the backend is not the addressed incarnation
+NOT_RUN_STATUSES = (408, MISDIRECTED_REQUEST, 429, 503)  # each tells a client that the request has not run
 UNKNOWN_LENGTH = -1  # on the wire
 
 
 class OutcomeSink(Protocol):
-    """The sender of an offer, or the link to it."""
+    """The sender of an offer, or the link to the sender."""
 
     def send(self, message: Message) -> int:
-        """Take an outcome, or a part of one.
+        """Accept an outcome, or a part of one.
 
         Returns:
-            How many bytes are not sent yet. Once many are, the sink calls the request's `resume` when they are sent.
+            The number of bytes not sent yet. If it is large, the sink calls the request's `resume` once they are sent.
         """
 
 
 class LoadReportListener(Protocol):
-    """Takes what the backend reports of its load."""
+    """Receives the load reports of the backend."""
 
     def on_report(self, report: bytes, answered: BackendRequest) -> None:
-        """Take the report that came with the response to a request."""
+        """Process the load report that came with the response to a request."""
 
 
 class RequestGateway(Protocol):
-    """What all requests to one backend share."""
+    """State shared by all requests to one backend."""
 
     admission: AdmissionController
     circuit_breaker: CircuitBreaker
     lifecycle: BackendLifecycle
     pool: BackendPool
-    requests: set[BackendRequest]  # accepted, and not over
+    requests: set[BackendRequest]  # accepted and not finished
 
     @property
     def monitor(self) -> LoadReportListener:
-        """The one that compares load reports with the requests in flight."""
+        """The listener that compares load reports with the requests in flight."""
 
     def now(self) -> int:
         """Return the current time in microseconds."""
 
     def after(self, delay_us: int, call: Callable[[], None]) -> None:
-        """Call something later."""
+        """Call a function after a delay."""
 
     def load(self) -> Load:
-        """Return what other proxies are told about the load of the backend."""
+        """Return the load of the backend as reported to other proxies."""
 
 
 class BackendRequest:
@@ -90,46 +91,46 @@
         self.idempotent = offer.idempotent
         self.is_over = False
         self.is_overdue = False  # set by the monitor
-        self.is_suspected = False  # its sender knows that the backend may not answer
+        self.is_suspected = False  # its sender was notified that the backend may not answer
         self._deadline = gateway.now() + offer.time_left_ms * 1000
         self._connection: BackendConnection | None = None
-        self._unsent_chunks: list[BodyChunk] = []  # of the body, before there is a connection
-        self._streaming = False  # a part of the response was passed on
+        self._unsent_chunks: list[BodyChunk] = []  # of the request body, queued until there is a connection
+        self._streaming = False  # a part of the response was sent to the sink
         self.admission = self._admission_request()
         gateway.requests.add(self)
 
     def _admission_request(self) -> AdmissionRequest:
         offer, durations = self._offer, self._gateway.admission.durations
-        fleet_ms = offer.expected_ms or None
-        expected_us = durations.expected_us(offer.route, fleet_ms)
+        fleet_duration_ms = offer.expected_ms or None
+        expected_us = durations.expected_us(offer.route, fleet_duration_ms)
         target_at = self._deadline + (offer.target_left_ms - offer.time_left_ms) * 1000
         is_late = offer.target_left_ms * 1000 < LATE_SHARE * expected_us
-        # A late request has lost its target already; a short one takes little room, and others mostly wait for it.
-        may_wait = is_late or durations.is_short(offer.route, fleet_ms)
+        # A late request misses its target anyway; a short one needs little capacity, and others mostly wait for it.
+        may_wait = is_late or durations.is_short(offer.route, fleet_duration_ms)
         start_by = (self._deadline if may_wait else target_at) - expected_us
         return AdmissionRequest(
-            offer.priority, start_by, offer.route, self._on_started, self._on_rejected, fleet_ms, is_late
+            offer.priority, start_by, offer.route, self._on_started, self._on_rejected, fleet_duration_ms, is_late
         )
 
     @property
     def is_in_flight(self) -> bool:
-        """Whether the backend should have it."""
+        """Whether the request was sent to the backend and has not ended."""
         return self._connection is not None and not self.is_over
 
-    # Calls of the monitor
+    # Called by the monitor
 
     def suspect(self, reason: FailureReason) -> None:
-        """Let the sender know that the backend may not answer; a response that comes is passed on all the same."""
+        """Notify the sender that the backend may not answer; a response that still arrives is forwarded."""
         if self.is_over or self._streaming or self.is_suspected:
             return
         self.is_suspected = True
         self._gateway.admission.failure_rate.record(False, self._gateway.now())
         self._sink.send(Suspected(reason, self._gateway.load()))
 
-    # Calls of the sender
+    # Called by the sender
 
     def send_body(self, body_chunk: BodyChunk) -> None:
-        """Pass on more of the body."""
+        """Forward more of the request body."""
         if self.is_over:
             return
         if self._connection is None:
@@ -140,28 +141,28 @@
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that the backend has not taken."""
+        """Bytes of the request body that the backend has not accepted."""
         waiting = sum(len(body_chunk.data) for body_chunk in self._unsent_chunks)
         return waiting + (self._connection.unsent if self._connection else 0)
 
     def cancel(self) -> None:
-        """Give the request up: nobody waits for the response any more."""
+        """Cancel the request: its sender no longer waits for the response."""
         if self.is_over:
             return
         self._gateway.admission.withdraw(self.admission)
         self._abort()
 
     def pause(self) -> None:
-        """Read no more of the response: the sink is slow."""
+        """Stop reading the response, because the sink is slow."""
         if self._connection is not None and self._connection.stream is not None:
             self._connection.stream.pause()
 
     def resume(self) -> None:
-        """Read on after a pause."""
+        """Continue reading the response after a pause."""
         if self._connection is not None and self._connection.stream is not None:
             self._connection.stream.resume()
 
-    # Calls of admission control and of the connection pool
+    # Called by admission control and by the connection pool
 
     def _on_rejected(self, reason: RejectionReason) -> None:
         self._finish()
@@ -170,7 +171,7 @@
     def _on_started(self) -> None:
         reason = self._rejection_reason(self._gateway.now())
         if reason is not None:
-            # Later, since admission control must not be called from inside its own call.
+            # Deferred, since admission control must not be called from inside its own callback.
             self._gateway.after(0, lambda: self._reject(reason))
             return
         self._gateway.pool.acquire(self.idempotent, self._on_connected, self._on_not_connected)
@@ -218,12 +219,12 @@
 
     def _on_timeout(self) -> None:
         if not self.is_over:
-            self.on_lost(FailureReason.TIMED_OUT)
+            self.on_failed(FailureReason.TIMED_OUT)
 
-    # Calls of the connection
+    # Called by the connection
 
     def on_response(self, response: HttpMessage) -> None:
-        """Pass on a complete response, or the end of one that was streamed."""
+        """Forward a complete response, or the end of a streamed one."""
         if self.is_over:
             return
         self._gateway.circuit_breaker.record_response(self._gateway.now())
@@ -238,12 +239,12 @@
         not_run = self._is_not_run(response)
         failure = self._failure_reason(response)
         report = response.fields.get(b"server-load")
-        if report is not None and not not_run:  # one that was refused is not in its own report
+        if report is not None and not not_run:  # a refused request is not counted in the report
             gateway.monitor.on_report(report, self)
         self._connection = None
         now = gateway.now()
         duration_ms = (now - self.admission.started_at) // 1000
-        # A 504 at the deadline means slow work, which is no failure of the backend.
+        # A 504 at the deadline means slow work, not a failure of the backend.
         gateway.admission.failure_rate.record(
             failure is None and (status < SERVER_ERROR or status == GATEWAY_TIMEOUT), now
         )
@@ -256,7 +257,7 @@
         self._sink.send(Response(status, headers, body, True, len(body), not_run, duration_ms, gateway.load()))
 
     def on_response_part(self, response: HttpMessage) -> None:
-        """Pass on what has come of a long response."""
+        """Forward the next part of a long response."""
         if self.is_over:
             return
         self._gateway.circuit_breaker.record_response(self._gateway.now())
@@ -265,7 +266,7 @@
         else:
             failure = self._failure_reason(response)
             if failure is not None:
-                self.on_lost(failure)
+                self.on_failed(failure)
                 return
             self._streaming = True
             message = self._response_head(response)
@@ -278,7 +279,7 @@
         headers = self._headers(response)
         return Response(response.status, headers, response.take_body(), False, length, not_run, 0, self._gateway.load())
 
-    def on_lost(self, reason: FailureReason) -> None:
+    def on_failed(self, reason: FailureReason) -> None:
         """End the request without a complete response; it may have run."""
         if self.is_over:
             return
@@ -288,13 +289,14 @@
 
     @staticmethod
     def _is_not_run(response: HttpMessage) -> bool:
-        """Return whether the backend itself guarantees that the request has not run."""
+        """Return whether the backend guarantees that the request has not run."""
         return b"not-run" in response.fields or response.status == MISDIRECTED_REQUEST
 
     def _failure_reason(self, response: HttpMessage) -> FailureReason | None:
-        """Return why a response cannot be passed on; None if it can.
+        """Return why a response cannot be forwarded; None if it can.
 
-        It may be a success without proof, or have a status that guarantees what the backend has not.
+        A success may lack its seal or have an encoding that was not requested. An error status may tell the client
+        that a write has not run although the backend does not guarantee it.
         """
         if response.status >= OK_BELOW:
             unfounded = response.status in NOT_RUN_STATUSES and not self._is_not_run(response)
@@ -309,10 +311,10 @@
     def _headers(response: HttpMessage) -> Headers:
         return [line for line in end_to_end_headers(response) if line[0].lower() != b"server-load"]
 
-    # The end
+    # End of the request
 
     def _abort(self) -> None:
-        """End the request and close its connection, on which a response may still come."""
+        """End the request and close its connection, since a response may still arrive on it."""
         connection, self._connection = self._connection, None
         if connection is not None:
             self._gateway.pool.discard(connection)
--- a/lilacsill/mesh/proxy/circuit_breaker.py
+++ b/lilacsill/mesh/proxy/circuit_breaker.py
@@ -1,26 +1,26 @@
-"""A circuit breaker for a backend that has fallen silent. No I/O; the caller passes the time.
+"""A circuit breaker for a backend that has stopped responding. No I/O; the caller passes the time.
 
-A backend is silent if nothing connects to it, or if it answers nothing that was sent. While the breaker is open,
-requests are rejected at once, and one at a time is let through as a trial. A trial is an idempotent request if
-possible: whether a write has run is not known if it meets silence. Only the proxy beside the backend can decide this,
-because all requests to the backend pass there.
+A backend is silent if no connection to it succeeds, or if it answers none of the requests sent to it. While the breaker
+is open, requests are rejected at once, except for one trial at a time. The trial is an idempotent request if possible:
+it is unknown whether a write without a response has run. Only the proxy beside the backend can decide this, because all
+requests to the backend pass through that proxy.
 """
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-MIN_BACKOFF_US = 200_000  # between two trials; it doubles with each failure
+MIN_BACKOFF_US = 200_000  # between two trials; doubles with each failure
 MAX_BACKOFF_US = 1_600_000
-TRIAL_TIMEOUT_US = 1_000_000  # a trial in flight for so long does not delay the next one
-WRITE_TRIAL_DELAY_US = 2_000_000  # where no idempotent request comes, a write is the trial after so long
-RESPONSE_TIMEOUT_US = 400_000  # without any response
-TIMEOUT_FACTOR = 4.0  # times the usual duration of a request without a response
-MIN_OVERDUE = 2  # so many requests must be overdue: one alone may be a long one
+TRIAL_TIMEOUT_US = 1_000_000  # a trial in flight for longer does not delay the next one
+WRITE_TRIAL_DELAY_US = 2_000_000  # without an idempotent request, a write becomes the trial after this delay
+RESPONSE_TIMEOUT_US = 400_000  # minimum time without any response
+TIMEOUT_FACTOR = 4.0  # a request is overdue after this multiple of its usual duration
+MIN_OVERDUE = 2  # minimum number of overdue requests: a single one may just take long
 
 
 class CircuitBreaker:
-    """The breaker before one backend."""
+    """The circuit breaker for one backend."""
 
     def __init__(self) -> None:
         self._backoff_us: int | None = None  # None: the breaker is closed
@@ -30,11 +30,11 @@
 
     @property
     def is_closed(self) -> bool:
-        """Whether requests pass."""
+        """Whether all requests pass."""
         return self._backoff_us is None
 
     def rejects(self, idempotent: bool, now: int) -> bool:
-        """Decide whether to reject a request. One that an open breaker does not reject is its trial."""
+        """Decide whether to reject a request. A request that an open breaker lets through is its trial."""
         if self._backoff_us is None:
             return False
         if now < self._trial_from or self._trial_in_flight(now):
@@ -52,7 +52,7 @@
         self._backoff_us, self._last_response_at = None, now
 
     def record_failure(self, now: int) -> None:
-        """Open the breaker, or keep it open for longer: no connection could be made, or the backend is silent."""
+        """Open the breaker, or double its backoff: no connection could be made, or the backend is silent."""
         if self._backoff_us is None:
             self._backoff_us = MIN_BACKOFF_US
         else:
@@ -60,10 +60,10 @@
         self._trial_from, self._trial_started_at = now + self._backoff_us, None
 
     def is_silent(self, in_flight: Iterable[tuple[int, int]], now: int) -> bool:
-        """Decide whether the backend has fallen silent.
+        """Return whether the backend has stopped responding.
 
         Args:
-            in_flight: For each request in flight its age and its usual duration, in microseconds.
+            in_flight: The age and the usual duration of each request in flight, in microseconds.
             now: The current time in microseconds.
         """
         since_response_us = now - self._last_response_at
--- a/lilacsill/mesh/proxy/client_connection.py
+++ b/lilacsill/mesh/proxy/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: reads requests, which may be pipelined, and sends the responses in their order."""
+"""A client's connection: reads requests, which may be pipelined, and sends the responses in request order."""
 
 from __future__ import annotations
 
@@ -14,29 +14,30 @@
 from .forwarder import Forwarder
 from .pending_response import PendingResponse
 
-MAX_IN_FLIGHT = 16  # requests of one connection; more are read, and wait
-# Complete requests that wait beyond these. A connection that has more is not read, so that its end is not seen either.
+MAX_IN_FLIGHT = 16  # requests of one connection; further ones are read and wait
+# Complete requests that wait beyond MAX_IN_FLIGHT. With more of them the connection is not read, so its end is not
+# detected either.
 MAX_PIPELINED = 128
-MAX_BUFFERED_BYTES = 128 * 1024  # of a body that its backend does not take; then the client is made to wait
+MAX_BUFFERED_BYTES = 128 * 1024  # of a request body not accepted by the backend; above this the client is not read
 RESUME_BELOW_BYTES = MAX_BUFFERED_BYTES // 2
-STREAMED_BODY_BYTES = 64 * 1024  # a longer body is forwarded while it comes
-UPLOAD_POLL_US = 5_000  # how often a paused upload is checked
-LINGER_US = 1_000_000  # between the last response and the close
+STREAMING_THRESHOLD_BYTES = 64 * 1024  # a longer request body is forwarded while it arrives
+UPLOAD_POLL_US = 5_000  # interval of the checks of a paused upload
+LINGER_US = 1_000_000  # how long to read and discard between the last response and the close
 
 
 class ConnectionOwner(Protocol):
-    """What all connections share, and the one that is notified of their ends."""
+    """State shared by all connections; notified of the end of each."""
 
     reactor: Reactor
     forwarder: Forwarder
-    is_draining: bool  # the process shuts down
+    is_draining: bool  # the process is shutting down
 
     def connection_ended(self, connection: ClientConnection) -> None:
-        """Forget the connection."""
+        """Remove the connection."""
 
 
 class ClientConnection(Connection):
-    """One client's connection; the `pending_response.ResponseQueue` of its responses."""
+    """One client's connection; implements `pending_response.ResponseQueue` for its responses."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
         super().__init__()
@@ -45,16 +46,16 @@
         self._reader = Reader(
             HttpRequestParser, limits.max_body_bytes, keep_header_lines=True, head_limit=limits.max_head_bytes
         )
-        self._responses: deque[PendingResponse] = deque()  # in the order of their requests
+        self._responses: deque[PendingResponse] = deque()  # in request order
         self._pipelined: deque[Message] = deque()  # complete requests beyond MAX_IN_FLIGHT
-        self._upload: PendingResponse | None = None  # to the request whose body is forwarded while it comes
-        self._is_closing = False  # after the responses that are pending; requests behind them are not read
-        self.quiet_since = owner.reactor.now()
-        self.head_began_at: int | None = None  # of a request whose head is not complete
+        self._upload: PendingResponse | None = None  # to the request whose body is forwarded while it arrives
+        self._is_closing = False  # after the pending responses; requests behind them are not processed
+        self.last_activity_at = owner.reactor.now()
+        self.head_started_at: int | None = None  # when a request began whose head is incomplete; None: no such request
 
     @property
     def is_idle(self) -> bool:
-        """Whether no request is in flight, waiting or begun."""
+        """Whether no request is in flight, waiting or partly received."""
         return not self._responses and not self._pipelined and self._reader.current is None
 
     # Requests
@@ -65,11 +66,11 @@
         if self._upload is not None:
             complete = self._continue_upload(self._upload, complete)
         self._pipelined += complete
-        self.quiet_since = self._owner.reactor.now()
+        self.last_activity_at = self._owner.reactor.now()
         if self._reader.current is None or self._reader.in_body:
-            self.head_began_at = None
-        elif self.head_began_at is None:
-            self.head_began_at = self.quiet_since
+            self.head_started_at = None
+        elif self.head_started_at is None:
+            self.head_started_at = self.last_activity_at
         self._forward_pipelined()
         current = self._reader.current
         if current is not None and self._may_stream(current):
@@ -91,24 +92,24 @@
         request.target = origin_form(request.target)
         response = PendingResponse(self, request)
         self._responses.append(response)
-        # While the proxy shuts down, each request is the last of its connection.
+        # While the proxy shuts down, each request is the last one on its connection.
         self._is_closing = not request.keep_alive or self._owner.is_draining
         response.forwarded = self._owner.forwarder.forward(request, response, is_complete)
         return response
 
     def _answer_and_close(self, status: int) -> None:
-        """Answer a request that cannot be read."""
+        """Send an error response without a request, and close the connection after it."""
         self._is_closing = True
         response = PendingResponse(self, Message())
         self._responses.append(response)
         response.send_response(status, [], b"")
 
-    # A long body
+    # Streamed request bodies
 
     def _may_stream(self, request: Message) -> bool:
         return (
             self._reader.in_body
-            and request.received > STREAMED_BODY_BYTES
+            and request.received > STREAMING_THRESHOLD_BYTES
             and self._upload is None
             and not self._pipelined
             and len(self._responses) < MAX_IN_FLIGHT
@@ -119,7 +120,7 @@
         self._upload = self._forward(request, is_complete=False)
 
     def _continue_upload(self, response: PendingResponse, complete: list[Message]) -> list[Message]:
-        """Forward what has come of the body. Returns the requests that are complete beside it."""
+        """Forward the part of the body that has arrived. Return the other requests that are complete."""
         is_last = bool(complete) and complete[0] is response.request
         self._forward_body(response, is_last)
         if self._reader.error is not None and not is_last:
@@ -140,7 +141,7 @@
             self._owner.reactor.after(UPLOAD_POLL_US, self._resume_upload)
 
     def _fail_upload(self, response: PendingResponse, status: int) -> None:
-        """End the request whose body cannot be read."""
+        """End the request whose body cannot be parsed."""
         self._upload = None
         self._is_closing = True
         if response.forwarded is not None:
@@ -158,7 +159,7 @@
     # Responses
 
     def flush(self, response: PendingResponse) -> int:
-        """Send what is in order. Returns how many bytes of this response the client has not taken."""
+        """Send the responses that are next in order. Return how many bytes of this one the client has not accepted."""
         if self.closed or self.stream is None:
             return 0
         while self._responses:
@@ -170,7 +171,7 @@
                 self.drop()
                 break
             self._responses.popleft()
-            self.quiet_since = self._owner.reactor.now()
+            self.last_activity_at = self._owner.reactor.now()
             if self._is_closing and not self._responses:
                 self._finish()
                 break
@@ -184,10 +185,10 @@
             return
         self.send(data)
         if not self.unsent and response.forwarded is not None:
-            response.forwarded.resume_response()  # it may have been paused while it waited for the responses before it
+            response.forwarded.resume_response()  # may be paused since it waited for earlier responses
 
     def flushed(self) -> None:
-        """Handle that the client has taken all that was sent."""
+        """Resume the first response: the client has accepted all bytes sent."""
         super().flushed()
         if self._responses and self._responses[0].forwarded is not None:
             self._responses[0].forwarded.resume_response()
@@ -195,7 +196,7 @@
     def _finish(self) -> None:
         """Close after the last response.
 
-        What still comes is read and dropped: a close with unread bytes would reset the connection, and the client might
+        Further input is read and discarded: a close with unread bytes would reset the connection, and the client might
         lose the response.
         """
         self.discarding = True
@@ -203,28 +204,28 @@
             self.stream.half_close()
         self._owner.reactor.after(LINGER_US, self.close)
 
-    # The end
+    # End of the connection
 
     def start_draining(self) -> None:
-        """Close after the responses that are pending; clients send requests that waited behind them elsewhere.
+        """Close after the pending responses; clients resend the requests behind them on another connection.
 
-        Where the last head has gone out without `Connection: close`, the next response announces the close.
+        If the last head was sent without `Connection: close` already, the next response announces the close.
         """
         if self._responses and not self._responses[-1].is_head_sent:
             self._is_closing = True
             self._pipelined.clear()
 
     def time_out_head(self) -> None:
-        """End a connection whose client has begun a request and does not go on."""
+        """End a connection whose client has started a request head but not completed it in time."""
         if not self._is_closing and not self._responses:
             self._answer_and_close(408)
 
     def on_fault(self) -> None:
-        """Handle a fault of this proxy's own."""
+        """Close the connection after an internal error of this proxy."""
         self.drop()
 
     def on_end(self) -> None:
-        """Handle the end of the connection: nobody waits for its responses."""
+        """Cancel all requests of the connection: it has ended, so their responses cannot be delivered."""
         self._owner.connection_ended(self)
         for response in self._responses:
             if response.forwarded is not None:
--- a/lilacsill/mesh/proxy/client_listener.py
+++ b/lilacsill/mesh/proxy/client_listener.py
@@ -1,4 +1,4 @@
-"""The listener for this machine's clients, and the time-outs of their connections."""
+"""The listener for the clients of this machine, and the timeouts of their connections."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 
 
 class ClientListener:
-    """Accepts clients' connections; `client_connection.ConnectionOwner` of all of them."""
+    """Accepts clients' connections; implements `client_connection.ConnectionOwner` for them."""
 
     def __init__(self, reactor: Reactor, address: Address, forwarder: Forwarder) -> None:
-        """Raises OSError."""
+        """Start to listen at `address`. Raises OSError if that fails."""
         self.reactor, self.forwarder = reactor, forwarder
         self.is_draining = False
         self.connections: set[ClientConnection] = set()
@@ -31,24 +31,24 @@
         self.connections.add(connection)
 
     def connection_ended(self, connection: ClientConnection) -> None:
-        """Forget a connection that is closed."""
+        """Remove a closed connection."""
         self.connections.discard(connection)
 
     def _check_timeouts(self) -> None:
         self.reactor.after(TIMEOUT_CHECK_US, self._check_timeouts)
         now, limits = self.reactor.now(), self.forwarder.config.limits
         for connection in list(self.connections):
-            began_at = connection.head_began_at
-            if connection.is_idle and now - connection.quiet_since > limits.idle_timeout_us + TIMEOUT_CHECK_US:
+            started_at = connection.head_started_at
+            if connection.is_idle and now - connection.last_activity_at > limits.idle_timeout_us + TIMEOUT_CHECK_US:
                 connection.close()
-            elif began_at is not None and now - began_at > limits.header_timeout_us + TIMEOUT_CHECK_US:
+            elif started_at is not None and now - started_at > limits.header_timeout_us + TIMEOUT_CHECK_US:
                 connection.time_out_head()
 
     def start_draining(self) -> None:
-        """Answer the requests that are in flight and close their connections with the last response.
+        """Answer the requests in flight, and close each connection after its last response.
 
-        What comes behind them is not read; its client sends it elsewhere. A request that comes later is the only one of
-        its connection.
+        Requests behind them are not processed; clients resend them on another connection. A request that arrives later
+        is the last one on its connection.
         """
         self.is_draining = True
         for connection in self.connections:
@@ -56,11 +56,11 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a client has not taken all that was sent to it."""
+        """Whether a client has not accepted all bytes sent to it."""
         return any(connection.unsent for connection in self.connections)
 
     def close_idle(self) -> None:
-        """Close the connections on which nothing is in flight, each once its client has taken its responses."""
+        """Close the connections without requests in flight, each once its client has accepted all responses."""
         for connection in list(self.connections):
             if connection.is_idle:
                 connection.close()
--- a/lilacsill/mesh/proxy/client_response.py
+++ b/lilacsill/mesh/proxy/client_response.py
@@ -1,4 +1,4 @@
-"""The response of one request on its way to the client, and to those that repeat its operation."""
+"""The response to one request: sent to its client, and stored for repeats of its operation."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ResponseRecorder:
-    """Collects the response of an operation that runs once, and stores it when it is complete."""
+    """Collects the response of an operation that runs once, and stores the response when it is complete."""
 
     def __init__(self, run: OperationRun) -> None:
         self._run = run
@@ -22,12 +22,12 @@
         self._is_too_long = False
 
     def record(self, response: Response) -> None:
-        """Take a response, or the head of a long one with the beginning of its body."""
+        """Record a complete response, or the head of a long one with the beginning of its body."""
         self._status, self._headers = response.status, response.headers
         self.record_body(response.body, response.body_complete)
 
     def record_body(self, data: bytes, is_last: bool) -> None:
-        """Take the next part of the body. Of a response that is too long only that is kept: it counts as unknown."""
+        """Record the next part of the body. A response that is too long is not stored: it counts as unknown."""
         self._is_too_long = self._is_too_long or len(self._body) + len(data) > MAX_RESPONSE_BYTES
         if self._is_too_long:
             self._body.clear()
@@ -37,18 +37,18 @@
             self._run.answer(StoredResponse(self._status, self._headers, bytes(self._body)))
 
 
-class NoClient:
-    """The `ResponseWriter` of a request whose client has left."""
+class DiscardingWriter:
+    """The `ResponseWriter` of a request whose client has disconnected."""
 
     def send_response(self, status: int, headers: Headers, body: bytes) -> None:
-        """Drop a response."""
+        """Discard a response."""
 
     def start_response(self, status: int, headers: Headers, content_length: int | None, body: bytes) -> int:
-        """Drop the beginning of a response."""
+        """Discard the beginning of a response."""
         return 0
 
     def send_body(self, data: bytes, is_last: bool) -> int:
-        """Drop a part of a response."""
+        """Discard a part of a response."""
         return 0
 
     def abort(self) -> None:
@@ -56,35 +56,35 @@
 
 
 class ClientResponse:
-    """Passes one response on. The methods that return a number return how many bytes the client has not taken."""
+    """Sends one response. Methods that return a number return how many bytes the client has not accepted."""
 
     def __init__(self, writer: ResponseWriter, counters: RequestCounters) -> None:
         self._writer, self._counters = writer, counters
         self._recorder: ResponseRecorder | None = None
-        self.is_streaming = False  # the head of the response has gone to the client
-        self.is_client_gone = False
+        self.is_streaming = False  # the head of the response was sent to the client
+        self.is_client_disconnected = False
 
-    def record_for(self, run: OperationRun) -> None:
-        """Store the response of a backend for repeats of its operation."""
+    def start_recording(self, run: OperationRun) -> None:
+        """Store the backend's response for repeats of the operation."""
         self._recorder = ResponseRecorder(run)
 
     def drop_client(self) -> None:
-        """Write nothing more: the client has left."""
-        self.is_client_gone = True
-        self._writer = NoClient()
+        """Discard further output: the client has disconnected."""
+        self.is_client_disconnected = True
+        self._writer = DiscardingWriter()
 
-    def send_own(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a response of the proxy's own, or a complete one that is recorded already."""
+    def send_complete(self, status: int, headers: Headers, body: bytes) -> None:
+        """Send a complete response: one of the proxy itself, or one of a backend that is already recorded."""
         self._counters.responses[status] += 1
         self._writer.send_response(status, headers, body)
 
     def record(self, response: Response) -> None:
-        """Keep a response of a backend, or its beginning, if the operation runs once."""
+        """Record a response of a backend, or its beginning, if the operation runs once."""
         if self._recorder is not None:
             self._recorder.record(response)
 
     def start(self, response: Response) -> int:
-        """Send the head of a long response of a backend, and the beginning of its body."""
+        """Send the head of a backend's long response, and the beginning of its body."""
         self.is_streaming = True
         self._counters.responses[response.status] += 1
         length = None if response.content_length < 0 else response.content_length
@@ -97,6 +97,6 @@
         return self._writer.send_body(chunk.data, chunk.last)
 
     def truncate(self) -> None:
-        """End a response that has begun, so that its client sees that it is not complete."""
+        """Abort a response that has begun, so that the client detects that it is incomplete."""
         self._counters.truncated += 1
         self._writer.abort()
--- a/lilacsill/mesh/proxy/current_attempt.py
+++ b/lilacsill/mesh/proxy/current_attempt.py
@@ -1,4 +1,4 @@
-"""The attempt of one request that is under way, or the exchange of the response that it streams."""
+"""The attempt of one request that is in progress, or the exchange whose response is streamed."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 
 
 class CurrentAttempt:
-    """One attempt after the other, each counted at its endpoint until its outcome is there.
+    """The attempts of one request in turn; each counts at its endpoint until its outcome arrives.
 
     Attributes:
         table: The endpoints of the request's service.
-        attempt: None where none is under way, also while a response is streamed.
-        exchange: Of the attempt, or of the response that is streamed.
+        attempt: The attempt in progress; None if there is none, also while a response is streamed.
+        exchange: The exchange of the attempt, or of the response that is streamed.
     """
 
     def __init__(self, owner: RequestOwner, table: EndpointTable) -> None:
@@ -32,15 +32,15 @@
         self.exchange = upstreams.offer(entry.endpoint, offer, listener)
 
     def end(self, outcome: Rejected | Response | NoResponse | Suspected | None) -> EndpointLoad:
-        """Return the endpoint of the attempt that is over; its outcome, if there is one, brings its load."""
+        """End the attempt and return its endpoint; the outcome, if any, reports the load of the endpoint."""
         attempt, self.attempt, self.exchange = self.attempt, None, None
         assert attempt is not None
         load = outcome.load if outcome is not None else None
         self.table.attempt_ended(attempt.entry, attempt.number, load, self._owner.reactor.now())
         return attempt.entry
 
-    def give_up(self) -> None:
-        """Cancel the exchange, if there is one, and stop counting its attempt."""
+    def cancel(self) -> None:
+        """Cancel the exchange, if there is one, and end its attempt."""
         attempt, self.attempt = self.attempt, None
         exchange, self.exchange = self.exchange, None
         if attempt is not None:
@@ -48,21 +48,21 @@
         if exchange is not None:
             exchange.cancel()
 
-    def leave(self) -> None:
-        """Forget the attempt: another one has taken it over, and counts its end."""
+    def detach(self) -> None:
+        """Release the attempt without ending it: a `SuspectedAttempt` has taken it over and records its end."""
         self.attempt = self.exchange = None
 
-    def take_over(self, attempt: Attempt, exchange: Exchange, listener: OutcomeListener) -> None:
-        """Go on with an attempt that was left."""
+    def attach(self, attempt: Attempt, exchange: Exchange, listener: OutcomeListener) -> None:
+        """Continue an attempt that was detached."""
         self.attempt, self.exchange = attempt, exchange
-        exchange.hand_over(listener)
+        exchange.set_listener(listener)
 
     def send_body(self, chunk: BodyChunk) -> None:
-        """Send more of the request's body."""
+        """Send more of the request body."""
         if self.exchange is not None:
             self.exchange.send_body(chunk)
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that the other end has not taken."""
+        """Bytes of the request body that the receiver has not accepted."""
         return self.exchange.unsent if self.exchange is not None else 0
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -1,7 +1,8 @@
 """Service discovery: long polls of registries for endpoints and configuration, which also announce the own endpoint.
 
-A poll carries a vector of versions, one for each registry's directory and one for the configuration, and the reply has
-what is newer. The proxy polls two registries at a time; one that does not answer is replaced by the next.
+A poll carries the version of the registry's directory and the version of the configuration that the proxy has, and the
+reply contains what is newer. The proxy polls two registries at a time; one that does not answer is replaced by the
+next.
 """
 
 from __future__ import annotations
@@ -22,14 +23,14 @@
 from .known_endpoints import KnownEndpoints
 from .registry_selector import RegistrySelector
 
-POLL_WAIT_MS = 700  # how long a registry may wait for something new
-REPLY_MARGIN_US = 500_000  # beyond that wait
-POLL_CHECK_US = 150_000  # how often the proxy checks that two polls are pending
-BACKOFF_US = 2_000_000  # of a registry that did not answer
-STALE_BACKOFF_US = BACKOFF_US // 4  # of a registry whose configuration is not known to be current
-MISSING_CONFIG_US = 150_000  # how long another registry's configuration may take to come
-CURRENT_US = 1_900_000  # a proof by the tail of the chain counts for so long, over all hops
-NO_ITEMS = -1  # in `Poll.config_seq`: the registry is to send no configuration
+POLL_WAIT_MS = 700  # how long a registry may hold a poll until there is something new
+REPLY_MARGIN_US = 500_000  # for the reply, beyond that wait
+POLL_CHECK_US = 150_000  # interval of the checks that two polls are pending
+BACKOFF_US = 2_000_000  # for a registry that did not answer
+STALE_BACKOFF_US = BACKOFF_US // 4  # for a registry that cannot prove that its configuration is current
+CONFIG_FETCH_DELAY_US = 150_000  # time for the configuration to arrive from the registry that sends it
+FRESHNESS_MAX_AGE_US = 1_900_000  # of a proof by the tail of the chain, over all hops
+OMIT_CONFIG = -1  # as `Poll.config_seq`: the registry must not send the configuration
 UNKNOWN_VERSIONS = (0, 0)  # of a registry that was not polled before
 
 
@@ -46,15 +47,15 @@
         suspects: Set[str],
         on_update: Callable[[], None],
     ) -> None:
-        """Prepare a client that does nothing until it is started.
+        """Create a client that does nothing until it is started.
 
         Args:
             settings: The settings of the process.
             environment: Clock, timers and links.
-            config: Gets the configuration.
+            config: Receives the configuration.
             lifecycle: The state of the own backend, to be announced.
-            endpoints: Gets the endpoints of all proxies.
-            suspects: The nodes that the failure detector cannot reach, at any time.
+            endpoints: Receives the endpoints of all proxies.
+            suspects: The nodes that the failure detector suspects; a set that the detector updates.
             on_update: Called after each reply of a registry.
         """
         self._settings, self._environment = settings, environment
@@ -63,22 +64,24 @@
         self.registries = RegistrySelector(
             settings.node_name, {f"{seed.host}:{settings.internal_ports[0]}" for seed in settings.seeds}
         )
-        self.registry_versions: dict[str, tuple[int, int]] = {}  # of each: its incarnation, version of its directory
-        self._pending: dict[str, int] = {}  # by registry: the number of the poll that counts
-        self._polls = 0
-        self._newest_seq = 0  # of the configuration that is known to exist
-        self._behind: set[str] = set()  # registries that are to send the configuration with the next poll
-        # The time of day is a good guess at a higher number than that of the run before.
+        self.registry_versions: dict[
+            str, tuple[int, int]
+        ] = {}  # by registry: its incarnation, and the version of its directory
+        self._pending: dict[str, int] = {}  # by registry: the number of the latest poll
+        self._poll_count = 0
+        self._newest_seq = 0  # highest known sequence number of the configuration
+        self._config_requested_from: set[str] = set()  # registries that send the configuration for the next poll
+        # The time of day is probably higher than the number of the previous run.
         self._incarnation = Incarnation(time.time_ns() // 1000)
-        self.evidence = FreshnessTracker(CURRENT_US)  # that the configuration here is the one in force
-        self._leaving = False
+        self.config_freshness = FreshnessTracker(FRESHNESS_MAX_AGE_US)  # that the local one is in effect
+        self._is_shutting_down = False
 
     def is_config_current(self) -> bool:
-        """Return whether the configuration here is the one in force."""
-        return self.evidence.is_current(self._environment.now())
+        """Return whether the local configuration is proven to be the one in effect."""
+        return self.config_freshness.is_current(self._environment.now())
 
     def start(self) -> None:
-        """Begin to poll."""
+        """Start to poll."""
         self._keep_polling()
 
     def announce(self) -> None:
@@ -86,13 +89,13 @@
         self._incarnation.next_version()
         self.poll_now()
 
-    def announce_leaving(self) -> None:
-        """Announce at once that this proxy shuts down."""
-        self._leaving = True
+    def announce_shutdown(self) -> None:
+        """Announce at once that this proxy is shutting down."""
+        self._is_shutting_down = True
         self.announce()
 
     def poll_now(self) -> None:
-        """Poll the current registries without a wait, so that they learn at once what this proxy reports."""
+        """Poll the current registries again with no wait, so that they get this proxy's reports at once."""
         for registry in list(self._pending):
             self._poll(registry, 0)
 
@@ -109,7 +112,7 @@
             settings.zone,
             lifecycle.service or settings.service,
             lifecycle.server,
-            EndpointState.LEAVING if self._leaving else lifecycle.state,
+            EndpointState.LEAVING if self._is_shutting_down else lifecycle.state,
             lifecycle.slots,
             max(0, warmup_left_us // 1000),
         )
@@ -127,14 +130,14 @@
                 self._poll(registry, POLL_WAIT_MS)
 
     def _poll(self, registry: str, wait_ms: int) -> None:
-        self._polls += 1
-        number = self._pending[registry] = self._polls
+        self._poll_count += 1
+        number = self._pending[registry] = self._poll_count
         incarnation, directory_version = self.registry_versions.get(registry, UNKNOWN_VERSIONS)
         poll = Poll(
             self.endpoint(),
             incarnation,
             directory_version,
-            self._config.seq if self._sends_config(registry) else NO_ITEMS,
+            self._config.seq if self._should_send_config(registry) else OMIT_CONFIG,
             self._newest_seq,
             wait_ms,
             with_incarnations(self._suspects, self._endpoints.incarnations(self._suspects)),
@@ -142,14 +145,14 @@
         on_reply = partial(self._on_reply, registry, number, self._environment.now())
         self._environment.ask(registry, poll, wait_ms * 1000 + REPLY_MARGIN_US, on_reply)
 
-    def _sends_config(self, registry: str) -> bool:
-        """Return whether a registry is to send the configuration.
+    def _should_send_config(self, registry: str) -> bool:
+        """Return whether a registry should send the configuration with its reply.
 
-        One registry does. The others only report that there is more, and are asked if the one fails.
+        Only one registry does. The others report that a newer one exists, and send it on request if the first fails.
         """
-        is_behind = registry in self._behind
-        self._behind.discard(registry)
-        return is_behind or registry == self.registries.first()
+        is_requested = registry in self._config_requested_from
+        self._config_requested_from.discard(registry)
+        return is_requested or registry == self.registries.first()
 
     def _on_reply(self, registry: str, number: int, asked_at: int, reply: Message | None) -> None:
         is_latest = self._pending.get(registry) == number
@@ -163,7 +166,7 @@
         if not is_latest:
             return
         if reply.freshness is None:
-            # The registry was cut off or has just started: its directory is of use, its configuration is not.
+            # The registry was partitioned or has just started: its directory is useful, its configuration is not.
             self._replace(registry, STALE_BACKOFF_US)
         elif self.registries.is_available(registry):
             self._poll(registry, POLL_WAIT_MS)
@@ -192,18 +195,18 @@
             return
         if self._config.seq >= reply.newest_seq:
             self._config.was_complete = True
-            self.evidence.record(reply.freshness, asked_at)
+            self.config_freshness.record(reply.freshness, asked_at)
         elif not reply.items:
-            self._environment.after(MISSING_CONFIG_US, self._poll_if_behind, registry)
+            self._environment.after(CONFIG_FETCH_DELAY_US, self._fetch_missing_config, registry)
 
-    def _poll_if_behind(self, registry: str) -> None:
-        """Ask a registry for the configuration that it knows of, if the one that should send it has not."""
+    def _fetch_missing_config(self, registry: str) -> None:
+        """Request the configuration from a registry that has a newer one, if no other registry has sent it."""
         if self._config.seq < self._newest_seq:
-            self._behind.add(registry)
+            self._config_requested_from.add(registry)
             self._poll(registry, POLL_WAIT_MS)
 
     def _refute(self, endpoints: list[Endpoint]) -> None:
-        """Announce a higher incarnation where a record of an earlier run of this proxy would hide this one."""
+        """Announce a higher incarnation if the record of an earlier run of this proxy would override this one."""
         own = (endpoint for endpoint in endpoints if endpoint.node == self._settings.node_name)
         if any(self._incarnation.refute(endpoint.incarnation, endpoint.version) for endpoint in own):
             self.announce()
--- a/lilacsill/mesh/proxy/exchange.py
+++ b/lilacsill/mesh/proxy/exchange.py
@@ -1,6 +1,7 @@
 """Exchanges: one offer of a request to the proxy beside a backend, and its one outcome.
 
-The exchange with the backend of this machine stays within the process; `exchange_links` has those with other proxies.
+An exchange with the backend of this machine stays within the process; `exchange_links` implements those with other
+proxies.
 """
 
 from __future__ import annotations
@@ -17,42 +18,42 @@
 
 
 class OutcomeListener(Protocol):
-    """The sender of an offer. It is called with one outcome, and never from inside a call of its own."""
+    """The sender of an offer. It gets one outcome, and is never called from inside a call that it makes."""
 
     def on_outcome(self, message: Outcome) -> None:
-        """Handle an outcome. Body chunks follow an incomplete response, or `NoResponse` where it is truncated."""
+        """Handle an outcome. Body chunks follow an incomplete response, or `NoResponse` if it is truncated."""
 
     def on_suspected(self, message: Suspected) -> None:
-        """Handle that the backend may not answer; an outcome may still come."""
+        """Handle that the backend may not answer; an outcome may still arrive."""
 
     def on_unreachable(self) -> None:
         """Handle that no link could be opened: the request was not offered."""
 
     def on_link_lost(self) -> None:
-        """Handle that the link broke after the offer, or brought a wrong message: the request may have run."""
+        """Handle that the link broke or delivered a wrong message after the offer: the request may have run."""
 
 
 class Exchange(Protocol):
-    """One exchange, as the sender of the offer uses it."""
+    """One exchange, as used by the sender of the offer."""
 
     def send_body(self, chunk: BodyChunk) -> None:
-        """Send more of the request's body."""
+        """Send more of the request body."""
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that the other end has not taken."""
+        """Bytes of the request body that the receiver has not accepted."""
 
     def cancel(self) -> None:
-        """Give the exchange up: its outcome is not needed any more."""
+        """Cancel the exchange: its outcome is no longer needed."""
 
-    def hand_over(self, listener: OutcomeListener) -> None:
-        """Let another listener have what still comes."""
+    def set_listener(self, listener: OutcomeListener) -> None:
+        """Deliver further messages to another listener."""
 
     def pause(self) -> None:
-        """Hold back the response, since its client is slow."""
+        """Pause the response, since its client is slow."""
 
     def resume(self) -> None:
-        """Let the response come."""
+        """Resume the response."""
 
 
 class LocalExchange:
@@ -64,8 +65,8 @@
         self._request: BackendRequest | None = gateway.offer(offer, self)
 
     def send(self, message: Message) -> int:
-        """Take an outcome from the gateway. Nothing is ever left unsent."""
-        # The listener must not be called from inside its own call.
+        """Accept an outcome from the gateway. Return 0, since no bytes remain unsent."""
+        # The listener must not be called from inside a call that it makes.
         self._reactor.call_soon(self._deliver, message)
         return 0
 
@@ -78,31 +79,31 @@
             self._listener.on_outcome(message)
 
     def send_body(self, chunk: BodyChunk) -> None:
-        """Send more of the request's body."""
+        """Send more of the request body."""
         if self._request is not None:
             self._request.send_body(chunk)
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that the backend has not taken."""
+        """Bytes of the request body that the backend has not accepted."""
         return self._request.unsent if self._request is not None else 0
 
-    def hand_over(self, listener: OutcomeListener) -> None:
-        """Let another listener have what still comes."""
+    def set_listener(self, listener: OutcomeListener) -> None:
+        """Deliver further messages to another listener."""
         self._listener = listener
 
     def cancel(self) -> None:
-        """Give the exchange up."""
+        """Cancel the exchange."""
         self._listener = None
         if self._request is not None:
             self._request.cancel()
 
     def pause(self) -> None:
-        """Hold back the response."""
+        """Pause the response."""
         if self._request is not None:
             self._request.pause()
 
     def resume(self) -> None:
-        """Let the response come."""
+        """Resume the response."""
         if self._request is not None:
             self._request.resume()
--- a/lilacsill/mesh/proxy/exchange_links.py
+++ b/lilacsill/mesh/proxy/exchange_links.py
@@ -1,7 +1,7 @@
-"""Exchanges with other proxies, over links that serve one exchange at a time.
+"""Exchanges with other proxies, over links that carry one exchange at a time.
 
-Each exchange has a number of its own. A message under another number, or out of order, closes the link: a response is
-never taken for that of another exchange.
+Each exchange has its own number. A message with another number, or out of order, closes the link, so that a response is
+never matched to another exchange.
 """
 
 from __future__ import annotations
@@ -17,11 +17,11 @@
 from .exchange import Outcome, OutcomeListener
 
 CONNECT_TIMEOUT_US = 400_000
-MAX_IDLE_LINKS = 24  # for each address
+MAX_IDLE_LINKS = 24  # per address
 
 
 class LinkExchange:
-    """An exchange with another proxy; see the protocol `Exchange`."""
+    """An exchange with another proxy; implements `exchange.Exchange`."""
 
     def __init__(
         self, links: ExchangeLinks, address: Address, number: int, offer: Offer, listener: OutcomeListener
@@ -29,15 +29,15 @@
         self._links, self.address, self._number, self._offer = links, address, number, offer
         self._listener: OutcomeListener | None = listener
         self._link: Link | None = None
-        self._chunks: list[BodyChunk] = []  # of the request's body, while there is no link
+        self._queued_chunks: list[BodyChunk] = []  # of the request body, until there is a link
         self._is_request_sent = offer.body_complete
-        self._is_response_begun = False  # its head has come, and its last chunk has not
+        self._is_response_started = False  # the head has arrived, and the last chunk has not
 
     # The link
 
     def on_connected(self, sock: socket.socket) -> None:
-        """Take over a new connection."""
-        if not self.is_wanted:
+        """Create the link on a new connection, and send the offer."""
+        if not self.is_awaited:
             sock.close()
             return
         try:
@@ -49,23 +49,23 @@
             self.start(link)
 
     def on_connect_failed(self, error: OSError) -> None:
-        """Report that there is no link."""
+        """Report that no link could be opened."""
         listener, self._listener = self._listener, None
         if listener is not None:
             listener.on_unreachable()
 
     def start(self, link: Link) -> None:
-        """Send the offer, and what has come of the body since."""
+        """Send the offer, and the part of the body that has arrived since."""
         self._link = link
         link.on_message, link.on_closed = self._on_message, self._on_closed
         link.send(self._offer, self._number)
-        for chunk in self._chunks:
+        for chunk in self._queued_chunks:
             link.send(chunk, self._number)
-        self._chunks = []
+        self._queued_chunks = []
 
     @property
-    def is_wanted(self) -> bool:
-        """Whether the sender of the offer still waits for its outcome."""
+    def is_awaited(self) -> bool:
+        """Whether the sender of the offer still waits for the outcome."""
         return self._listener is not None
 
     def _on_closed(self, link: Link) -> None:
@@ -86,16 +86,16 @@
         if not self._is_expected(message):
             link.close()
             return
-        self._is_response_begun = not self._is_last(message)
-        if not self._is_response_begun:
+        self._is_response_started = not self._is_last(message)
+        if not self._is_response_started:
             self._end(link)
         listener.on_outcome(message)
 
     def _is_expected(self, message: Outcome) -> bool:
-        """Body chunks follow the head of a response; nothing else may follow it but its failure."""
+        """Return whether a message is in order: only body chunks or a failure may follow the head of a response."""
         if isinstance(message, NoResponse):
             return True
-        return isinstance(message, BodyChunk) == self._is_response_begun
+        return isinstance(message, BodyChunk) == self._is_response_started
 
     @staticmethod
     def _is_last(message: Outcome) -> bool:
@@ -105,53 +105,53 @@
 
     def _end(self, link: Link) -> None:
         self._listener = self._link = None
-        # The other end would take the rest of an unfinished body for the next offer's.
+        # The receiver would mistake the rest of an incomplete body for that of the next offer.
         if self._is_request_sent:
             self._links.release(self.address, link)
         else:
             link.close()
 
-    # For the sender of the offer
+    # Called by the sender of the offer
 
     def send_body(self, chunk: BodyChunk) -> None:
-        """Send more of the request's body; it waits until there is a link."""
+        """Send more of the request body, or queue it until there is a link."""
         self._is_request_sent = self._is_request_sent or chunk.last
         if self._link is not None and self._link.is_open:
             self._link.send(chunk, self._number)
         elif self._link is None and self._listener is not None:
-            self._chunks.append(chunk)
+            self._queued_chunks.append(chunk)
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that the link has not taken."""
-        waiting = sum(len(chunk.data) for chunk in self._chunks)
+        """Bytes of the request body that the link has not accepted."""
+        waiting = sum(len(chunk.data) for chunk in self._queued_chunks)
         return waiting + (self._link.stream.unsent if self._link is not None else 0)
 
-    def hand_over(self, listener: OutcomeListener) -> None:
-        """Let another listener have what still comes."""
-        if self.is_wanted:
+    def set_listener(self, listener: OutcomeListener) -> None:
+        """Deliver further messages to another listener."""
+        if self.is_awaited:
             self._listener = listener
 
     def cancel(self) -> None:
-        """Give the exchange up, and its link with it."""
+        """Cancel the exchange and close its link."""
         self._listener = None
         link, self._link = self._link, None
         if link is not None:
             link.close()
 
     def pause(self) -> None:
-        """Hold back the response."""
+        """Pause the response."""
         if self._link is not None and self._link.is_open:
             self._link.stream.pause()
 
     def resume(self) -> None:
-        """Let the response come."""
+        """Resume the response."""
         if self._link is not None and self._link.is_open:
             self._link.stream.resume()
 
 
 class ExchangeLinks:
-    """Opens exchanges, and keeps idle links by their address."""
+    """Starts exchanges, and keeps idle links by address."""
 
     def __init__(self, reactor: Reactor) -> None:
         self._reactor = reactor
@@ -159,14 +159,14 @@
         self._exchanges = 0
 
     def offer(self, address: Address, offer: Offer, listener: OutcomeListener) -> LinkExchange:
-        """Offer a request to the proxy at that address."""
+        """Offer a request to the proxy at an address."""
         self._exchanges += 1
         exchange = LinkExchange(self, address, self._exchanges, offer, listener)
         link = self._take_idle(address)
         if link is not None:
             exchange.start(link)
         else:
-            # A connection that is refused may fail at once, and the listener must not hear of it from inside its call.
+            # A refused connection may fail at once, and the listener must not be called from inside its own call.
             self._reactor.call_soon(self._connect, exchange)
         return exchange
 
@@ -180,7 +180,7 @@
         return None
 
     def _connect(self, exchange: LinkExchange) -> None:
-        if exchange.is_wanted:
+        if exchange.is_awaited:
             connect(
                 self._reactor,
                 exchange.address,
@@ -190,18 +190,18 @@
             )
 
     def release(self, address: Address, link: Link) -> None:
-        """Take back the link of an exchange that is over, for the next one."""
+        """Take back the link of a finished exchange for reuse."""
         idle = self._idle.setdefault(address, [])
         if len(idle) >= MAX_IDLE_LINKS or not link.is_open:
             link.close()
             return
-        link.stream.resume()  # a slow client may have paused it before the end of the response came
+        link.stream.resume()  # it may have been paused for a slow client before the end of the response arrived
         link.on_message, link.on_closed = self._on_idle_message, partial(self._on_idle_closed, idle)
         idle.append(link)
 
     @staticmethod
     def _on_idle_message(link: Link, number: int, message: Message) -> None:
-        link.close()  # nobody has asked for it
+        link.close()  # an unsolicited message
 
     @staticmethod
     def _on_idle_closed(idle: list[Link], link: Link) -> None:
--- a/lilacsill/mesh/proxy/failure_detector.py
+++ b/lilacsill/mesh/proxy/failure_detector.py
@@ -1,12 +1,12 @@
-"""Failure detection among proxies by pings, indirect pings and suspicion, as in SWIM.
+"""Failure detection among proxies with pings, indirect pings and suspicion, as in SWIM.
 
 Source: Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol",
 2002. No I/O; time and messages are passed in.
 
-Rendezvous hashing names three monitors for each proxy; it needs no coordination. If a proxy does not answer a ping, two
-others ping it as well. If they do not reach it either, it is reported to the registries as a suspect, and they believe
-two reporting proxies. A proxy that was stalled itself, or finds most of those that it monitors silent, suspects its own
-connection and reports nothing.
+Rendezvous hashing assigns three monitors to each proxy without coordination. If a proxy does not answer a ping, two
+other proxies ping it as well. If they cannot reach it either, it is reported to the registries as a suspect; the
+registries accept a suspicion that two proxies report. A proxy that was stalled itself, or that finds most of its
+monitored proxies unresponsive, assumes that its own connection is at fault and reports nothing.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 
 from .watch_list import WatchList
 
-MONITORS = 3  # of each proxy
-HELPERS = 2  # that ping a silent proxy as well
-PERIOD_US = 500_000  # of pings
+MONITORS = 3  # per proxy
+INDIRECT_PING_HELPERS = 2  # proxies that ping an unresponsive one as well
+PERIOD_US = 500_000  # between pings
 PING_TIMEOUT_US = 350_000
 INDIRECT_PING_TIMEOUT_US = 500_000
-STALLED_US = 200_000  # a round that is so late: this process was stalled
-SELF_DOUBT_US = 1_500_000  # after a stall nothing is reported for so long
+STALL_THRESHOLD_US = 200_000  # a round delayed by more means that this process was stalled
+UNRELIABLE_AFTER_STALL_US = 1_500_000  # no suspects are reported for this long after a stall
 
 
 class Environment(Protocol):
@@ -36,10 +36,10 @@
         """Return the current time in microseconds."""
 
     def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> object:
-        """Call something later."""
+        """Call a function after a delay."""
 
     def ask(self, address: str, message: Message, timeout_us: int, answered: Callable[[Message | None], None]) -> None:
-        """Send a question; `answered` is called once, with None if there was no answer in time."""
+        """Send a request; `answered` is called once, with None if no reply arrives in time."""
 
 
 class FailureDetector:
@@ -57,20 +57,20 @@
         Args:
             environment: Clock, timers and links.
             node: The name of this proxy.
-            peers: Returns the addresses of the other proxies by name; another dict whenever they have changed.
+            peers: Returns the addresses of the other proxies by name; a new dict object after each change.
             on_suspect: Called when a proxy is added to `suspects`.
         """
         self._environment, self._node, self._peers, self._on_suspect = environment, node, peers, on_suspect
         self._last_round_at = environment.now()
-        self._self_doubt_until = 0
-        self._pinged: set[str] = set()  # whose answer is due
-        self._silent: set[str] = set()  # in their last round
+        self._unreliable_until = 0
+        self._pings_in_flight: set[str] = set()  # nodes whose reply is due
+        self._unresponsive: set[str] = set()  # nodes that did not answer their latest ping
         self.suspects: set[str] = set()
-        self._known_peers: dict[str, str] | None = None  # that the watch list is made of
+        self._known_peers: dict[str, str] | None = None  # that the watch list was built from
         self._watch_list = WatchList(node, MONITORS)
 
     def start(self) -> None:
-        """Begin to ping."""
+        """Start to ping."""
         self._environment.after(PERIOD_US, self._round)
 
     def monitored(self) -> list[str]:
@@ -86,33 +86,35 @@
         self._last_round_at = self._environment.now()
         self._environment.after(PERIOD_US, self._round)
         peers, monitored = self._peers(), self.monitored()
-        self._silent &= set(monitored)
+        self._unresponsive &= set(monitored)
         self.suspects &= set(monitored)
         for node in monitored:
-            if node not in self._pinged:
-                self._pinged.add(node)
+            if node not in self._pings_in_flight:
+                self._pings_in_flight.add(node)
                 self._environment.ask(peers[node], Ping(), PING_TIMEOUT_US, partial(self._on_pong, node))
 
     def _check_for_stall(self) -> None:
         now = self._environment.now()
-        if now - self._last_round_at > PERIOD_US + STALLED_US:
-            self._self_doubt_until = now + SELF_DOUBT_US
+        if now - self._last_round_at > PERIOD_US + STALL_THRESHOLD_US:
+            self._unreliable_until = now + UNRELIABLE_AFTER_STALL_US
 
     def _on_pong(self, node: str, reply: Message | None) -> None:
-        self._pinged.discard(node)
+        self._pings_in_flight.discard(node)
         if isinstance(reply, IndirectPingReply):
-            self._silent.discard(node)
+            self._unresponsive.discard(node)
             self.suspects.discard(node)
             return
-        self._silent.add(node)
-        self._check_for_stall()  # the answer may be there, unread
+        self._unresponsive.add(node)
+        self._check_for_stall()  # the reply may have arrived, but is unread
         peers = self._peers()
-        if not self._doubts_itself() and node in peers and node not in self.suspects:
+        if not self._is_unreliable() and node in peers and node not in self.suspects:
             self._ping_indirectly(node, peers)
 
     def _ping_indirectly(self, node: str, peers: dict[str, str]) -> None:
-        # The helpers depend on the silent proxy alone, so that all its monitors ask the same few.
-        helpers = [helper for helper in rendezvous_select(node, peers, HELPERS + 1) if helper != self._node][:HELPERS]
+        # The helpers depend only on the unresponsive proxy, so that all its monitors ask the same few.
+        helpers = [
+            helper for helper in rendezvous_select(node, peers, INDIRECT_PING_HELPERS + 1) if helper != self._node
+        ][:INDIRECT_PING_HELPERS]
         replies: list[bool | None] = []
         for helper in helpers:
             self._environment.ask(
@@ -128,20 +130,20 @@
         replies.append(reply.reachable if isinstance(reply, IndirectPingReply) else None)
         if len(replies) < helper_count:
             return
-        # At least one helper must have answered, and none may have reached the proxy.
+        # At least one helper must have replied, and none may have reached the proxy.
         unreachable = False in replies and True not in replies
-        if unreachable and not self._doubts_itself() and node in self._silent:
+        if unreachable and not self._is_unreliable() and node in self._unresponsive:
             self.suspects.add(node)
             self._on_suspect()
 
-    def _doubts_itself(self) -> bool:
+    def _is_unreliable(self) -> bool:
         monitored = self.monitored()
-        if self._environment.now() < self._self_doubt_until:
+        if self._environment.now() < self._unreliable_until:
             return True
-        return 2 * len(self._silent & set(monitored)) > max(2, len(monitored))
+        return 2 * len(self._unresponsive & set(monitored)) > max(2, len(monitored))
 
     def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
-        """Ping a third proxy for another one, and reply whether it answered."""
+        """Ping a third proxy on behalf of another one, and reply whether it answered."""
 
         def on_pong(pong: Message | None) -> None:
             reply(IndirectPingReply(isinstance(pong, IndirectPingReply)))
@@ -150,5 +152,5 @@
 
 
 def with_incarnations(suspects: Iterable[str], incarnations: dict[str, int]) -> list[Suspect]:
-    """Return suspects in order of their names, each with the incarnation that is meant; without the unknown ones."""
+    """Return the suspects sorted by name, each with its incarnation; unknown nodes are left out."""
     return [Suspect(node, incarnations[node]) for node in sorted(suspects) if node in incarnations]
--- a/lilacsill/mesh/proxy/failure_rate.py
+++ b/lilacsill/mesh/proxy/failure_rate.py
@@ -1,18 +1,18 @@
-"""The failure rate of a backend, as the proxy beside it measures it. No I/O; the caller passes the time.
+"""The failure rate of a backend, as measured by the proxy beside it. No I/O; the caller passes the time.
 
-The backend's own health check may be wrong in either direction, so only the outcomes of real requests count. The rate
-decays without outcomes, so that real work tries the backend again: a high rate makes a backend less likely to be
-chosen and never excludes it.
+The backend's own health check may report a false success or a false failure, so only the outcomes of real requests
+count. Without outcomes the rate decays, so that the backend gets real requests again: a high rate makes a backend less
+likely to be chosen but never excludes it.
 """
 
 from __future__ import annotations
 
-GAIN = 0.12  # of the exponential smoothing
-HALVING_US = 2_500_000  # without outcomes the rate halves in this time
+GAIN = 0.12  # weight of a new sample in the exponential moving average
+HALVING_US = 2_500_000  # without outcomes, the rate halves in this time
 
 
 class FailureRate:
-    """The smoothed share of requests to one backend that failed."""
+    """The moving average of the share of failed requests at one backend."""
 
     def __init__(self) -> None:
         self._rate = 0.0
--- a/lilacsill/mesh/proxy/failure_record.py
+++ b/lilacsill/mesh/proxy/failure_record.py
@@ -1,4 +1,4 @@
-"""What one request records of its attempts that were rejected or failed: history, counters, ejections, log."""
+"""Records the rejected and failed attempts of one request: history, counters, ejections, log."""
 
 from __future__ import annotations
 
@@ -9,45 +9,49 @@
 from .reasons import RejectionReason
 from .request_owner import RequestOwner
 
-# A backend that rejects for one of these will reject the next request, too.
+# A backend that rejects for one of these reasons will reject the next request, too.
 EJECTING_REASONS = (RejectionReason.WRONG_INCARNATION, RejectionReason.UNREACHABLE)
 
 
 class FailureRecord:
-    """Records the attempts of one request that brought no response."""
+    """Records the attempts of one request that got no response."""
 
     __slots__ = ("_owner", "_table", "_history", "_attempt_id")
 
     def __init__(self, owner: RequestOwner, table: EndpointTable, history: AttemptHistory, attempt_id: bytes) -> None:
         self._owner, self._table, self._history = owner, table, history
-        self._attempt_id = attempt_id  # as the client calls this attempt
+        self._attempt_id = attempt_id  # of the client's own request
 
     def record_unreachable(self, entry: EndpointLoad) -> None:
-        """No link could be opened: the request was offered to nobody."""
+        """Record that no link could be opened: the request was not offered."""
         self._owner.counters.unreachable += 1
         self.eject(entry)
         self._history.record_rejected(entry)
 
     def record_rejected(self, entry: EndpointLoad, reason: str) -> None:
-        """The request did not reach the backend."""
+        """Record that the request did not reach the backend."""
         self._owner.counters.rejections[reason] += 1
         self._history.record_rejected(entry)
         if reason in EJECTING_REASONS:
             self.eject(entry)
 
     def record_failed(self, entry: EndpointLoad, reason: str) -> None:
-        """The request reached the backend and may have run."""
+        """Record that the request reached the backend, failed there and may have run."""
         self._owner.counters.failed_attempts[reason] += 1
-        log.info("%s attempt at %s failed: %s", self._attempt_id_text(), entry.endpoint.node, reason)
+        log.info("request %s: attempt at %s failed: %s", self._attempt_id_text(), entry.endpoint.node, reason)
         self._history.record_failed(entry)
 
     def record_broken_off(self) -> None:
-        """The request is answered because the process ends."""
+        """Record that the request is answered early because the process is about to exit."""
         self._owner.counters.broken_off += 1
-        log.info("%s broken off after %d attempts", self._attempt_id_text(), self._history.arrivals)
+        log.info(
+            "request %s: broken off at shutdown, after %d attempts that reached a backend",
+            self._attempt_id_text(),
+            self._history.arrivals,
+        )
 
     def eject(self, entry: EndpointLoad) -> None:
-        """Leave out an endpoint that could not be reached."""
+        """Exclude an unreachable endpoint for a time."""
         self._table.eject(entry, self._owner.reactor.now())
 
     def _attempt_id_text(self) -> str:
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -1,9 +1,10 @@
-"""One client's request on its way: attempts at backends, retries, and the one final response.
+"""One client's request: its attempts at backends, its retries, and its one final response.
 
-A request that was rejected has arrived nowhere and is offered to the next endpoint at no cost. One that may have run is
-retried only where its route is idempotent and the retry budget has room; otherwise its client gets a failure that
-promises nothing. An operation that runs once goes on to its end though its client has left, for the repeats that are
-to get its response. No other module sends a client's request again; `retry_decision` says whether it may be sent.
+A rejected request has not reached a backend and is offered to the next endpoint without using the retry budget. A
+request that may have run is retried only if its route is idempotent and the retry budget allows it; otherwise its
+client gets an error that does not guarantee whether it ran. An operation that runs once continues after its client has
+disconnected, since repeats of the operation get its response. No other module sends a client's request again;
+`retry_decision` decides whether it may be sent.
 """
 
 from __future__ import annotations
@@ -32,11 +33,11 @@
 from .routes import Route
 from .suspected_attempts import SuspectedAttempt, SuspectedAttempts
 
-TIMEOUT_MARGIN_US = 20_000  # an outcome of another proxy that comes at the deadline is still waited for
+TIMEOUT_MARGIN_US = 20_000  # wait after the deadline for an outcome that another proxy sends at the deadline
 
 
 class ForwardedRequest:
-    """The state of one request; the `OutcomeListener` of its exchanges and the `PermitListener` of its permits."""
+    """The state of one request; implements `OutcomeListener` for its exchanges, `PermitListener` for its permits."""
 
     def __init__(
         self,
@@ -47,7 +48,7 @@
         is_complete: bool,
         tenant: Tenant | None,
     ) -> None:
-        """Take a request that may go to its route; `tenant` has the key that it came with."""
+        """Create the state of a request that may use its route; `tenant` is the owner of its key."""
         self._owner, self._request, self._route, self._tenant = owner, request, route, tenant
         self._response = ClientResponse(response, owner.counters)
         self._service = route.split.choose(owner.rng)
@@ -55,20 +56,20 @@
         self._template = OfferTemplate(owner, request, route, tenant)
         self._deadline = self._template.deadline
         self._body = RequestBody(request.take_body(), is_complete)
-        self._body.is_waiting = True  # for the permits of the request
+        self._body.is_waiting = True  # until the request has its permits
         self._history = AttemptHistory()
         self._failures = FailureRecord(owner, self._table, self._history, attempt_id(request))
         self._retries = RetryDecision(owner, route, self._service, self._history, self._body, self._deadline)
         self._current = CurrentAttempt(owner, self._table)
         self._stream = ResponseStream(self._response, self._current)
-        self._suspects = SuspectedAttempts(self._table, owner.reactor)  # open beside the attempt
+        self._suspects = SuspectedAttempts(self._table, owner.reactor)  # open in addition to the current attempt
         self._permission = RequestPermission()
         self.is_over = False
         time_left_us = max(0, self._deadline - self._template.arrived_at)
         self._timer = owner.reactor.after(time_left_us + TIMEOUT_MARGIN_US, self._on_timeout)
 
     def start(self) -> None:
-        """Ask for what the request needs before its first attempt, if there is anything."""
+        """Request the permits that the request needs before its first attempt, if any."""
         arrived_at = self._template.arrived_at
         needs = permit_needs(self._request, self._route, self._tenant, arrived_at, self._deadline)
         if needs is None:
@@ -77,53 +78,53 @@
             self._permission.request(self._owner.permits, needs, self)
 
     def on_permitted(self, run: OperationRun | None) -> None:
-        """Make the first attempt."""
+        """Start the first attempt."""
         if run is not None:
             self._permission.begin_run(run)
-            self._response.record_for(run)
+            self._response.start_recording(run)
         self._body.is_waiting = False
         self._owner.upstreams.budget(self._service).record_request(self._owner.reactor.now())
         self._start_attempt()
 
     def on_answered(self, response: OwnResponse) -> None:
-        """Answer without an attempt."""
+        """Send a response without an attempt."""
         self._respond(response.status, response.headers, response.body)
 
-    # For the client's connection
+    # Called by the client's connection
 
     def add_body(self, data: bytes, is_last: bool) -> None:
-        """Forward more of the request's body."""
+        """Forward more of the request body."""
         self._body.append(data, is_last)
         self._current.send_body(BodyChunk(data, is_last))
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that the other end of the exchange has not taken."""
+        """Bytes of the request body that the receiver of the exchange has not accepted."""
         if self.is_over:
-            return 0  # the rest of the body is read and dropped
+            return 0  # the rest of the body is read and discarded
         if self._body.is_waiting:
             return len(self._body.data)
         return self._current.unsent
 
     def resume_response(self) -> None:
-        """Let the response go on: the client has taken what it was sent."""
+        """Resume the response: the client has accepted the bytes sent so far."""
         self._stream.resume()
 
     def cancel(self) -> None:
-        """Give the request up: its client has closed the connection."""
-        if self.is_over or self._response.is_client_gone:
+        """Cancel the request: its client has closed the connection."""
+        if self.is_over or self._response.is_client_disconnected:
             return
         self._owner.counters.cancelled += 1
         if self._permission.has_run and self._current.exchange is not None and self._body.is_complete:
-            # A backend may be at work on it, and a repeat of the operation is to get its response.
+            # A backend may be executing it, and repeats of the operation need its response.
             self._response.drop_client()
             self._stream.resume()
             return
-        self._set_over()
-        self._current.give_up()
+        self._finish()
+        self._current.cancel()
 
     def break_off(self) -> None:
-        """Answer at once, since the process ends. The request may have run, unless it waits for its permits."""
+        """Answer at once, since the process is about to exit. The request may have run, unless it waits for permits."""
         if self._permission.is_pending:
             self._refuse_unless_suspects()
             return
@@ -147,7 +148,7 @@
     # Outcomes of exchanges
 
     def on_outcome(self, message: Outcome) -> None:
-        """Handle an outcome of the exchange that is under way."""
+        """Handle an outcome of the current exchange."""
         if self.is_over:
             return
         if isinstance(message, Rejected):
@@ -162,17 +163,17 @@
             self._on_failed_attempt(self._current.end(message), message.reason)
 
     def on_suspected(self, message: Suspected) -> None:
-        """Try a read elsewhere, too, if one more attempt is allowed. The backend may still answer in time."""
+        """Try a read at another backend, too, if one more attempt is allowed. The first may still answer in time."""
         attempt, exchange = self._current.attempt, self._current.exchange
         if self.is_over or attempt is None or exchange is None or not self._retries.beside_suspected(self._table):
             return
         self._suspects.add(SuspectedAttempt(self, attempt, exchange))
-        self._current.leave()
+        self._current.detach()
         self._failures.record_failed(attempt.entry, message.reason)
         self._start_attempt()
 
     def on_suspect_answered(self, suspect: SuspectedAttempt, response: Response) -> None:
-        """Handle the response of a backend that was suspected. A failure counts only where nothing else may come."""
+        """Handle the response of a suspected backend. An error counts only if no other response can arrive."""
         if self.is_over:
             return
         is_alone = self._current.attempt is None and self._suspects.is_only(suspect)
@@ -181,12 +182,12 @@
             self.on_suspect_failed(suspect)
             return
         self._suspects.take(suspect)
-        self._current.give_up()
-        self._current.take_over(suspect.attempt, suspect.exchange, self)
+        self._current.cancel()
+        self._current.attach(suspect.attempt, suspect.exchange, self)
         self._on_response(response)
 
     def on_suspect_failed(self, suspect: SuspectedAttempt) -> None:
-        """Handle that a suspected attempt is over; where it was the last one, the request has failed."""
+        """Handle the end of a suspected attempt; if it was the last open attempt, the request has failed."""
         if self.is_over:
             return
         self._suspects.end(suspect)
@@ -194,14 +195,14 @@
             self._fail()
 
     def on_unreachable(self) -> None:
-        """Handle that no link could be opened: the request was offered to nobody."""
+        """Handle that no link could be opened: the request was not offered."""
         if self.is_over:
             return
         self._failures.record_unreachable(self._current.end(None))
         self._start_attempt()
 
     def on_link_lost(self) -> None:
-        """Handle that the request was offered and its outcome will never be known."""
+        """Handle the loss of the link after the offer: the outcome of the attempt stays unknown."""
         if self.is_over:
             return
         if self._response.is_streaming:
@@ -216,7 +217,7 @@
         self._start_attempt()
 
     def _on_response(self, message: Response) -> None:
-        """Handle a complete response or the head of a long one. What is not passed on is abandoned completely."""
+        """Handle a complete response or the head of a long one. If it is not forwarded, its exchange is cancelled."""
         exchange = self._current.exchange
         entry = self._current.end(message)
         is_retried = self._retries.after_response(message, entry, self._table)
@@ -227,9 +228,9 @@
         elif message.not_run:
             self._refuse_unless_suspects()
         else:
-            self._pass_on(message, exchange)
+            self._forward_response(message, exchange)
 
-    def _pass_on(self, message: Response, exchange: Exchange | None) -> None:
+    def _forward_response(self, message: Response, exchange: Exchange | None) -> None:
         self._response.record(message)
         if message.body_complete:
             if message.status < 300:
@@ -242,10 +243,10 @@
     def _on_body_chunk(self, message: BodyChunk) -> None:
         self._stream.add(message)
         if message.last:
-            self._set_over()
+            self._finish()
 
     def _on_failed_attempt(self, entry: EndpointLoad, reason: str) -> None:
-        """The attempt may have run: an idempotent request may be retried, another one may not."""
+        """Handle an attempt that may have run: only an idempotent request may be retried."""
         self._failures.record_failed(entry, reason)
         if self._retries.after_failure():
             self._start_attempt()
@@ -253,16 +254,16 @@
             self._fail()
 
     def _fail(self) -> None:
-        """Answer that no attempt had a response; the request may have run."""
+        """Send an error: no attempt got a response, and the request may have run."""
         if self._owner.reactor.now() >= self._deadline:
             self._respond(504, [], b"no answer in time\n")
         else:
             self._respond(502, [], b"the backend gave no answer\n")
 
-    # The end
+    # End of the request
 
     def _refuse_unless_suspects(self) -> None:
-        """Answer that no backend takes the request now, unless one that has it may still answer."""
+        """Refuse the request, which no backend accepts now, unless a suspected attempt may still be answered."""
         if self._suspects:
             return
         self._permission.release_run()
@@ -274,19 +275,19 @@
         if self._response.is_streaming:
             self._abort_response()
             return
-        self._current.give_up()
+        self._current.cancel()
         self._respond(504, [], b"no answer in time\n")
 
     def _respond(self, status: int, headers: Headers, body: bytes) -> None:
-        self._set_over()
-        self._response.send_own(status, headers, body)
+        self._finish()
+        self._response.send_complete(status, headers, body)
 
     def _abort_response(self) -> None:
-        """End a response that has begun, so that its client sees that it is not complete."""
-        self._set_over()
+        """Abort a response that has begun, so that the client detects that it is incomplete."""
+        self._finish()
         self._stream.abort()
 
-    def _set_over(self) -> None:
+    def _finish(self) -> None:
         self.is_over = True
         self._permission.end()
         self._suspects.cancel_all()
--- a/lilacsill/mesh/proxy/health_probe.py
+++ b/lilacsill/mesh/proxy/health_probe.py
@@ -54,7 +54,7 @@
     def _on_timeout(self, connection: BackendConnection) -> None:
         if connection.handler is self:
             self._pool.discard(connection)
-            self.on_lost(FailureReason.TIMED_OUT)
+            self.on_failed(FailureReason.TIMED_OUT)
 
     def on_response(self, response: HttpMessage) -> None:
         """Read incarnation and slots from a complete response."""
@@ -66,7 +66,7 @@
         """Drop the body of a long response."""
         response.take_body()
 
-    def on_lost(self, reason: FailureReason) -> None:
+    def on_failed(self, reason: FailureReason) -> None:
         """Report that there is no response."""
         self._on_done(None, DEFAULT_SLOTS)
 
@@ -114,7 +114,7 @@
             self._on_changed()
 
     def _on_expired(self) -> None:
-        if self._lifecycle.end_health_check(self._reactor.now()):
+        if self._lifecycle.expire_health_check(self._reactor.now()):
             log.info("backend without a heartbeat since its health check")
             self._on_changed()
 
--- a/lilacsill/mesh/proxy/metrics.py
+++ b/lilacsill/mesh/proxy/metrics.py
@@ -79,7 +79,7 @@
 
 
 def _add_configuration(text: MetricsText, forwarder: Forwarder, discovery: DiscoveryClient, now: int) -> None:
-    age_ms = discovery.evidence.age_ms(now)
+    age_ms = discovery.config_freshness.age_ms(now)
     text.gauge("config_seq", "Number of the newest change in force here", forwarder.config.seq)
     text.gauge(
         "config_current", "1 while this is known to be the configuration in force", discovery.is_config_current()
--- a/lilacsill/mesh/proxy/response_stream.py
+++ b/lilacsill/mesh/proxy/response_stream.py
@@ -34,7 +34,7 @@
 
     def abort(self) -> None:
         """End a response that has begun, so that its client sees that it is not complete."""
-        self._current.give_up()
+        self._current.cancel()
         self._response.truncate()
 
     def _pause_above_limit(self, unsent: int) -> None:
--- a/lilacsill/mesh/proxy/shutdown_sequence.py
+++ b/lilacsill/mesh/proxy/shutdown_sequence.py
@@ -56,7 +56,7 @@
         take_all_us = min(NOTICE_US, self._grace_us // 2)
         self._forwarder.shutdown = GracefulShutdown(now + take_all_us, now + self._grace_us - self._kill_margin_us)
         self._clients.start_draining()
-        self._discovery.announce_leaving()
+        self._discovery.announce_shutdown()
         self._drain(now)
 
     @property
--- a/lilacsill/mesh/proxy/suspected_attempts.py
+++ b/lilacsill/mesh/proxy/suspected_attempts.py
@@ -34,7 +34,7 @@
     def __init__(self, owner: SuspectedAttemptOwner, attempt: Attempt, exchange: Exchange) -> None:
         """Take the exchange of an attempt over."""
         self._owner, self.attempt, self.exchange = owner, attempt, exchange
-        exchange.hand_over(self)
+        exchange.set_listener(self)
 
     def on_outcome(self, message: Outcome) -> None:
         """Pass on a response; any other outcome ends the attempt."""
--- a/tests/control/defects_point_5.py
+++ b/tests/control/defects_point_5.py
@@ -141,8 +141,8 @@
             return self._gateway.pool.acquire(self.idempotent, self._on_connected, self._on_not_connected)
         real(self, reason)
 
-    real = BackendRequest.on_lost
-    patch.setattr(BackendRequest, "on_lost", lost)
+    real = BackendRequest.on_failed
+    patch.setattr(BackendRequest, "on_failed", lost)
 
 
 def a_route_allows_any_number_of_tries(patch: Patch) -> None:
--- a/tests/mesh/proxy/test_admission.py
+++ b/tests/mesh/proxy/test_admission.py
@@ -23,7 +23,7 @@
         priority: int = 1,
         start_by: int = S,
         route: str = "route",
-        fleet_ms: int | None = None,
+        fleet_duration_ms: int | None = None,
         is_late: bool = False,
     ) -> AdmissionRequest:
         return AdmissionRequest(
@@ -32,7 +32,7 @@
             route,
             lambda: self.started.append(name),
             lambda reason: self.rejected.append((name, reason)),
-            fleet_ms,
+            fleet_duration_ms,
             is_late,
         )
 
@@ -120,20 +120,20 @@
     backend = Backend(slots=2)
     for number in range(4):
         name = f"long{number}"
-        assert backend.admit(backend.request(name, start_by=100 * S, route=name, fleet_ms=150), S) is None
+        assert backend.admit(backend.request(name, start_by=100 * S, route=name, fleet_duration_ms=150), S) is None
     return backend
 
 
 def test_a_full_queue_rejects_what_is_no_shorter() -> None:
     backend = full_of_long_work()
-    assert backend.admit(backend.request("long4", start_by=100 * S, route="long4", fleet_ms=150), S) == "full"
-    assert backend.admit(backend.request("other", start_by=100 * S, route="other", fleet_ms=100), S) == "full"
+    assert backend.admit(backend.request("long4", start_by=100 * S, route="long4", fleet_duration_ms=150), S) == "full"
+    assert backend.admit(backend.request("other", start_by=100 * S, route="other", fleet_duration_ms=100), S) == "full"
 
 
 def test_short_work_displaces_the_longest_that_waits() -> None:
     # Otherwise a full service fails the calls that others' requests wait for (glossary and precheck, fresh-63bd).
     backend = full_of_long_work()
-    assert backend.admit(backend.request("call", start_by=100 * S, route="call", fleet_ms=15), S) is None
+    assert backend.admit(backend.request("call", start_by=100 * S, route="call", fleet_duration_ms=15), S) is None
     assert backend.admission.waiting == 2 and backend.started == ["long0", "long1"]
     assert backend.rejected in ([("long2", "full")], [("long3", "full")])
 
@@ -142,7 +142,7 @@
     """Two slots and two places to wait, all taken by late requests of clients that have come back."""
     backend = Backend(slots=2)
     for number in range(4):
-        request = backend.request(f"back{number}", start_by=100 * S, fleet_ms=100, is_late=True)
+        request = backend.request(f"back{number}", start_by=100 * S, fleet_duration_ms=100, is_late=True)
         assert backend.admit(request, S) is None
     return backend
 
@@ -150,11 +150,11 @@
 def test_late_work_goes_behind_what_can_be_in_time() -> None:
     # After a loss of all power the queues were full of those who came back, and all that came after was late, too.
     backend = full_of_late_work()
-    fresh = backend.request("fresh", start_by=S + 60 * MS, fleet_ms=100)  # only what goes before it counts
+    fresh = backend.request("fresh", start_by=S + 60 * MS, fleet_duration_ms=100)  # only what goes before it counts
     assert backend.admit(fresh, S) is None
     assert backend.rejected in ([("back2", "full")], [("back3", "full")]) and backend.admission.waiting == 2
 
 
 def test_late_work_displaces_no_other_late_work() -> None:
     backend = full_of_late_work()
-    assert backend.admit(backend.request("back4", start_by=100 * S, fleet_ms=100, is_late=True), S) == "full"
+    assert backend.admit(backend.request("back4", start_by=100 * S, fleet_duration_ms=100, is_late=True), S) == "full"
--- a/tests/rules/defects.py
+++ b/tests/rules/defects.py
@@ -173,7 +173,7 @@
 
 
 def connects_of_cancelled_offers_go_on(patch: Patch) -> None:
-    patch.setattr(LinkExchange, "is_wanted", True)
+    patch.setattr(LinkExchange, "is_awaited", True)
 
 
 # LOST
@@ -200,7 +200,7 @@
 
 
 def a_suspected_read_is_given_up(patch: Patch) -> None:
-    patch.setattr(BackendRequest, "suspect", BackendRequest.on_lost)
+    patch.setattr(BackendRequest, "suspect", BackendRequest.on_failed)
 
 
 def a_connection_closes_behind_a_head_that_did_not_say_so(patch: Patch) -> None:
@@ -288,7 +288,7 @@
 
 
 def a_health_check_counts_for_ever(patch: Patch) -> None:
-    patch.setattr(BackendLifecycle, "end_health_check", lambda self, now: False)
+    patch.setattr(BackendLifecycle, "expire_health_check", lambda self, now: False)
 
 
 # DENIED
@@ -378,7 +378,7 @@
 
 
 def any_answer_is_the_answer(patch: Patch) -> None:
-    patch.setattr(backend_connection, "_is_answer_to", lambda handler, response: True)
+    patch.setattr(backend_connection, "_is_response_to", lambda handler, response: True)
 
 
 def answers_need_no_seal(patch: Patch) -> None:
--- a/tests/rules/test_denied.py
+++ b/tests/rules/test_denied.py
@@ -37,7 +37,7 @@
         client = s.client(request("GET", "/reads/a", 1))
         s.until(lambda: bool(client.answers), "the answer")
         (connection,) = s.clients.connections
-        connection.quiet_since = s.reactor.now() - int(rested * IDLE_MS * 1000)
+        connection.last_activity_at = s.reactor.now() - int(rested * IDLE_MS * 1000)
         s.clients._check_timeouts()
         s.settle()
         assert client.over is not is_kept
@@ -51,7 +51,7 @@
         client = s.client(request("GET", "/reads/a", 1))
         s.until(lambda: len(backend.ran) == 1, "it runs")
         (connection,) = s.clients.connections
-        connection.quiet_since = s.reactor.now() - 2 * IDLE_MS * 1000 - TIMEOUT_CHECK_US
+        connection.last_activity_at = s.reactor.now() - 2 * IDLE_MS * 1000 - TIMEOUT_CHECK_US
         s.clients._check_timeouts()
         s.until(lambda: bool(client.answers), "the answer")
         assert client.answers[0].status == 200
--- a/tests/rules/test_drain.py
+++ b/tests/rules/test_drain.py
@@ -64,8 +64,8 @@
 def test_a_health_check_that_no_heartbeat_follows_counts_for_a_short_time() -> None:
     lifecycle = BackendLifecycle(DRAIN_US)
     lifecycle.on_health_check("i", "s", 4, 0)
-    assert not lifecycle.end_health_check(HEALTH_CHECK_VALID_US - 1)
-    assert lifecycle.end_health_check(HEALTH_CHECK_VALID_US)
+    assert not lifecycle.expire_health_check(HEALTH_CHECK_VALID_US - 1)
+    assert lifecycle.expire_health_check(HEALTH_CHECK_VALID_US)
     assert lifecycle.rejection_reason("i", HEALTH_CHECK_VALID_US) is not None
     assert lifecycle.on_heartbeat(heartbeat("i", 1), HEALTH_CHECK_VALID_US + S)
     assert lifecycle.rejection_reason("i", HEALTH_CHECK_VALID_US + S) is None
@@ -75,7 +75,7 @@
     lifecycle = BackendLifecycle(DRAIN_US)
     lifecycle.on_health_check("i", "s", 4, 0)
     lifecycle.on_heartbeat(heartbeat("i", 1), S)
-    assert not lifecycle.end_health_check(9 * S)
+    assert not lifecycle.expire_health_check(9 * S)
     assert lifecycle.rejection_reason("i", 9 * S) is None
 
 
