--- a/lilacsill/mesh/proxy/active_config.py
+++ b/lilacsill/mesh/proxy/active_config.py
@@ -15,7 +15,7 @@
 from .routes import HostRoutes, Route, parse_route
 
 DEFAULT_HEALTH_PATH = "/health"
-DECODE_ERRORS = (msgspec.MsgspecError, LookupError, TypeError, ValueError, AttributeError)  # for an item body
+DECODE_ERRORS = (msgspec.MsgspecError, LookupError, TypeError, ValueError, AttributeError)  # raised for an invalid body
 
 
 class Service(msgspec.Struct, frozen=True):
--- a/lilacsill/mesh/proxy/admission.py
+++ b/lilacsill/mesh/proxy/admission.py
@@ -28,9 +28,9 @@
 from .served_shares import RequestKind, ServedShares
 
 MAX_WAITING_PER_SLOT = 1.0
-PRIORITY_WEIGHT = 1.5  # factor for each step of lower priority
-LATE_WEIGHT = 2.2  # factor for a late request: it has 0.3 of its value, and 0.3 risks a second rejection
-STARVED_WEIGHT = 0.0  # of a request of a starved kind
+PRIORITY_WEIGHT = 1.5  # weight factor for each step of lower priority
+LATE_WEIGHT = 2.2  # weight factor of a late request: it has 0.3 of its value, and 0.3 risks a second rejection
+STARVED_WEIGHT = 0.0  # weight of a request of a starved kind
 DISPLACING_SHARE = 0.5  # of the heaviest waiting request's weight: a request below it displaces that request
 
 
--- a/lilacsill/mesh/proxy/attempts.py
+++ b/lilacsill/mesh/proxy/attempts.py
@@ -25,7 +25,7 @@
         # Attempts that reached a backend; limited by the route, and beyond the first also by the retry budget.
         self.arrivals = 0
         self._rejections = 0
-        self._not_run_endpoints: list[EndpointLoad] = []  # as the endpoint guaranteed, or for lack of a link
+        self._not_run_endpoints: list[EndpointLoad] = []  # by guarantee of the endpoint, or for lack of a link
         self._failed_endpoints: list[EndpointLoad] = []
 
     def record_rejected(self, entry: EndpointLoad) -> None:
--- a/lilacsill/mesh/proxy/backend_lifecycle.py
+++ b/lilacsill/mesh/proxy/backend_lifecycle.py
@@ -150,7 +150,7 @@
         return True
 
     def on_reported_drain(self, server: str, now: int) -> bool:
-        """Start draining: other machines report that this incarnation announced it to an earlier run of this proxy.
+        """Start the drain that other machines report; the backend announced it to an earlier run of this proxy.
 
         Returns:
             Whether this proxy did not know of the drain.
--- a/lilacsill/mesh/proxy/client_connection.py
+++ b/lilacsill/mesh/proxy/client_connection.py
@@ -51,7 +51,7 @@
         self._upload: PendingResponse | None = None  # to the request whose body is forwarded while it arrives
         self._is_closing = False  # after the pending responses; requests behind them are not processed
         self.last_activity_at = owner.reactor.now()
-        self.head_started_at: int | None = None  # when a request began whose head is incomplete; None: no such request
+        self.head_started_at: int | None = None  # start of a request with an incomplete head; None: there is none
 
     @property
     def is_idle(self) -> bool:
@@ -98,7 +98,7 @@
         return response
 
     def _answer_and_close(self, status: int) -> None:
-        """Send an error response without a request, and close the connection after it."""
+        """Answer a request that cannot be read with an error status, and close the connection after it."""
         self._is_closing = True
         response = PendingResponse(self, Message())
         self._responses.append(response)
@@ -185,7 +185,7 @@
             return
         self.send(data)
         if not self.unsent and response.forwarded is not None:
-            response.forwarded.resume_response()  # may be paused since it waited for earlier responses
+            response.forwarded.resume_response()  # may have been paused while earlier responses were pending
 
     def flushed(self) -> None:
         """Resume the first response: the client has accepted all bytes sent."""
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -64,16 +64,15 @@
         self.registries = RegistrySelector(
             settings.node_name, {f"{seed.host}:{settings.internal_ports[0]}" for seed in settings.seeds}
         )
-        self.registry_versions: dict[
-            str, tuple[int, int]
-        ] = {}  # by registry: its incarnation, and the version of its directory
+        self.registry_versions: dict[str, tuple[int, int]] = {}  # by registry: its incarnation, directory version
         self._pending: dict[str, int] = {}  # by registry: the number of the latest poll
         self._poll_count = 0
         self._newest_seq = 0  # highest known sequence number of the configuration
         self._config_requested_from: set[str] = set()  # registries that send the configuration for the next poll
         # The time of day is probably higher than the number of the previous run.
         self._incarnation = Incarnation(time.time_ns() // 1000)
-        self.config_freshness = FreshnessTracker(FRESHNESS_MAX_AGE_US)  # that the local one is in effect
+        # Proof that the local configuration is the one in effect.
+        self.config_freshness = FreshnessTracker(FRESHNESS_MAX_AGE_US)
         self._is_shutting_down = False
 
     def is_config_current(self) -> bool:
--- a/lilacsill/mesh/proxy/failure_record.py
+++ b/lilacsill/mesh/proxy/failure_record.py
@@ -20,7 +20,7 @@
 
     def __init__(self, owner: RequestOwner, table: EndpointTable, history: AttemptHistory, attempt_id: bytes) -> None:
         self._owner, self._table, self._history = owner, table, history
-        self._attempt_id = attempt_id  # of the client's own request
+        self._attempt_id = attempt_id  # `Attempt-Id` of the client's request
 
     def record_unreachable(self, entry: EndpointLoad) -> None:
         """Record that no link could be opened: the request was not offered."""
