--- a/lilacsill/mesh/proxy/current_attempt.py
+++ b/lilacsill/mesh/proxy/current_attempt.py
@@ -27,7 +27,7 @@
     def start(self, entry: EndpointLoad, offer: Offer, listener: OutcomeListener) -> None:
         """Offer the request to an endpoint."""
         upstreams = self._owner.upstreams
-        self.attempt = Attempt(entry, upstreams.next_attempt())
+        self.attempt = Attempt(entry, upstreams.next_attempt_number())
         self.table.attempt_started(entry, self.attempt.number)
         self.exchange = upstreams.offer(entry.endpoint, offer, listener)
 
--- a/lilacsill/mesh/proxy/failure_record.py
+++ b/lilacsill/mesh/proxy/failure_record.py
@@ -43,7 +43,7 @@
 
     def record_broken_off(self) -> None:
         """The request is answered because the process ends."""
-        self._owner.counters.broken_off += 1
+        self._owner.counters.aborted_for_shutdown += 1
         log.info("%s broken off after %d attempts", self._attempt_id_text(), self._history.arrivals)
 
     def eject(self, entry: EndpointLoad) -> None:
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -25,7 +25,7 @@
 from .request_offer import OfferTemplate
 from .request_owner import RequestOwner
 from .request_permission import RequestPermission, permit_needs
-from .request_permits import OwnResponse
+from .request_permits import LocalResponse
 from .response_stream import ResponseStream
 from .response_writer import ResponseWriter, retry_after
 from .retry_decision import MIN_ATTEMPT_US, RetryDecision
@@ -55,7 +55,7 @@
         self._template = OfferTemplate(owner, request, route, tenant)
         self._deadline = self._template.deadline
         self._body = RequestBody(request.take_body(), is_complete)
-        self._body.is_waiting = True  # for the permits of the request
+        self._body.is_awaiting_permits = True  # for the permits of the request
         self._history = AttemptHistory()
         self._failures = FailureRecord(owner, self._table, self._history, attempt_id(request))
         self._retries = RetryDecision(owner, route, self._service, self._history, self._body, self._deadline)
@@ -81,11 +81,11 @@
         if run is not None:
             self._permission.begin_run(run)
             self._response.record_for(run)
-        self._body.is_waiting = False
+        self._body.is_awaiting_permits = False
         self._owner.upstreams.budget(self._service).record_request(self._owner.reactor.now())
         self._start_attempt()
 
-    def on_answered(self, response: OwnResponse) -> None:
+    def on_answered(self, response: LocalResponse) -> None:
         """Answer without an attempt."""
         self._respond(response.status, response.headers, response.body)
 
@@ -101,7 +101,7 @@
         """Bytes of the body that the other end of the exchange has not taken."""
         if self.is_over:
             return 0  # the rest of the body is read and dropped
-        if self._body.is_waiting:
+        if self._body.is_awaiting_permits:
             return len(self._body.data)
         return self._current.unsent
 
@@ -122,7 +122,7 @@
         self._set_over()
         self._current.give_up()
 
-    def break_off(self) -> None:
+    def abort_for_shutdown(self) -> None:
         """Answer at once, since the process ends. The request may have run, unless it waits for its permits."""
         if self._permission.is_pending:
             self._refuse_unless_suspects()
@@ -135,7 +135,7 @@
     def _start_attempt(self) -> None:
         now = self._owner.reactor.now()
         entry = None
-        if self._deadline - now >= MIN_ATTEMPT_US and self._body.is_kept:
+        if self._deadline - now >= MIN_ATTEMPT_US and self._body.is_replayable:
             entry = self._history.choose_next(self._table, now)
         if entry is None:
             self._refuse_unless_suspects()
@@ -164,7 +164,7 @@
     def on_suspected(self, message: Suspected) -> None:
         """Try a read elsewhere, too, if one more attempt is allowed. The backend may still answer in time."""
         attempt, exchange = self._current.attempt, self._current.exchange
-        if self.is_over or attempt is None or exchange is None or not self._retries.beside_suspected(self._table):
+        if self.is_over or attempt is None or exchange is None or not self._retries.after_suspicion(self._table):
             return
         self._suspects.add(SuspectedAttempt(self, attempt, exchange))
         self._current.leave()
@@ -180,7 +180,7 @@
             suspect.exchange.cancel()
             self.on_suspect_failed(suspect)
             return
-        self._suspects.take(suspect)
+        self._suspects.remove(suspect)
         self._current.give_up()
         self._current.take_over(suspect.attempt, suspect.exchange, self)
         self._on_response(response)
--- a/lilacsill/mesh/proxy/forwarder.py
+++ b/lilacsill/mesh/proxy/forwarder.py
@@ -1,4 +1,4 @@
-"""Where the requests of this machine's clients begin: their route, and all of them that are in flight."""
+"""Routes the requests of the clients on this machine, and keeps the set of requests in flight."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .graceful_shutdown import GracefulShutdown
 from .reasons import RefusalReason
 from .request_counters import RequestCounters
-from .request_head import client_patience_us
+from .request_head import client_timeout_us
 from .request_owner import InFlightRequest
 from .request_permits import RequestPermits
 from .response_writer import ResponseWriter, retry_after
@@ -23,11 +23,11 @@
 from .tenant_check import KeyRefusal, check_tenant, request_priority
 from .upstreams import Upstreams
 
-UNKNOWN_CONFIG_RETRY_AFTER = (b"Retry-After", b"0.2")  # seconds; the configuration comes soon after a start
+UNKNOWN_CONFIG_RETRY_AFTER = (b"Retry-After", b"0.2")  # in seconds; the configuration arrives soon after a start
 
 
 class Forwarder:
-    """Routes requests and forwards them; `request_owner.RequestOwner` of all of them."""
+    """Matches requests to routes and forwards them. Implements `request_owner.RequestOwner`."""
 
     def __init__(
         self,
@@ -38,7 +38,16 @@
         rng: Random,
         is_config_current: Callable[[], bool],
     ) -> None:
-        """Begin without requests; `service` is that of the backend on this machine, and marks its requests."""
+        """Create a forwarder.
+
+        Args:
+            reactor: Clock and timers of the process.
+            config: The routes, tenants and limits in use.
+            upstreams: The backends of all services.
+            service: The service of the backend on this machine; forwarded requests name it as their caller.
+            rng: Source of randomness for traffic splits and jitter.
+            is_config_current: Returns whether `config` is known to be the configuration in force.
+        """
         self.reactor, self.config, self.upstreams, self.rng = reactor, config, upstreams, rng
         self.caller = service.encode()
         self.statistics = RouteStatistics()
@@ -46,7 +55,7 @@
         self.permits = RequestPermits(reactor, rng, self.counters)
         self.in_flight: set[InFlightRequest] = set()
         self.is_config_current = is_config_current
-        self.shutdown: GracefulShutdown | None = None  # from SIGTERM on
+        self.shutdown: GracefulShutdown | None = None  # set on SIGTERM
 
     def forward(
         self, request: HttpMessage, response: ResponseWriter, is_complete: bool = True
@@ -54,12 +63,12 @@
         """Forward a request to a backend.
 
         Args:
-            request: The request; with `is_complete` false, more of its body comes (`ForwardedRequest.add_body`).
-            response: Where its response goes; it may be called before this returns.
-            is_complete: Whether the body has come completely.
+            request: The request. Without `is_complete`, the rest of its body is passed to `ForwardedRequest.add_body`.
+            response: Receives the response, possibly before this method returns.
+            is_complete: Whether the whole body has been received.
 
         Returns:
-            None where the request was answered without having been offered.
+            The request in flight; None if it was answered without being offered to a backend.
         """
         host = request.fields.get(b"host", b"").lower().partition(b":")[0]
         route = self.config.match(host, request.target.partition(b"?")[0])
@@ -80,11 +89,11 @@
         return forwarded
 
     def request_ended(self, request: InFlightRequest) -> None:
-        """Forget a request that has its response."""
+        """Remove a request from the set of requests in flight."""
         self.in_flight.discard(request)
 
     def _refuse_without_route(self, response: ResponseWriter) -> None:
-        # Only a proxy that knows the configuration in force may say that a route is not there.
+        # 404 requires the configuration in force: an outdated one may lack a route that exists.
         if self.is_config_current():
             self.counters.responses[404] += 1
             response.send_response(404, [], b"no route\n")
@@ -105,9 +114,9 @@
         response.send_response(401, [], b"no tenant has this key\n")
 
     def priority(self, route: Route, tenant: Tenant | None) -> int:
-        """Return how urgent a request of a tenant is on a route; lower is more urgent."""
+        """Return the priority of a tenant's request on a route; lower is more urgent."""
         return request_priority(route, tenant, self.config.has_tenants)
 
     def _can_finish(self, shutdown: GracefulShutdown, request: HttpMessage, route: Route) -> bool:
-        time_left_us = min(client_patience_us(request), route.timeout_us)
+        time_left_us = min(client_timeout_us(request), route.timeout_us)
         return shutdown.can_finish(self.reactor.now(), time_left_us)
--- a/lilacsill/mesh/proxy/graceful_shutdown.py
+++ b/lilacsill/mesh/proxy/graceful_shutdown.py
@@ -1,36 +1,38 @@
-"""The decision which requests a proxy still takes after SIGTERM. No I/O; the clock comes from outside.
+"""Decides which requests a proxy still accepts after SIGTERM. No I/O; the caller passes the time.
 
-A proxy breaks off what is in flight shortly before the platform would kill it. A request that has reached a backend by
-then is lost, so one that may not be complete in time is refused while no backend has it: its client sends it elsewhere.
+A proxy aborts the requests in flight shortly before the platform kills it. An aborted request that has reached a
+backend is lost, so a request that may not finish in time is refused before it is offered to any backend: its client can
+then send it to another proxy.
 """
 
 from __future__ import annotations
 
 import msgspec
 
-# The platform excuses what is broken off at work in the last sixth of the grace period; before that it is lost.
-BREAK_OFF_SHARE = 1 / 8
+# Share of the grace period. The platform tolerates requests aborted in the last sixth of the grace period and counts
+# those aborted earlier as lost.
+KILL_MARGIN_SHARE = 1 / 8
 MAX_KILL_MARGIN_US = 500_000
 
 
 def kill_margin_us(grace_us: int) -> int:
-    """Return how long before the platform kills the process, `grace_us` after SIGTERM, it breaks off what is left."""
-    return min(MAX_KILL_MARGIN_US, int(grace_us * BREAK_OFF_SHARE))
+    """Return how long before the kill, which follows SIGTERM after `grace_us`, the proxy aborts what is in flight."""
+    return min(MAX_KILL_MARGIN_US, int(grace_us * KILL_MARGIN_SHARE))
 
 
 class GracefulShutdown(msgspec.Struct, frozen=True):
-    """The times of one shutdown, in microseconds of the reactor's clock."""
+    """The schedule of one shutdown, as times of the reactor's clock in microseconds."""
 
-    take_all_until: int  # before this, clients have not had the time to see that the proxy is not ready
-    break_off_at: int  # requests that are still in flight get an answer of the proxy's own
+    accept_all_until: int  # until then clients may not have noticed that the proxy is not ready
+    abort_at: int  # requests still in flight are answered by the proxy itself
 
     def can_finish(self, now: int, time_left_us: int) -> bool:
-        """Return whether a request that arrives now ends before it would be broken off.
+        """Return whether a request that arrives now is sure to end before `abort_at`, or must be accepted anyway.
 
-        Only its deadline bounds how long a request lasts: what others of its route have taken does not.
+        Only its deadline bounds the duration of a request; the durations of earlier requests of its route do not.
 
         Args:
-            now: The time of its arrival.
-            time_left_us: The time until its deadline, of its client or its route.
+            now: The arrival time.
+            time_left_us: The time until the deadline set by its client or its route, whichever is earlier.
         """
-        return now < self.take_all_until or now + time_left_us <= self.break_off_at
+        return now < self.accept_all_until or now + time_left_us <= self.abort_at
--- a/lilacsill/mesh/proxy/health_probe.py
+++ b/lilacsill/mesh/proxy/health_probe.py
@@ -1,7 +1,7 @@
-"""Asks the backend for its health when the proxy has no heartbeat of it.
+"""Sends health checks to the backend while the proxy has not received a heartbeat from it.
 
-A proxy that was restarted need not wait for the next heartbeat: the response to a health check names the incarnation
-of the backend. A backend that drains does not answer it with success; if it did, the registries know of its drain.
+A restarted proxy then need not wait for the next heartbeat: the response to a health check names the incarnation of the
+backend. A draining backend should not answer with success; if it does, the registries still report its drain.
 """
 
 from __future__ import annotations
@@ -22,11 +22,11 @@
 RETRY_US = 400_000
 TIMEOUT_US = 1_000_000
 OK = 200  # HTTP status
-DEFAULT_SLOTS = 1  # where the backend does not report them
+DEFAULT_SLOTS = 1  # if the backend does not report its slots
 
 
 class HealthCheck:
-    """One health check, which is a request on a connection of the pool."""
+    """One health check, sent on a connection of the pool."""
 
     def __init__(
         self, reactor: Reactor, pool: BackendPool, path: bytes, on_done: Callable[[str | None, int], None]
@@ -34,10 +34,10 @@
         """Send the check.
 
         Args:
-            reactor: Timers of the process.
+            reactor: Provides the timer for the timeout.
             pool: Connections to the backend.
             path: The request target.
-            on_done: Called once with the incarnation of the backend and its slots; with None if it is not healthy.
+            on_done: Called once with the backend's incarnation, or None if it is not healthy, and its number of slots.
         """
         self.attempt_id, self.idempotent = b"", True
         self._reactor, self._pool, self._path, self._on_done = reactor, pool, path, on_done
@@ -57,22 +57,22 @@
             self.on_lost(FailureReason.TIMED_OUT)
 
     def on_response(self, response: HttpMessage) -> None:
-        """Read incarnation and slots from a complete response."""
+        """Read the incarnation and the number of slots from a complete response."""
         server = response.header(b"answering-server") if response.status == OK else None
         slots = reported_slots(response.fields.get(b"server-load", b""))
         self._on_done(server or None, DEFAULT_SLOTS if slots is None else slots)
 
     def on_response_part(self, response: HttpMessage) -> None:
-        """Drop the body of a long response."""
+        """Discard a part of the body of a long response."""
         response.take_body()
 
     def on_lost(self, reason: FailureReason) -> None:
-        """Report that there is no response."""
+        """Report the backend as not healthy: the check timed out or its connection failed."""
         self._on_done(None, DEFAULT_SLOTS)
 
 
 class HealthProbe:
-    """Repeats the health check until the backend answers it."""
+    """Repeats the health check until the backend answers with success."""
 
     def __init__(
         self,
@@ -83,22 +83,22 @@
         health_path: Callable[[], bytes | None],
         on_changed: Callable[[], None],
     ) -> None:
-        """Prepare a probe that does nothing until it is started.
+        """Create a probe that is idle until it is started.
 
         Args:
             reactor: Timers of the process.
             pool: Connections to the backend.
-            lifecycle: Gets the result.
+            lifecycle: Receives the result.
             service: The service that the backend belongs to.
-            health_path: Returns the path of the service's health check; None while the configuration is not known.
-            on_changed: Called when other machines must be notified of what the checks have changed.
+            health_path: Returns the path of the service's health check; None until the configuration is known.
+            on_changed: Called when the state of the backend has changed and must be announced to other machines.
         """
         self._reactor, self._pool, self._lifecycle, self._service = reactor, pool, lifecycle, service
         self._health_path, self._on_changed = health_path, on_changed
         self._running = False
 
     def start(self) -> None:
-        """Check now, unless a check is in progress, the backend is known, or the path is not."""
+        """Send a check now, unless one is in progress, the incarnation is known already, or the path is not known."""
         path = self._health_path()
         if self._lifecycle.server or self._running or path is None:
             return
@@ -109,13 +109,13 @@
         if server is None:
             self._reactor.after(RETRY_US, self._retry)
         elif self._lifecycle.on_health_check(server, self._service, slots, self._reactor.now()):
-            log.info("backend identified by its health check: %s", server)
+            log.info("backend %s of service %s identified by a health check, %d slots", server, self._service, slots)
             self._reactor.after(HEALTH_CHECK_VALID_US, self._on_expired)
             self._on_changed()
 
     def _on_expired(self) -> None:
         if self._lifecycle.end_health_check(self._reactor.now()):
-            log.info("backend without a heartbeat since its health check")
+            log.info("backend %s is not ready: no heartbeat since its health check", self._lifecycle.server)
             self._on_changed()
 
     def _retry(self) -> None:
--- a/lilacsill/mesh/proxy/heartbeat_api.py
+++ b/lilacsill/mesh/proxy/heartbeat_api.py
@@ -1,6 +1,7 @@
-"""The calls of the backend of this machine: heartbeats and the notice that it has stopped (`ControlPort`).
+"""HTTP API for the backend of this machine (`ControlPort`): heartbeats, and the notification that it has stopped.
 
-`PUT /api/servers/<server>` is a heartbeat, `DELETE` the notice; `docs/api/openapi.yaml` describes both.
+`PUT /api/servers/<server>` is a heartbeat, `DELETE` on the same path the stop notification; `docs/api/openapi.yaml`
+describes both.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
     """Handles the calls of one backend."""
 
     def __init__(self, reactor: Reactor, gateway: BackendGateway, on_change: Callable[[], None]) -> None:
-        """Create a handler; `on_change` is called when other machines must be notified."""
+        """Create a handler; `on_change` is called when a change must be announced to other machines."""
         self._reactor, self._gateway, self._on_change = reactor, gateway, on_change
         self._lifecycle = gateway.lifecycle
 
@@ -65,7 +66,7 @@
 
 
 def _server_of(request: Request) -> str | None:
-    """Return the server that the path of a call names."""
+    """Return the server name in the path of a call; None if the path is invalid."""
     path = request.target.partition(b"?")[0].decode("latin-1")
     server = path.removeprefix(PATH_PREFIX)
     return None if not server or server == path or "/" in server else server
--- a/lilacsill/mesh/proxy/known_endpoints.py
+++ b/lilacsill/mesh/proxy/known_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that a proxy knows of, and what follows when one appears, changes or goes."""
+"""The endpoints that a proxy has learned from registries. Updates tables and links as endpoints change."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 
 class KnownEndpoints:
-    """All endpoints by node, as registries have reported them."""
+    """The latest record of each endpoint, by node."""
 
     def __init__(self, node: str, upstreams: Upstreams) -> None:
-        """Begin without endpoints, for the proxy `node`; the tables and links of `upstreams` follow each change."""
+        """Start without endpoints, for the proxy `node`. Changes are applied to the tables and links of `upstreams`."""
         self._node, self._upstreams = node, upstreams
         self._by_node: dict[str, Endpoint] = {}
-        self._peers: dict[str, str] | None = None  # None: to be built again
+        self._peers: dict[str, str] | None = None  # cache of `peers()`; None: invalidated
 
     def __len__(self) -> int:
         return len(self._by_node)
@@ -28,11 +28,14 @@
         return self._by_node.get(node)
 
     def incarnations(self, nodes: Set[str]) -> dict[str, int]:
-        """Return the incarnations of those nodes that are known."""
+        """Return the incarnations of the given nodes, without those that are not known."""
         return {node: self._by_node[node].incarnation for node in nodes if node in self._by_node}
 
     def peers(self) -> dict[str, str]:
-        """Return the addresses of the other proxies by node; the same dict until one of them comes, moves or goes."""
+        """Return the addresses of the other proxies by node.
+
+        The same dict is returned until a proxy joins, changes its address or leaves.
+        """
         if self._peers is None:
             self._peers = {
                 node: f"{endpoint.host}:{endpoint.port}"
@@ -42,15 +45,15 @@
         return self._peers
 
     def apply(self, updated: Iterable[Endpoint], removed: Iterable[str], now: int) -> None:
-        """Take the changes that a registry has reported."""
+        """Apply the changes that a registry has reported."""
         for endpoint in updated:
             self.update(endpoint, now)
         for node in removed:
             self.remove(node)
-        self._upstreams.proxies = max(1, len(self._by_node))
+        self._upstreams.proxy_count = max(1, len(self._by_node))
 
     def update(self, endpoint: Endpoint, now: int) -> None:
-        """Take a record, unless a later one of the same incarnation is known."""
+        """Store a record, unless the same or a later version of the same incarnation is known."""
         known = self._by_node.get(endpoint.node)
         if known is not None and known.incarnation == endpoint.incarnation and known.version >= endpoint.version:
             return
@@ -64,7 +67,7 @@
         self._upstreams.table(endpoint.service).update(endpoint, now)
 
     def remove(self, node: str) -> None:
-        """Remove the endpoint of a node, in the tables of all services."""
+        """Remove the endpoint of a node from the tables of all services."""
         known = self._by_node.pop(node, None)
         if known is not None:
             self._peers = None
@@ -73,10 +76,10 @@
             table.remove(node)
 
     def _close_links(self, endpoint: Endpoint) -> None:
-        """Close idle links to a process that is over: a request sent on one would have an unknown outcome."""
+        """Close idle links to a process that has ended: a request sent on one would have an unknown outcome."""
         self._upstreams.links.close_idle(Address(endpoint.host, endpoint.port))
 
 
 def peer_address(endpoint: Endpoint) -> tuple[str, int, bool]:
-    """Return what other proxies need to know of a proxy to ping it: its host, its port, and whether it leaves."""
+    """Return what other proxies need to ping a proxy: its host, its port, and whether it is shutting down."""
     return endpoint.host, endpoint.port, endpoint.state == EndpointState.LEAVING
--- a/lilacsill/mesh/proxy/metrics.py
+++ b/lilacsill/mesh/proxy/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a proxy for monitoring (`GET /metrics`). Load this module only when they are asked for."""
+"""Encodes the metrics of a proxy (`GET /metrics`). Import this module only on the first scrape, to save memory."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
     shared_state: SharedState,
     now: int,
 ) -> bytes:
-    """Return the figures of the moment `now`, in microseconds, as text."""
+    """Return all metrics at the time `now`, in microseconds, in text format."""
     text = MetricsText()
     _add_requests(text, forwarder)
     _add_operations(text, forwarder.permits.operations)
@@ -44,7 +44,7 @@
         "reason", "attempts_failed", "Attempts that may have run and had no response", counters.failed_attempts
     )
     text.counter_by("reason", "requests_refused", "Requests answered before any attempt", counters.refusals)
-    text.counter("requests_broken_off", "Requests answered because this process ends", counters.broken_off)
+    text.counter("requests_broken_off", "Requests answered because this process ends", counters.aborted_for_shutdown)
     text.gauge("requests_in_flight", "Requests of clients of this machine", len(forwarder.in_flight))
 
 
--- a/lilacsill/mesh/proxy/offer_server.py
+++ b/lilacsill/mesh/proxy/offer_server.py
@@ -1,6 +1,6 @@
-"""The listener for other proxies: links that carry offers, one exchange at a time, pings, and operators' status calls.
+"""The listener for links of other proxies and operators: offers (one exchange per link at a time), pings, status calls.
 
-Each message that goes back carries the number of the exchange that it belongs to.
+Each reply carries the number of the exchange that it belongs to.
 """
 
 from __future__ import annotations
@@ -32,27 +32,27 @@
 from .backend_gateway import BackendGateway
 from .backend_request import MAX_BUFFERED_BYTES, BackendRequest
 
-RESUME_CHECK_US = 5_000  # how often a paused request body is checked
+RESUME_CHECK_INTERVAL_US = 5_000  # while a request body is paused
 
 
 class ProxyQueries(Protocol):
-    """Answers the questions of other proxies and of operators about this process."""
+    """Answers queries of other proxies and of operators to this process."""
 
     def status(self) -> bytes:
         """Return the status report as JSON."""
 
     def operation(self, query: OperationQuery) -> OperationReply:
-        """Tell another proxy what became of an operation of this one."""
+        """Return the outcome of an operation that this proxy owns, for another proxy."""
 
     def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
-        """Ping a third proxy for another one, and reply whether it answered."""
+        """Ping a third proxy on behalf of the sender, and reply whether it answered."""
 
     def relay(self, relay: Relay, reply: Callable[[Message], None]) -> None:
-        """Ask a core machine for another proxy, and reply what it answered."""
+        """Forward a request of the sender to a core machine, and reply with the answer."""
 
 
 class OfferLink:
-    """One link from another proxy. An exchange has the link to itself while it lasts."""
+    """One link from another proxy. It carries one exchange at a time."""
 
     def __init__(
         self,
@@ -63,12 +63,12 @@
     ) -> None:
         self._gateway, self._queries, self._on_closed = gateway, queries, on_closed
         self._request: BackendRequest | None = None
-        self._number = 0  # of the exchange that is in progress, or was the last
+        self._number = 0  # of the current or last exchange
         self.link = Link(sock, self._on_message, self._on_link_closed)
         self.link.on_flushed = self._on_flushed
 
     def send(self, message: Message) -> int:
-        """Send an outcome, or a part of one. Return how many bytes are not sent yet."""
+        """Send an outcome, or a part of one. Return the number of unsent bytes on the link."""
         if _ends_exchange(message):
             self._request = None
         if not self.link.is_open:
@@ -99,7 +99,7 @@
             return link.close()
         self._number = number
         request = self._gateway.offer(offer, self)
-        # It may be over already.
+        # The request may have ended during the call.
         self._request = None if request is None or request.is_over else request
         return None
 
@@ -107,11 +107,11 @@
         request.send_body(body_chunk)
         if request.unsent > MAX_BUFFERED_BYTES:
             self.link.stream.pause()
-            self._gateway.after(RESUME_CHECK_US, self._resume)
+            self._gateway.after(RESUME_CHECK_INTERVAL_US, self._resume)
 
     def _resume(self) -> None:
         if self._request is not None and self._request.unsent > MAX_BUFFERED_BYTES // 2:
-            self._gateway.after(RESUME_CHECK_US, self._resume)
+            self._gateway.after(RESUME_CHECK_INTERVAL_US, self._resume)
         elif self.link.is_open:
             self.link.stream.resume()
 
@@ -152,9 +152,9 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a proxy has not taken all that was sent to it."""
+        """Whether any link still has unsent bytes."""
         return any(link.link.stream.unsent for link in self.links)
 
     def close(self) -> None:
-        """Accept no more links. Those that are open stay."""
+        """Stop accepting links. Open links are kept."""
         self.listener.close()
--- a/lilacsill/mesh/proxy/pending_response.py
+++ b/lilacsill/mesh/proxy/pending_response.py
@@ -1,4 +1,4 @@
-"""A pending response slot of a client's connection (HTTP/1.1 pipelining, RFC 9112, 9.3.2)."""
+"""A pending response on a client's connection (HTTP/1.1 pipelining, RFC 9112, section 9.3.2)."""
 
 from __future__ import annotations
 
@@ -30,26 +30,30 @@
     """The connection that sends responses in the order of their requests."""
 
     def flush(self, response: PendingResponse) -> int:
-        """Send what is in order. Returns how many bytes of this response the client has not taken."""
+        """Send all data whose turn has come. Return how many bytes of this response are not sent yet."""
 
 
 class ResponseHead(msgspec.Struct):
-    """Status line and header fields, encoded as they are sent: then it is known whether the connection closes."""
+    """Status line and header fields. They are encoded when sent, since only then is it known whether to close."""
 
     status: int
     headers: Headers
 
     def encode(self, closes: bool) -> bytes:
-        """Return the head with the blank line; `closes`: the connection closes after this response."""
+        """Return the encoded head, including the blank line.
+
+        Args:
+            closes: Whether the connection is closed after this response.
+        """
         headers = [*self.headers, CONNECTION_CLOSE] if closes else self.headers
         lines = b"".join(b"%b: %b\r\n" % line for line in headers)
         return b"HTTP/1.1 %d %b\r\n%b\r\n" % (self.status, REASON_PHRASES.get(self.status, "").encode(), lines)
 
 
 class PendingResponse:
-    """The response to one request: what of it waits for the responses before it.
+    """The response to one request, buffered until all earlier responses on the connection are sent.
 
-    It is the `response_writer.ResponseWriter` of its request.
+    Implements `response_writer.ResponseWriter`.
     """
 
     __slots__ = (
@@ -66,16 +70,16 @@
 
     def __init__(self, queue: ResponseQueue, request: Message) -> None:
         self._queue, self.request = queue, request
-        self.forwarded: ForwardedRequest | None = None  # None: the proxy answers by itself
+        self.forwarded: ForwardedRequest | None = None  # None: not forwarded, the proxy answers itself
         self._head: ResponseHead | None = None  # not sent yet
         self._body = bytearray()  # not sent yet
-        self.is_complete = False  # nothing more will be added to it
-        self.is_aborted = False  # it is truncated: the connection is closed after what is there
+        self.is_complete = False  # no more data follows
+        self.is_aborted = False  # truncated: the connection is closed after the buffered data
         self.is_head_sent = False  # with or without `Connection: close`
         self._is_chunked = False
 
     def send_response(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a complete response, without its body where the status or method allows none."""
+        """Send a complete response; the body is omitted if the status or the method does not allow one."""
         has_no_body = status in (204, 304) or self.request.method == b"HEAD"
         length = [] if status == 204 else [(b"Content-Length", b"%d" % len(body))]
         self._head = ResponseHead(status, [*headers, *length])
@@ -94,19 +98,23 @@
         return self._add(self._encode(data) + end, is_last)
 
     def abort(self) -> None:
-        """Close the connection after what was sent."""
+        """Close the connection after the data written so far, which truncates the response."""
         self.is_aborted = True
         self._add(b"", is_last=True)
 
-    # For the connection
+    # Used by the connection
 
     @property
     def unsent(self) -> int:
-        """Bytes of the body that wait for the responses before."""
+        """Bytes of the body that wait for earlier responses."""
         return len(self._body)
 
     def take(self, closes: bool) -> bytes:
-        """Return what is ready to be sent; `closes`: the connection closes after this response."""
+        """Return the buffered data and clear the buffer.
+
+        Args:
+            closes: Whether the connection is closed after this response.
+        """
         head, self._head = self._head, None
         data = bytes(self._body)
         self._body.clear()
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -1,4 +1,4 @@
-"""The proxy process: it puts the parts together, and connects them to listeners, signals and readiness checks."""
+"""The proxy process: creates its components and connects them to listeners, signals and readiness checks."""
 
 from __future__ import annotations
 
@@ -36,12 +36,12 @@
 
 
 class Process:
-    """One proxy."""
+    """One proxy, with all its components."""
 
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
         """Start the proxy. Raises OSError, SettingsError."""
         if settings.backend_address is None:
-            raise SettingsError(settings.path, "AppAddress", "a proxy stands beside a backend")
+            raise SettingsError(settings.path, "AppAddress", "is required: a proxy needs the address of its backend")
         self._settings, self._reactor = settings, reactor
         self._lifecycle = BackendLifecycle(settings.timing.drain_us)
         self._gateway = BackendGateway(reactor, self._lifecycle, settings.backend_address)
@@ -101,28 +101,32 @@
 
     def _retry_budget_settings(self) -> RetryBudgetSettings:
         timing = self._settings.timing
-        # A process before this one may have spent the slack; on the first start of all there was none.
+        # An earlier process may have spent the slack of this window, unless the whole site starts for the first time.
         slack_from = 0 if self._settings.fresh_start else self._reactor.now() + timing.retry_window_us
         return RetryBudgetSettings(timing.retry_ratio, timing.retry_window_us, timing.retry_slack, slack_from)
 
     # Events
 
     def _on_suspect(self) -> None:
-        log.info("suspects: %s", " ".join(sorted(self._failure_detector.suspects)))
+        log.info("unreachable proxies suspected: %s", " ".join(sorted(self._failure_detector.suspects)))
         self._discovery.poll_now()
 
     def _on_update(self) -> None:
-        """Use what a registry has sent about the own service and the own backend."""
+        """Apply what a registry has sent about this proxy's service and backend."""
         service = self._lifecycle.service or self._settings.service
         max_connections = self._config.max_connections(service)
         if max_connections is not None:
             self._gateway.pool.max_connections = max_connections
-        if self._is_drain_new():
+        if self._apply_reported_drain():
             self._gateway.drain()
         self._health_probe.start()
 
-    def _is_drain_new(self) -> bool:
-        """Return whether the registries know of a drain that the backend told an earlier run of this proxy."""
+    def _apply_reported_drain(self) -> bool:
+        """Take over a drain that the backend reported to an earlier run of this proxy, as known to the registries.
+
+        Returns:
+            Whether the drain was not known here yet.
+        """
         own = self._endpoints.get(self._settings.node_name)
         if own is None or own.state != EndpointState.DRAINING or not own.server:
             return False
@@ -133,17 +137,17 @@
         respond(200 if ready else 503, b"{}")
 
     def _on_settings_changed(self) -> None:
-        """Check the settings file, and log what is wrong with it. Settings are only read at the start."""
+        """Validate the settings file and log an error in it. Changes take effect at the next start only."""
         try:
             load_settings(self._settings.path)
         except SettingsError as error:
             log.warning("%s", error)
 
-    # Questions of other proxies and of operators
+    # Queries of other proxies and of operators
 
     def status(self) -> bytes:
         """Return the status report as JSON."""
-        from .status_report import status_report  # no process that nobody asks for its status needs the memory
+        from .status_report import status_report  # imported on first use, to save memory
 
         report = status_report(
             self._settings.node_name,
@@ -158,7 +162,7 @@
         return msgspec.json.encode(report)
 
     def _load_metrics_encoder(self) -> Encode:
-        from .metrics import encode_metrics  # the library need not be in memory where nobody fetches metrics
+        from .metrics import encode_metrics  # imported on first use, to save memory
 
         return lambda: encode_metrics(
             self._forwarder,
@@ -170,13 +174,13 @@
         )
 
     def operation(self, query: OperationQuery) -> OperationReply:
-        """Tell another proxy what became of an operation of this one."""
+        """Return the outcome of an operation that this proxy owns, for another proxy."""
         return self._shared_state.operations.reply_to(query)
 
     def indirect_ping(self, request: IndirectPing, reply: Callable[[Message], None]) -> None:
-        """Ping a third proxy for another one, and reply whether it answered."""
+        """Ping a third proxy on behalf of the sender, and reply whether it answered."""
         self._failure_detector.indirect_ping(request, reply)
 
     def relay(self, relay: Relay, reply: Callable[[Message], None]) -> None:
-        """Ask a core machine for another proxy, and reply what it answered."""
+        """Forward a request of the sender to a core machine, and reply with the answer."""
         self._shared_state.relay_server.relay(relay, reply)
--- a/lilacsill/mesh/proxy/reasons.py
+++ b/lilacsill/mesh/proxy/reasons.py
@@ -1,4 +1,4 @@
-"""Why a request was rejected, or got no response. The texts go over the wire, so they stay as they are."""
+"""Reasons why a request was rejected, refused, or got no response. The texts go over the wire: do not change them."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
     """Why a request was not passed to the backend (`Rejected.reason`)."""
 
     FULL = "full"
-    WRONG_INCARNATION = "life"  # another incarnation of the backend is meant, or none has been heard of
+    WRONG_INCARNATION = "life"  # the request names another incarnation of the backend, or the backend is not known
     DRAINING = "draining"
     UNREACHABLE = "unreachable"
     OUT_OF_TIME = "late"
@@ -19,12 +19,12 @@
     """Why a request was answered before any attempt (`lilacsill_requests_refused_total`)."""
 
     UNKNOWN_KEY = "unknown key"
-    KEY_UNDECIDED = "key not decided"  # the configuration here may not be the one in force
+    KEY_UNDECIDED = "key not decided"  # the local configuration may not be the one in force
     QUOTA_EXCEEDED = "quota"
-    QUOTA_UNDECIDED = "quota not decided"  # its owner did not answer in time
+    QUOTA_UNDECIDED = "quota not decided"  # the owner of the quota did not answer in time
     OPERATION_IN_PROGRESS = "operation in progress"
-    OPERATION_UNKNOWN = "operation unknown"  # it may have run
-    OPERATION_UNDECIDED = "operation not decided"  # neither the store nor the operation's owner answered in time
+    OPERATION_UNKNOWN = "operation unknown"  # the operation may have run
+    OPERATION_UNDECIDED = "operation not decided"  # neither the store nor the owner of the operation answered in time
     OPERATIONS_FULL = "operations full"
 
 
@@ -40,4 +40,4 @@
     MALFORMED_RESPONSE = "what came is no answer"
     CONNECTION_CLOSED = "the connection ended"
     INTERNAL_ERROR = "failed here"
-    LINK_LOST = "the link ended"  # to the proxy beside the backend; never on the wire
+    LINK_LOST = "the link ended"  # the link to the backend's proxy; used locally, never on the wire
--- a/lilacsill/mesh/proxy/registry_selector.py
+++ b/lilacsill/mesh/proxy/registry_selector.py
@@ -1,4 +1,4 @@
-"""Which registries a proxy polls: two, by rendezvous hashing, without those that failed lately. No I/O."""
+"""Selects the two registries that a proxy polls, by rendezvous hashing, skipping those in backoff. No I/O."""
 
 from __future__ import annotations
 
@@ -11,34 +11,34 @@
     """The registries of one proxy, and which of them are in backoff."""
 
     def __init__(self, node: str, addresses: set[str]) -> None:
-        """Begin with the registries at these addresses (`host:port`), for the proxy `node`."""
+        """Start with the registries at these addresses (`host:port`), for the proxy `node`."""
         self._node = node
         self.addresses = addresses
         self._backoff_until: dict[str, int] = {}
 
     def back_off(self, registry: str, until: int) -> None:
-        """Poll a registry no more until that time, if there are others."""
+        """Do not select a registry until the given time, unless all registries are in backoff."""
         self._backoff_until[registry] = until
 
     def end_backoffs(self, now: int) -> None:
-        """Forget the backoffs that are over."""
+        """Remove expired backoffs."""
         self._backoff_until = {registry: until for registry, until in self._backoff_until.items() if until > now}
 
     def selected(self) -> list[str]:
-        """Return the registries to poll; if all are in backoff, any of them."""
+        """Return the registries to poll. If all are in backoff, backoffs are ignored."""
         return self._choose(self._available() or self.addresses, POLLED_REGISTRIES)
 
     def is_available(self, registry: str) -> bool:
-        """Return whether a registry is among those to poll, and not in backoff."""
+        """Return whether a registry is selected for polling and not in backoff."""
         return registry in self._choose(self._available(), POLLED_REGISTRIES)
 
     def replacements(self, now: int) -> list[str]:
-        """Return the registries to poll after one has failed; none if all are in backoff."""
+        """Return the registries to poll after one has failed; empty if all are in backoff."""
         in_backoff = {registry for registry, until in self._backoff_until.items() if until > now}
         return self._choose(self.addresses - in_backoff, POLLED_REGISTRIES)
 
     def first(self) -> str | None:
-        """Return the registry that sends the configuration; None if there is no registry."""
+        """Return the registry from which to fetch the configuration; None if there are no registries."""
         return next(iter(self._choose(self._available() or self.addresses, 1)), None)
 
     def _available(self) -> set[str]:
--- a/lilacsill/mesh/proxy/request_body.py
+++ b/lilacsill/mesh/proxy/request_body.py
@@ -1,26 +1,26 @@
-"""The body of a request that is forwarded, kept for further attempts as far as it is short."""
+"""The body of a forwarded request, buffered for further attempts if it is short enough."""
 
 from __future__ import annotations
 
-MAX_KEPT_BYTES = 128 * 1024
+MAX_REPLAYABLE_BYTES = 128 * 1024
 
 
 class RequestBody:
-    """What has come of a body. A long one is not kept, and the request can be offered only once."""
+    """The body as received so far. A long body is dropped, so that its request can be offered only once."""
 
-    __slots__ = ("data", "is_complete", "is_kept", "is_waiting")
+    __slots__ = ("data", "is_complete", "is_replayable", "is_awaiting_permits")
 
     def __init__(self, data: bytes, is_complete: bool) -> None:
         self.data = data
-        self.is_complete = is_complete  # nothing more will come
-        self.is_kept = True  # `data` is all that has come
-        self.is_waiting = False  # for the permits of its request; until then all of it is kept
+        self.is_complete = is_complete  # no more data follows
+        self.is_replayable = True  # `data` holds all that was received
+        self.is_awaiting_permits = False  # meanwhile a body of any length is kept
 
     def append(self, data: bytes, is_last: bool) -> None:
-        """Add what has come since."""
+        """Append received data."""
         self.is_complete = is_last
-        may_keep = self.is_waiting or len(self.data) + len(data) <= MAX_KEPT_BYTES
-        if self.is_kept and may_keep:
+        may_keep = self.is_awaiting_permits or len(self.data) + len(data) <= MAX_REPLAYABLE_BYTES
+        if self.is_replayable and may_keep:
             self.data += data
         else:
-            self.is_kept, self.data = False, b""
+            self.is_replayable, self.data = False, b""
--- a/lilacsill/mesh/proxy/request_offer.py
+++ b/lilacsill/mesh/proxy/request_offer.py
@@ -1,4 +1,4 @@
-"""What the offers of one request have in common, and how much time each of them has left."""
+"""Builds the offers of one request: the common fields, and the time left at each attempt."""
 
 from __future__ import annotations
 
@@ -8,33 +8,33 @@
 
 from .endpoint_table import EndpointLoad
 from .request_body import RequestBody
-from .request_head import client_patience_us, forwarded_headers, stated_length
+from .request_head import client_timeout_us, declared_length, forwarded_headers
 from .request_owner import RequestOwner
 from .routes import Route
 
 
 class OfferTemplate:
-    """Makes the offers of one request.
+    """Builds the offers of one request.
 
     Attributes:
-        arrived_at: When the request came; time of the reactor's clock.
-        deadline: When a response is worth nothing any more.
+        arrived_at: Arrival time of the request, in microseconds of the reactor's clock.
+        deadline: When the client or the route times out, on the same clock.
     """
 
     def __init__(self, owner: RequestOwner, request: HttpMessage, route: Route, tenant: Tenant | None) -> None:
-        """Take a request that comes now."""
+        """Create the template for a request that arrives now."""
         self._owner, self._request, self._route = owner, request, route
-        patience_us = client_patience_us(request)
+        timeout_us = client_timeout_us(request)
         self.arrived_at = owner.reactor.now()
-        self.deadline = self.arrived_at + min(patience_us, route.timeout_us)
-        # A client that comes back has lost a part of the time of the target, too.
-        time_spent_us = owner.statistics.time_spent_us(route.name, patience_us)
+        self.deadline = self.arrived_at + min(timeout_us, route.timeout_us)
+        # A client that retries after a refusal has already used up a part of the latency target.
+        time_spent_us = owner.statistics.time_spent_us(route.name, timeout_us)
         self._target_at = self.arrived_at + route.target_us - time_spent_us
         self._priority = owner.priority(route, tenant)
         self._headers = forwarded_headers(request, owner.caller, tenant.name if tenant is not None else None)
 
     def offer_to(self, entry: EndpointLoad, service: str, body: RequestBody, may_have_run: bool, now: int) -> Offer:
-        """Return the offer to an endpoint of a service, with what has come of the body."""
+        """Return an offer to an endpoint of a service, with the body as received so far."""
         request, route = self._request, self._route
         return Offer(
             server=entry.endpoint.server,
@@ -45,11 +45,11 @@
             headers=self._headers,
             body=body.data,
             body_complete=body.is_complete,
-            content_length=stated_length(request),
+            content_length=declared_length(request),
             time_left_ms=(self.deadline - now) // 1000,
             target_left_ms=(self._target_at - now) // 1000,
             priority=self._priority,
             idempotent=route.is_idempotent,
             may_have_run=may_have_run,
-            expected_ms=self._owner.statistics.usual_ms(route.name) or 0,
+            expected_ms=self._owner.statistics.expected_ms(route.name) or 0,
         )
--- a/lilacsill/mesh/proxy/request_owner.py
+++ b/lilacsill/mesh/proxy/request_owner.py
@@ -1,4 +1,4 @@
-"""What all requests of a proxy share, as one of them sees it."""
+"""The interface to the state that all requests of a proxy share."""
 
 from __future__ import annotations
 
@@ -18,12 +18,12 @@
 class InFlightRequest(Protocol):
     """A request that has no response yet."""
 
-    def break_off(self) -> None:
-        """Answer at once, since the process ends. The request may have run."""
+    def abort_for_shutdown(self) -> None:
+        """Answer at once because the process shuts down. The request may have run."""
 
 
 class RequestOwner(Protocol):
-    """What all requests of this proxy share, and the one that is notified of their ends."""
+    """State that all requests of this proxy share. It is notified when a request ends."""
 
     reactor: Reactor
     rng: Random
@@ -31,10 +31,10 @@
     statistics: RouteStatistics
     counters: RequestCounters
     permits: RequestPermits
-    caller: bytes  # the service of the backend on this machine, which all its requests are marked with
+    caller: bytes  # the service of the backend on this machine, sent as `Calling-Service`
 
     def priority(self, route: Route, tenant: Tenant | None) -> int:
-        """Return how urgent a request of a tenant is on a route; lower is more urgent."""
+        """Return the priority of a tenant's request on a route; lower is more urgent."""
 
     def request_ended(self, request: InFlightRequest) -> None:
-        """Forget the request."""
+        """Remove a request that has ended from the requests in flight."""
--- a/lilacsill/mesh/proxy/request_permission.py
+++ b/lilacsill/mesh/proxy/request_permission.py
@@ -1,4 +1,4 @@
-"""The wait of one request for its permits, and its reports to the run of its operation."""
+"""The permits of one request: waiting for them, and reporting the outcome of its operation."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 from lilacsill.mesh.tenants.tenant import Tenant
 
 from .request_head import attempt_id
-from .request_permits import PendingPermits, PermitListener, PermitNeeds, RequestPermits, patience_until_us
+from .request_permits import PendingPermits, PermitListener, PermitNeeds, RequestPermits, permit_deadline
 from .routes import Route
 
 
 def permit_needs(
     request: HttpMessage, route: Route, tenant: Tenant | None, arrived_at: int, deadline: int
 ) -> PermitNeeds | None:
-    """Return what a request needs before its first attempt; None: nothing."""
+    """Return the permits that a request needs before its first attempt; None if it needs none."""
     is_limited = tenant is not None and tenant.is_limited
     operation_key = request.fields.get(b"operation-key") if route.is_keyed else None
     if not is_limited and operation_key is None:
@@ -25,12 +25,12 @@
         operation_key=operation_key,
         attempt_id=attempt_id(request),
         target_us=route.target_us,
-        patience_until_us=patience_until_us(arrived_at, route.target_us, deadline),
+        decide_by=permit_deadline(arrived_at, route.target_us, deadline),
     )
 
 
 class RequestPermission:
-    """The permits of one request while it waits for them; then the run of its operation, if it has one."""
+    """The pending permits of one request; once they are granted, the run of its operation, if there is one."""
 
     __slots__ = ("_pending", "_run")
 
@@ -39,31 +39,31 @@
         self._run: OperationRun | None = None
 
     def request(self, permits: RequestPermits, needs: PermitNeeds, listener: PermitListener) -> None:
-        """Ask for the permits. The listener may be called before this returns."""
+        """Request the permits. The listener may be called before this method returns."""
         self._pending = permits.request(needs, listener)
 
     def begin_run(self, run: OperationRun) -> None:
-        """Take the run of an operation that runs once."""
+        """Store the run of an operation that must run only once."""
         self._run = run
 
     @property
     def is_pending(self) -> bool:
-        """Whether the request waits for its permits: it has not run."""
+        """Whether the request still waits for its permits, so that it cannot have run."""
         return self._pending is not None and not self._pending.is_over
 
     @property
     def has_run(self) -> bool:
-        """Whether there is a run, which repeats of the request wait for."""
+        """Whether the request has a run, whose outcome repeats of the request wait for."""
         return self._run is not None
 
     def release_run(self) -> None:
-        """Report that the operation has not run and will not."""
+        """Report that the operation has not run and will not run."""
         if self._run is not None:
             self._run.release()
 
     def end(self) -> None:
-        """Wait no longer; what the run has not been notified of stays unknown."""
+        """Cancel pending permits, and record the outcome of the run as unknown unless it was reported."""
         if self._pending is not None and not self._pending.is_over:
             self._pending.cancel()
         if self._run is not None:
-            self._run.record_unknown()  # unless its outcome has been reported
+            self._run.record_unknown()  # without effect if the outcome was reported
--- a/lilacsill/mesh/proxy/request_permits.py
+++ b/lilacsill/mesh/proxy/request_permits.py
@@ -1,7 +1,7 @@
-"""What a request needs beside its route before its first attempt: a token of its tenant's quota, and its operation.
+"""The permits that a request needs before its first attempt: a token of its tenant's quota, and its operation's claim.
 
-A request waits for both together only as long as a refusal is not late: a client that is refused within a quarter of
-the latency target still has time for another attempt.
+The total wait for both is bounded so that a refusal is not late: a client that is refused within a quarter of the
+latency target still has time for another attempt.
 """
 
 from __future__ import annotations
@@ -23,8 +23,8 @@
 from .response_writer import delay_header, retry_after
 from .undecided_log import UndecidedLog
 
-PATIENCE_SHARE = 0.22  # of the latency target, from the arrival of the request on
-MIN_RETRY_AFTER_US = 5_000  # of a request beyond its tenant's quota
+PERMIT_WAIT_SHARE = 0.22  # of the latency target, counted from the arrival of the request
+MIN_RETRY_AFTER_US = 5_000  # for a request over its tenant's quota
 
 OPERATION_REFUSALS = {
     Refusal.IN_PROGRESS: RefusalReason.OPERATION_IN_PROGRESS,
@@ -39,8 +39,8 @@
 )
 
 
-class OwnResponse(msgspec.Struct, frozen=True):
-    """A response that no attempt at a backend has brought."""
+class LocalResponse(msgspec.Struct, frozen=True):
+    """A response that the proxy sends without an attempt at a backend."""
 
     status: int
     headers: Headers
@@ -48,67 +48,67 @@
 
 
 class PermitNeeds(msgspec.Struct, frozen=True):
-    """What one request needs."""
+    """The permits that one request needs."""
 
-    tenant: str  # its name; empty: there is none
-    is_limited: bool  # the tenant has a quota
-    operation_key: bytes | None  # of a request whose operation runs once
+    tenant: str  # name; empty if the request has no tenant
+    is_limited: bool  # whether the tenant has a quota
+    operation_key: bytes | None  # None: not an operation that must run only once
     attempt_id: bytes
-    target_us: int  # latency target of its route
-    patience_until_us: int  # when the request is refused if there is no decision; time of the reactor's clock
+    target_us: int  # latency target of the route
+    decide_by: int  # when the request is refused without a decision; microseconds of the reactor's clock
 
 
 class PermitListener(Protocol):
-    """The request."""
+    """The request that waits for permits. One of the methods is called, once."""
 
     def on_permitted(self, run: OperationRun | None) -> None:
-        """Make the first attempt; `run` takes the outcome of an operation that runs once."""
+        """Make the first attempt; the outcome of an operation that must run only once is reported to `run`."""
 
-    def on_answered(self, response: OwnResponse) -> None:
-        """Send this response: the request does not run."""
+    def on_answered(self, response: LocalResponse) -> None:
+        """Send this response; the request does not run."""
 
 
 class Cancellable(Protocol):
-    """Something that a request waits for."""
+    """A pending decision on a permit."""
 
     def cancel(self) -> None:
-        """Wait no longer."""
+        """Withdraw the request for the permit."""
 
 
 class PendingPermits:
-    """The permits of one request, while it waits for them."""
+    """The pending permits of one request."""
 
     def __init__(self, permits: RequestPermits, needs: PermitNeeds, listener: PermitListener) -> None:
         self._permits, self._needs, self._listener = permits, needs, listener
-        self._waits_for: Cancellable | None = None
+        self._pending: Cancellable | None = None
         self.is_over = False
 
     def start(self) -> None:
-        """Ask for the first permit. The decision may come before this returns."""
+        """Request the first permit. The listener may be called before this method returns."""
         quota = self._permits.quota
         if quota is None or not self._needs.is_limited:
             self._request_operation()
         else:
-            self._waits_for = quota.request(self._needs.tenant, self._patience_us(), self._on_quota_decision)
+            self._pending = quota.request(self._needs.tenant, self._time_left_us(), self._on_quota_decision)
 
     def cancel(self) -> None:
-        """Withdraw the request: it has not run, and will not."""
+        """Withdraw the request: it has not run and will not run."""
         self.is_over = True
-        waits_for, self._waits_for = self._waits_for, None
-        if waits_for is not None:
-            waits_for.cancel()
+        pending, self._pending = self._pending, None
+        if pending is not None:
+            pending.cancel()
 
-    def _patience_us(self) -> int:
-        return max(0, self._needs.patience_until_us - self._permits.now())
+    def _time_left_us(self) -> int:
+        return max(0, self._needs.decide_by - self._permits.now())
 
     def _on_quota_decision(self, decision: QuotaDecision) -> None:
-        self._waits_for = None
+        self._pending = None
         if self.is_over:
             return
         if decision.verdict is QuotaVerdict.GRANTED:
             self._request_operation()
         elif decision.verdict is QuotaVerdict.DENIED:
-            self._answer(self._permits.beyond_quota(decision.retry_after_us))
+            self._answer(self._permits.quota_exceeded(decision.retry_after_us))
         else:
             self._answer(self._permits.undecided(RefusalReason.QUOTA_UNDECIDED, self._needs.target_us))
 
@@ -117,9 +117,9 @@
         if key is None or operations is None:
             self._permit(None)
             return
-        pending = operations.request(self._needs.tenant, key, self._patience_us(), self._on_permission)
+        pending = operations.request(self._needs.tenant, key, self._time_left_us(), self._on_permission)
         if not self.is_over:
-            self._waits_for = pending
+            self._pending = pending
 
     def _on_permission(self, permission: Permission) -> None:
         if isinstance(permission, OperationRun):
@@ -130,20 +130,20 @@
             self._answer(self._permits.refused_operation(permission, self._needs.target_us))
 
     def _permit(self, run: OperationRun | None) -> None:
-        self.is_over, self._waits_for = True, None
+        self.is_over, self._pending = True, None
         self._listener.on_permitted(run)
 
-    def _answer(self, response: OwnResponse) -> None:
-        self.is_over, self._waits_for = True, None
+    def _answer(self, response: LocalResponse) -> None:
+        self.is_over, self._pending = True, None
         self._listener.on_answered(response)
 
 
 class RequestPermits:
-    """Gives the requests of one proxy what they need.
+    """Obtains the permits for the requests of one proxy.
 
     Attributes:
-        quota: Gives tokens of tenants' quotas; None: there are no quotas.
-        operations: Decides on operations that run once; None: they run as other writes do.
+        quota: Grants tokens of tenants' quotas; None: quotas are not enforced.
+        operations: Claims operations that must run only once; None: they run like other writes.
     """
 
     def __init__(self, clock: Clock, rng: Random, counters: RequestCounters) -> None:
@@ -157,32 +157,32 @@
         return self._clock.now()
 
     def request(self, needs: PermitNeeds, listener: PermitListener) -> PendingPermits:
-        """Ask for all that a request needs; the listener is called once, perhaps before this returns."""
+        """Request all permits that a request needs. The listener is called once, possibly before this returns."""
         pending = PendingPermits(self, needs, listener)
         pending.start()
         return pending
 
-    def beyond_quota(self, retry_after_us: int) -> OwnResponse:
-        """Return what a request beyond its tenant's quota gets."""
+    def quota_exceeded(self, retry_after_us: int) -> LocalResponse:
+        """Count a request over its tenant's quota, and return its response."""
         self._counters.refusals[RefusalReason.QUOTA_EXCEEDED] += 1
         header = delay_header(max(MIN_RETRY_AFTER_US, retry_after_us))
-        return OwnResponse(429, [header], b"beyond the quota of the tenant\n")
+        return LocalResponse(429, [header], b"beyond the quota of the tenant\n")
 
-    def undecided(self, reason: RefusalReason, target_us: int) -> OwnResponse:
-        """Return what a request gets that nobody could decide on in time: it has not run and will not."""
+    def undecided(self, reason: RefusalReason, target_us: int) -> LocalResponse:
+        """Count a request that was not decided in time, so it has not run and will not, and return its response."""
         self._counters.refusals[reason] += 1
         self._undecided_log.record(reason, self.now())
-        return OwnResponse(503, [retry_after(target_us, self._rng)], b"not decided in time\n")
+        return LocalResponse(503, [retry_after(target_us, self._rng)], b"not decided in time\n")
 
-    def refused_operation(self, refusal: Refusal, target_us: int) -> OwnResponse:
-        """Return what a request gets whose operation may not run now."""
+    def refused_operation(self, refusal: Refusal, target_us: int) -> LocalResponse:
+        """Count a request whose operation may not run now, and return its response."""
         reason = OPERATION_REFUSALS[refusal]
         if reason in UNDECIDED_REASONS:
             return self.undecided(reason, target_us)
         self._counters.refusals[reason] += 1
         if refusal is Refusal.IN_PROGRESS:
-            return OwnResponse(409, [], b"the operation is in progress\n")
-        return OwnResponse(502, [], b"it is not known whether the operation ran\n")
+            return LocalResponse(409, [], b"the operation is in progress\n")
+        return LocalResponse(502, [], b"it is not known whether the operation ran\n")
 
 
 class Clock(Protocol):
@@ -192,12 +192,12 @@
         """Return the current time in microseconds."""
 
 
-def patience_until_us(arrived_at: int, target_us: int, deadline: int) -> int:
-    """Return until when a request may wait for its permits."""
-    return min(arrived_at + int(PATIENCE_SHARE * target_us), deadline)
+def permit_deadline(arrived_at: int, target_us: int, deadline: int) -> int:
+    """Return the time until which a request may wait for its permits."""
+    return min(arrived_at + int(PERMIT_WAIT_SHARE * target_us), deadline)
 
 
-def replay(response: StoredResponse, attempt_id: bytes) -> OwnResponse:
-    """Return the response of the first run as a repeat gets it: under the repeat's own `Attempt-Id`."""
+def replay(response: StoredResponse, attempt_id: bytes) -> LocalResponse:
+    """Return the stored response of the first run, with the `Attempt-Id` of the repeated request."""
     headers = [(name, attempt_id if name.lower() == b"attempt-id" else value) for name, value in response.headers]
-    return OwnResponse(response.status, headers, response.body)
+    return LocalResponse(response.status, headers, response.body)
--- a/lilacsill/mesh/proxy/response_stream.py
+++ b/lilacsill/mesh/proxy/response_stream.py
@@ -1,4 +1,4 @@
-"""A long response of a backend on its way to the client, no faster than the client takes it."""
+"""Streams a long response from a backend to the client, with backpressure."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ResponseStream:
-    """Passes on the head and the chunks of one response; its exchange is the current one of the request."""
+    """Passes on the head and the chunks of one response, which arrive on the current exchange of the request."""
 
     __slots__ = ("_response", "_current")
 
@@ -19,7 +19,7 @@
         self._response, self._current = response, current
 
     def start(self, head: Response, exchange: Exchange | None) -> None:
-        """Send the head; the exchange brings the rest."""
+        """Send the head; the rest of the response arrives on the exchange."""
         self._current.exchange = exchange
         self._pause_above_limit(self._response.start(head))
 
@@ -28,16 +28,16 @@
         self._pause_above_limit(self._response.add(chunk))
 
     def resume(self) -> None:
-        """Let the response go on: the client has taken what it was sent."""
+        """Resume the exchange: all data has been sent to the client."""
         if self._current.exchange is not None:
             self._current.exchange.resume()
 
     def abort(self) -> None:
-        """End a response that has begun, so that its client sees that it is not complete."""
+        """Truncate the response so that the client notices that it is incomplete."""
         self._current.give_up()
         self._response.truncate()
 
     def _pause_above_limit(self, unsent: int) -> None:
-        """Hold the backend's response back while its client is slow."""
+        """Pause the exchange while the client is slow."""
         if unsent > MAX_BUFFERED_BYTES and self._current.exchange is not None:
             self._current.exchange.pause()
--- a/lilacsill/mesh/proxy/retry_decision.py
+++ b/lilacsill/mesh/proxy/retry_decision.py
@@ -1,4 +1,4 @@
-"""Whether one request may go to a backend again. `docs/control-safety.md` lists what each retry rests on."""
+"""Decides whether a request may be retried. `docs/control-safety.md` lists the justification of each kind of retry."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from .request_owner import RequestOwner
 from .routes import Route
 
-MIN_ATTEMPT_US = 2_000  # with less time left no attempt is worth while
-FAILING_SERVICE_RATE = 0.15  # failure rate of the best backend: then what the service calls is at fault
+MIN_ATTEMPT_US = 2_000  # with less time left no attempt is made
+MAX_FAILURE_RATE_TO_RETRY = 0.15  # of the best backend; at higher rates a dependency of the service is at fault
 
 
 class RetryDecision:
-    """Decides on the retries of one request; one that is allowed is taken out of the retry budget of its service."""
+    """Decides on the retries of one request, and charges each allowed retry to the retry budget of its service."""
 
     def __init__(
         self,
@@ -30,23 +30,23 @@
         self._history, self._body, self._deadline = history, body, deadline
 
     def after_response(self, response: Response, entry: EndpointLoad, table: EndpointTable) -> bool:
-        """Record a response that may be retried, and return whether it is."""
+        """Return whether to retry after a response. Records a failed or not executed attempt."""
         if response.not_run:
-            # The backend promises that: the request goes elsewhere, though it counts as an arrival.
+            # The backend guarantees this, so even a write may be retried. It still counts as an arrival.
             self._history.record_not_run(entry)
             return self.may_retry()
         if response.status < 500 or not self._route.is_idempotent:
             return False
         self._history.record_failed(entry)
-        # Where all backends fail, a service that they call does: a retry would only add to its load.
-        return table.lowest_failure_rate() < FAILING_SERVICE_RATE and self.may_retry()
+        # If all backends fail, a service that they call is failing: a retry would only add to its load.
+        return table.lowest_failure_rate() < MAX_FAILURE_RATE_TO_RETRY and self.may_retry()
 
     def after_failure(self) -> bool:
-        """Return whether a request that may have run is retried: an idempotent one may be, another one may not."""
+        """Return whether to retry a request that may have run; only an idempotent one may be retried."""
         return self._route.is_idempotent and self.may_retry()
 
-    def beside_suspected(self, table: EndpointTable) -> bool:
-        """Return whether a request goes elsewhere, too, while its attempt is open."""
+    def after_suspicion(self, table: EndpointTable) -> bool:
+        """Return whether to start a second attempt at another endpoint while the suspected one stays open."""
         if not self._route.is_idempotent:
             return False
         if self._history.choose_next(table, self._owner.reactor.now()) is None:
@@ -54,16 +54,17 @@
         return self.may_retry(arrivals=self._history.arrivals + 1)
 
     def may_retry(self, arrivals: int | None = None) -> bool:
-        """Return whether an arrival after `arrivals` is allowed; then it is taken out of the retry budget.
+        """Return whether one more arrival is allowed. If it is, it is charged to the retry budget.
 
-        Without `arrivals`, those that are recorded count.
+        Args:
+            arrivals: The number of arrivals so far; None: as recorded in the history.
         """
         arrivals = self._history.arrivals if arrivals is None else arrivals
         now = self._owner.reactor.now()
         may_retry = (
             arrivals < self._route.max_attempts
             and self._deadline - now > MIN_ATTEMPT_US
-            and self._body.is_kept
+            and self._body.is_replayable
             and self._owner.upstreams.try_retry(self._service, now)
         )
         self._owner.counters.retries += may_retry
--- a/lilacsill/mesh/proxy/routes.py
+++ b/lilacsill/mesh/proxy/routes.py
@@ -1,4 +1,4 @@
-"""Routes, and the choice of the route of a request. No I/O."""
+"""Routes, and matching of requests to routes. No I/O."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
     name: str
     host: bytes
     prefix: bytes  # of the path
-    split: TrafficSplit  # the services that it goes to
+    split: TrafficSplit  # the target services
     is_idempotent: bool
-    is_keyed: bool  # its requests are operations that run once
-    is_public: bool  # its requests need no key of a tenant
+    is_keyed: bool  # its requests are operations that must run only once
+    is_public: bool  # its requests need no tenant key
     timeout_us: int
-    target_us: int  # latency target; without one of its own, the timeout
+    target_us: int  # latency target; defaults to the timeout
     priority: int  # 0 is the most urgent
     max_attempts: int
 
 
 def parse_route(item: Item) -> Route:
-    """Read the route out of an item that the store has validated."""
+    """Parse a route item, which the store has validated."""
     assert item.body is not None
     body: dict[str, Any] = msgspec.json.decode(item.body)
     rule = body["Rule"]
@@ -54,22 +54,22 @@
 
 
 class HostRoutes:
-    """The routes of one host. A match costs one step for each length of prefix, however many routes there are."""
+    """The routes of one host. Matching takes one lookup per prefix length, whatever the number of routes."""
 
     __slots__ = ("_by_prefix", "_prefixes_by_length")
 
     def __init__(self) -> None:
         self._by_prefix: dict[bytes, Route] = {}
-        self._prefixes_by_length: dict[int, int] = {}  # how many prefixes have each length; the longest first
+        self._prefixes_by_length: dict[int, int] = {}  # number of prefixes by length; the longest first
 
     def put(self, route: Route) -> None:
-        """Add a route; it replaces another with the same prefix."""
+        """Add a route. It replaces a route with the same prefix."""
         if route.prefix not in self._by_prefix:
             self._count(len(route.prefix), 1)
         self._by_prefix[route.prefix] = route
 
     def remove(self, route: Route) -> None:
-        """Remove a route, unless another one has replaced it."""
+        """Remove a route, unless another route has replaced it."""
         if self._by_prefix.get(route.prefix) is route:
             del self._by_prefix[route.prefix]
             self._count(len(route.prefix), -1)
@@ -85,7 +85,7 @@
             self._prefixes_by_length = dict(sorted({**counts, length: count}.items(), reverse=True))
 
     def match(self, path: bytes) -> Route | None:
-        """Return the route with the longest prefix of the path."""
+        """Return the route with the longest prefix that matches the path; None if no route matches."""
         for length in self._prefixes_by_length:
             route = self._by_prefix.get(path[:length])
             if route is not None:
--- a/lilacsill/mesh/proxy/served_shares.py
+++ b/lilacsill/mesh/proxy/served_shares.py
@@ -1,22 +1,22 @@
-"""Which share of the requests of each kind a backend takes lately, so that no kind starves. No I/O.
+"""Tracks the share of requests of each kind that a backend has served recently, to prevent starvation. No I/O.
 
-A full backend takes short and urgent work first. Under lasting overload, long or less urgent work would never have a
-turn: its share of accepted requests would go towards none. A route counts as starved while that share is far below the
-share of all requests together. The same holds for the part of a route that one rank of tenants sends: where many
-tenants are more urgent, the others would have no turn.
+A full backend serves short and urgent work first. Under lasting overload, long or less urgent work would never be
+served: its served share would approach zero. A route counts as starved while its share is far below the share of all
+requests. The same applies to the requests of one tenant rank on a route: many more urgent tenants would starve the
+others.
 """
 
 from __future__ import annotations
 
 from typing import NamedTuple
 
-HALVING_US = 5_000_000  # after which a request counts half
-MIN_ARRIVALS = 10.0  # of a route; with fewer its share says little
-STARVED_BELOW = 0.4  # of the share of all requests; the platform takes less than a quarter for starvation
+HALF_LIFE_US = 5_000_000  # of the weight of a request
+MIN_ARRIVALS = 10.0  # of a kind; with fewer its share is not significant
+STARVATION_THRESHOLD = 0.4  # of the share of all requests; the platform counts less than a quarter as starvation
 
 
-class FadingCounts:
-    """Requests that arrived and that were started; older ones count less."""
+class DecayingCounts:
+    """Exponentially decaying counts of the requests that arrived and of those that were started."""
 
     __slots__ = ("arrived", "started", "_updated_at")
 
@@ -24,50 +24,50 @@
         self.arrived = self.started = 0.0
         self._updated_at = 0
 
-    def fade(self, now: int) -> None:
-        """Let the counts fade up to `now`, in microseconds."""
-        factor = 0.5 ** ((now - self._updated_at) / HALVING_US)
+    def decay(self, now: int) -> None:
+        """Apply the decay since the last update. `now` is in microseconds."""
+        factor = 0.5 ** ((now - self._updated_at) / HALF_LIFE_US)
         self.arrived *= factor
         self.started *= factor
         self._updated_at = now
 
     @property
     def share(self) -> float:
-        """The share that was started; 1.0 where none has arrived."""
+        """The share of requests that were started; 1.0 if none has arrived."""
         return self.started / self.arrived if self.arrived else 1.0
 
 
 class RequestKind(NamedTuple):
-    """Requests that have one share."""
+    """The requests whose share is tracked together."""
 
     route: str
-    priority: int  # of tenant and route, as in `Offer`
+    priority: int  # combines tenant and route, as in `Offer`
 
 
 class ServedShares:
-    """The shares of the kinds of requests of one backend. Times are microseconds."""
+    """The served shares of one backend, by kind of request. Times are in microseconds."""
 
     def __init__(self) -> None:
-        self._all = FadingCounts()
-        self._by_kind: dict[RequestKind, FadingCounts] = {}
+        self._all = DecayingCounts()
+        self._by_kind: dict[RequestKind, DecayingCounts] = {}
 
     def record_arrival(self, kind: RequestKind, now: int) -> None:
-        """Count a request that asks for a slot."""
+        """Count a request that needs a slot."""
         counts = self._by_kind.get(kind)
         if counts is None:
-            counts = self._by_kind[kind] = FadingCounts()
+            counts = self._by_kind[kind] = DecayingCounts()
         for each in (counts, self._all):
-            each.fade(now)
+            each.decay(now)
             each.arrived += 1
 
     def record_start(self, kind: RequestKind) -> None:
-        """Count a request that gets a slot; it has arrived before."""
+        """Count a request that has been given a slot; its arrival must have been recorded."""
         self._by_kind[kind].started += 1
         self._all.started += 1
 
     def is_starved(self, kind: RequestKind) -> bool:
-        """Return whether the requests of a kind have a far smaller share than all."""
+        """Return whether the served share of a kind is far below that of all requests."""
         counts = self._by_kind.get(kind)
         if counts is None or counts.arrived < MIN_ARRIVALS:
             return False
-        return counts.share < STARVED_BELOW * self._all.share
+        return counts.share < STARVATION_THRESHOLD * self._all.share
--- a/lilacsill/mesh/proxy/shared_state.py
+++ b/lilacsill/mesh/proxy/shared_state.py
@@ -1,4 +1,4 @@
-"""Connects a proxy with what all proxies share: quotas of tenants, and operations that run once."""
+"""Connects a proxy to the state that all proxies share: tenants' quotas, and operations that must run only once."""
 
 from __future__ import annotations
 
@@ -21,15 +21,15 @@
 
 
 class SharedState:
-    """This proxy's part of it.
+    """This proxy's clients of the shared state.
 
     Attributes:
-        members: The members of the store, as their answers name them.
-        quota: Asks them for tokens of tenants' quotas.
-        operations: Asks them for the right to run operations, and answers for those that it has.
-        core_links: The direct way to them.
-        relay_server: Asks them for other proxies.
-        relay_counters: Count what was relayed.
+        members: The members of the store, as learned from their answers.
+        quota: Requests tokens of tenants' quotas from them.
+        operations: Claims operations at them, and answers queries about the operations that this proxy owns.
+        core_links: The direct links to them.
+        relay_server: Forwards requests of other proxies to them.
+        relay_counters: Counters of relayed requests.
     """
 
     def __init__(
@@ -39,13 +39,13 @@
         registries: Callable[[], Collection[str]],
         peers: Callable[[], dict[str, str]],
     ) -> None:
-        """Begin without knowledge of either.
+        """Start without any known members, quotas or operations.
 
         Args:
-            settings: Of the process.
-            environment: Its clock, timers and links.
-            registries: Returns the addresses of the known registries; a member of the store is beside each.
-            peers: Returns the addresses of the other proxies by name; another dict whenever they have changed.
+            settings: The settings of the process.
+            environment: Clock, timers and links.
+            registries: Returns the addresses of the known registries; each shares its machine with a store member.
+            peers: Returns the addresses of the other proxies by name; a new dict whenever they have changed.
         """
 
         def candidates() -> list[str]:
@@ -65,5 +65,5 @@
 
     @property
     def unreachable(self) -> list[str]:
-        """The known core machines that do not answer this proxy."""
+        """The addresses of known core machines that do not answer this proxy."""
         return [address for address in self.core_links.reachability.unreachable if self.members.knows(address)]
--- a/lilacsill/mesh/proxy/shutdown_sequence.py
+++ b/lilacsill/mesh/proxy/shutdown_sequence.py
@@ -1,9 +1,10 @@
-"""What a proxy does from SIGTERM to its exit.
+"""The graceful shutdown of a proxy, from SIGTERM to its exit.
 
-1. It announces that it leaves, is not ready any more, and closes each connection of a client with its next answer.
-2. When clients have had time to notice and nothing is in flight or unsent, or when the grace period is almost over, it
-   breaks off what is left and closes its listeners.
-3. When the last answers are sent, the event loop stops.
+1. The proxy announces that it is leaving, fails its readiness check, and closes each client connection with the next
+   response.
+2. It closes its listeners once clients have had time to notice and nothing is in flight or unsent. When the grace
+   period is almost over, it first aborts the requests that are still in flight.
+3. It stops the event loop when the last responses have been sent.
 """
 
 from __future__ import annotations
@@ -18,8 +19,8 @@
 from .graceful_shutdown import GracefulShutdown, kill_margin_us
 from .offer_server import OfferServer
 
-CHECK_US = 50_000
-NOTICE_US = 2_600_000  # clients go elsewhere after two readiness checks that failed
+CHECK_INTERVAL_US = 50_000
+READINESS_PROPAGATION_US = 2_600_000  # clients switch to another proxy after two failed readiness checks
 
 
 class ShutdownSequence:
@@ -35,7 +36,7 @@
         offer_server: OfferServer,
         discovery: DiscoveryClient,
     ) -> None:
-        """Prepare the sequence; `grace_us` is the time from SIGTERM until the platform kills the process."""
+        """Create the sequence; `grace_us` is the time from SIGTERM until the platform kills the process."""
         self._reactor, self._grace_us = reactor, grace_us
         self._kill_margin_us = kill_margin_us(grace_us)
         self._forwarder, self._clients = forwarder, clients
@@ -44,17 +45,17 @@
 
     @property
     def is_started(self) -> bool:
-        """Whether the process shuts down."""
+        """Whether the shutdown has begun."""
         return self._started_at is not None
 
     def start(self) -> None:
-        """Begin; a second call changes nothing."""
+        """Start the shutdown. Further calls have no effect."""
         if self._started_at is not None:
             return
-        log.info("graceful shutdown started")
+        log.info("graceful shutdown started, grace period %d ms", self._grace_us // 1000)
         now = self._started_at = self._reactor.now()
-        take_all_us = min(NOTICE_US, self._grace_us // 2)
-        self._forwarder.shutdown = GracefulShutdown(now + take_all_us, now + self._grace_us - self._kill_margin_us)
+        accept_all_us = min(READINESS_PROPAGATION_US, self._grace_us // 2)
+        self._forwarder.shutdown = GracefulShutdown(now + accept_all_us, now + self._grace_us - self._kill_margin_us)
         self._clients.start_draining()
         self._discovery.announce_leaving()
         self._drain(now)
@@ -68,20 +69,21 @@
         elapsed_us = self._reactor.now() - started_at
         is_late = elapsed_us > self._grace_us - self._kill_margin_us
         if is_late:
-            # The backend may still be at work on these. Answers that wait behind them on their connections are sent.
+            # Backends may still be processing these. Aborting them lets pipelined responses behind them be sent.
             for request in list(self._forwarder.in_flight):
-                request.break_off()
-            if self._forwarder.counters.broken_off:
+                request.abort_for_shutdown()
+            if self._forwarder.counters.aborted_for_shutdown:
                 log.warning(
-                    "%d requests broken off at the end of the grace period", self._forwarder.counters.broken_off
+                    "aborted %d requests in flight at the end of the grace period",
+                    self._forwarder.counters.aborted_for_shutdown,
                 )
-        if is_late or (elapsed_us > NOTICE_US and not self._is_busy):
+        if is_late or (elapsed_us > READINESS_PROPAGATION_US and not self._is_busy):
             self._clients.listener.close()
             self._offer_server.close()
             self._clients.close_idle()
-            self._reactor.after(CHECK_US, self._stop, started_at)
+            self._reactor.after(CHECK_INTERVAL_US, self._stop, started_at)
         else:
-            self._reactor.after(CHECK_US, self._drain, started_at)
+            self._reactor.after(CHECK_INTERVAL_US, self._drain, started_at)
 
     def _stop(self, started_at: int) -> None:
         elapsed_us = self._reactor.now() - started_at
@@ -90,4 +92,4 @@
                 log.flush()
             self._reactor.stop()
         else:
-            self._reactor.after(CHECK_US, self._stop, started_at)
+            self._reactor.after(CHECK_INTERVAL_US, self._stop, started_at)
--- a/lilacsill/mesh/proxy/status_report.py
+++ b/lilacsill/mesh/proxy/status_report.py
@@ -1,4 +1,4 @@
-"""The status of a proxy as operators see it (`python -m lilacsill.mesh.proxy status`)."""
+"""The status report of a proxy for operators (`python -m lilacsill.mesh.proxy status`)."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
     service: str
     state: str  # see `EndpointState`
     slots: int
-    circuit_open: bool  # it answers nothing; one read at a time tries it
+    circuit_open: bool  # the backend does not respond; one read at a time is sent as a probe
     connections: int
     max_connections: int
-    connections_forgotten: int  # idle ones that the backend turned out to have dropped
+    connections_forgotten: int  # stale idle connections: the backend had dropped them
     running: int
     load: Load
 
@@ -37,48 +37,48 @@
     node: str
     server: str  # its incarnation
     state: str
-    in_flight: int  # in its last report
-    unreported_attempts: int  # of this proxy, since that report
-    slowdown: float  # 0.0: not known
+    in_flight: int  # as in its last report
+    unreported_attempts: int  # attempts of this proxy since that report
+    slowdown: float  # 0.0: unknown
     failure_rate: float
-    report_age_ms: int | None  # None: there was no report
-    ejected_ms: int  # for so long it is left out, since its machine could not be reached
+    report_age_ms: int | None  # None: no report received
+    ejected_ms: int  # remaining time of its ejection, after its machine could not be reached
 
 
 class OperationsStatus(msgspec.Struct):
-    """The operations with a key that this proxy claimed, within the key window and a margin."""
+    """The keyed operations that this proxy has claimed within the key window plus a margin."""
 
-    states: dict[str, int]  # how many are in each `RecordState`
+    states: dict[str, int]  # number of operations by `RecordState`
     response_bytes: int
-    replayed: int  # repeats that got a stored response
+    replayed: int  # repeats answered with a stored response
 
 
 class RelaysStatus(msgspec.Struct):
-    """Questions to core machines that went through other proxies, since the start."""
+    """Requests to core machines that were relayed by other proxies, since the start."""
 
     unreachable: list[str]  # the core machines that do not answer this proxy
-    answered: int  # own questions whose answer came through another proxy
-    unanswered: int
-    served: int  # questions of other proxies
-    refused: int
+    answered: int  # requests of this proxy answered through another proxy
+    unanswered: int  # requests of this proxy that no relay answered
+    served: int  # requests of other proxies sent to core machines
+    refused: int  # requests of other proxies not sent
 
 
 class ProxyStatus(msgspec.Struct):
-    """The whole report."""
+    """The complete report."""
 
     node: str
     config_seq: int
-    sure: bool  # the configuration here is the one in force
-    unsure_reason: str = msgspec.field(name="why_unsure")  # the key is the same in the status of all programs
+    sure: bool  # the local configuration is the one in force
+    unsure_reason: str = msgspec.field(name="why_unsure")  # all programs use this key in their status
     age_ms: int | None
-    leaving: bool
-    requests: int  # of clients of this machine, in flight
+    leaving: bool  # the proxy shuts down
+    requests: int  # in flight, of clients on this machine
     backend: BackendStatus
-    registry_versions: dict[str, tuple[int, int]]  # by registry: its incarnation, version of its directory
-    monitors: list[str]  # the proxies that this one pings
+    registry_versions: dict[str, tuple[int, int]]  # by registry: its incarnation, and the version of its directory
+    monitors: list[str]  # the proxies that this one monitors by pings
     suspects: list[str]
     tables: dict[str, list[EndpointStatus]]  # by service
-    refusals: dict[str, int]  # requests that got no attempt, by `RefusalReason`
+    refusals: dict[str, int]  # requests answered without an attempt, by `RefusalReason`
     operations: OperationsStatus | None
     relays: RelaysStatus
     log: list[str]
@@ -94,7 +94,7 @@
     shared_state: SharedState,
     now: int,
 ) -> ProxyStatus:
-    """Return the status as of now."""
+    """Return the status report at the time `now`, in microseconds."""
     return ProxyStatus(
         node=node,
         config_seq=forwarder.config.seq,
--- a/lilacsill/mesh/proxy/suspected_attempts.py
+++ b/lilacsill/mesh/proxy/suspected_attempts.py
@@ -1,7 +1,7 @@
-"""Attempts of one request whose backends may not answer, kept open beside the attempt elsewhere.
+"""Attempts of one request whose backends may not answer, kept open while another attempt is made.
 
-Whichever backend answers first gives the response. Until then nothing is given up: a suspicion may be wrong, and the
-attempt elsewhere may be rejected.
+The first response is used. Until then no attempt is cancelled: the suspicion may be wrong, and the other attempt may be
+rejected.
 """
 
 from __future__ import annotations
@@ -17,22 +17,22 @@
 
 
 class SuspectedAttemptOwner(Protocol):
-    """The request."""
+    """The request that the suspected attempts belong to."""
 
     def on_suspect_answered(self, suspect: SuspectedAttempt, response: Response) -> None:
-        """Handle the response, or its head, of a backend that was suspected."""
+        """Handle a response, or its head, from a suspected backend."""
 
     def on_suspect_failed(self, suspect: SuspectedAttempt) -> None:
-        """Handle that a suspected attempt will get no response."""
+        """Handle a suspected attempt that ended without a usable response."""
 
 
 class SuspectedAttempt:
-    """One attempt that is kept open; the `exchange.OutcomeListener` of its exchange."""
+    """One suspected attempt that is kept open. Implements `exchange.OutcomeListener` for its exchange."""
 
     __slots__ = ("_owner", "attempt", "exchange")
 
     def __init__(self, owner: SuspectedAttemptOwner, attempt: Attempt, exchange: Exchange) -> None:
-        """Take the exchange of an attempt over."""
+        """Take over the exchange of an attempt."""
         self._owner, self.attempt, self.exchange = owner, attempt, exchange
         exchange.hand_over(self)
 
@@ -45,7 +45,7 @@
             self._owner.on_suspect_failed(self)
 
     def on_suspected(self, message: Suspected) -> None:
-        """Do nothing: that is known."""
+        """Ignore the message: the attempt is suspected already."""
 
     def on_unreachable(self) -> None:
         """End the attempt."""
@@ -57,12 +57,12 @@
 
 
 class SuspectedAttempts:
-    """Those of one request."""
+    """The open suspected attempts of one request."""
 
     __slots__ = ("_table", "_reactor", "_open")
 
     def __init__(self, table: EndpointTable, reactor: Reactor) -> None:
-        """Begin without any; `table` has the endpoints of the request's service."""
+        """Start without any; `table` holds the endpoints of the request's service."""
         self._table, self._reactor = table, reactor
         self._open: list[SuspectedAttempt] = []
 
@@ -77,18 +77,18 @@
         """Keep an attempt open."""
         self._open.append(suspect)
 
-    def take(self, suspect: SuspectedAttempt) -> None:
-        """Give an attempt back to its request, which counts its end."""
+    def remove(self, suspect: SuspectedAttempt) -> None:
+        """Return an attempt to its request, which will record its end."""
         self._open.remove(suspect)
 
     def end(self, suspect: SuspectedAttempt) -> None:
-        """Count the end of an attempt."""
+        """Remove an attempt that has ended, and record its end at the endpoint."""
         self._open.remove(suspect)
         number = suspect.attempt.number
         self._table.attempt_ended(suspect.attempt.entry, number, None, self._reactor.now())
 
     def cancel_all(self) -> None:
-        """Give all of them up."""
+        """Cancel all suspected attempts."""
         for suspect in list(self._open):
             suspect.exchange.cancel()
             self.end(suspect)
--- a/lilacsill/mesh/proxy/traffic_split.py
+++ b/lilacsill/mesh/proxy/traffic_split.py
@@ -1,11 +1,11 @@
-"""The parts of a route's traffic: which service a request goes to, by the shares of the configuration. No I/O.
-
-Each part gets its share of the requests, also where many proxies see a few requests each. Independent draws would miss
-the shares by chance: of 300 requests over two equal parts, one time in twelve by more than 0.05 (normal approximation).
-The fractional parts of multiples of the golden ratio spread evenly over the unit interval whatever their number
-(Niederreiter, "Random Number Generation and Quasi-Monte Carlo Methods", 1992, chapter 3), so that a proxy is off by
-about one request. Each proxy starts at a point of its own, drawn at random, so that the first requests of many proxies
-do not go to the same part.
+"""Traffic splitting: chooses the service of each request of a route by the configured shares. No I/O.
+
+Each part gets its share of the requests, even if each of many proxies sees only a few. Independent random draws would
+deviate by chance: with 300 requests over two equal parts, by more than 0.05 in one of twelve cases (normal
+approximation). The fractional parts of multiples of the golden ratio are evenly distributed over the unit interval for
+any number of them (Niederreiter, "Random Number Generation and Quasi-Monte Carlo Methods", 1992, chapter 3), so that a
+proxy deviates by about one request. Each proxy starts at a random point, so that the first requests of many proxies do
+not all go to the same part.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
     """One service of a split."""
 
     service: str
-    share: float  # in any unit, as long as it is the same for all parts; not negative
+    share: float  # not negative; relative to the shares of the other parts
 
 
 class TrafficSplit:
@@ -32,11 +32,11 @@
     __slots__ = ("services", "_bounds", "_position")
 
     def __init__(self, parts: Sequence[TrafficPart]) -> None:
-        """Prepare the split; parts without a share get nothing, and one part at least has a share."""
-        shared = [part for part in parts if part.share > 0]
-        self.services = tuple(part.service for part in shared)
-        self._bounds = tuple(accumulate(part.share for part in shared))
-        self._position: float | None = None  # between 0 and 1; None: nothing was chosen yet
+        """Create the split. Parts with share 0 get no requests; at least one share must be positive."""
+        weighted = [part for part in parts if part.share > 0]
+        self.services = tuple(part.service for part in weighted)
+        self._bounds = tuple(accumulate(part.share for part in weighted))
+        self._position: float | None = None  # between 0 and 1; None before the first choice
 
     def choose(self, rng: Random) -> str:
         """Return the service of the next request."""
@@ -45,4 +45,4 @@
         position = rng.random() if self._position is None else (self._position + GOLDEN_RATIO_FRACTION) % 1.0
         self._position = position
         index = bisect_right(self._bounds, position * self._bounds[-1])
-        return self.services[min(index, len(self.services) - 1)]  # rounding may reach the last bound
+        return self.services[min(index, len(self.services) - 1)]  # the position may reach the last bound by rounding
--- a/lilacsill/mesh/proxy/undecided_log.py
+++ b/lilacsill/mesh/proxy/undecided_log.py
@@ -1,4 +1,4 @@
-"""Log lines about requests that were refused for lack of a decision, at most one in a second. No I/O but the log."""
+"""Rate-limited log of requests refused because their permits were not decided: at most once per second."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from .reasons import RefusalReason
 
-INTERVAL_US = 1_000_000  # a storm of refusals must not push all other lines out of the log
+INTERVAL_US = 1_000_000  # so that a burst of refusals does not displace all other lines of the log ring
 
 
 class UndecidedLog:
-    """Counts refusals by reason, and logs the counts."""
+    """Counts refusals by reason, and logs the counts at intervals."""
 
     def __init__(self) -> None:
         self._counts: Counter[RefusalReason] = Counter()
@@ -25,5 +25,5 @@
             return
         self._logged_at = now
         for counted_reason, count in self._counts.items():
-            log.info("%d requests refused for lack of a decision: %s", count, counted_reason)
+            log.info("refused %d requests without a decision on their permits: %s", count, counted_reason)
         self._counts.clear()
--- a/lilacsill/mesh/proxy/watch_list.py
+++ b/lilacsill/mesh/proxy/watch_list.py
@@ -1,9 +1,9 @@
-"""Which proxies a proxy monitors: those for which rendezvous hashing names it among their few monitors. No I/O.
+"""The proxies that a proxy monitors: those for which rendezvous hashing selects it as one of their monitors. No I/O.
 
-A proxy does not monitor a node if it knows as many others with a higher weight for that node as a node has monitors.
-It takes few comparisons to find them, unless its own weight is among the highest. So the whole list takes n log n
-comparisons, where sorting the monitors of every node would take n squared. As long as those others stay, nothing
-changes for that node.
+A proxy does not monitor a node if it has found as many other proxies with a higher weight for that node as each node
+has monitors. Finding them takes few comparisons, unless its own weight is among the highest. So the whole list takes
+n log n comparisons, whereas sorting the monitors of every node would take n squared. While those other proxies remain,
+the result for that node does not change.
 """
 
 from __future__ import annotations
@@ -17,14 +17,19 @@
     """The nodes that one proxy monitors."""
 
     def __init__(self, node: str, monitors: int) -> None:
-        """Begin with an empty list, for a proxy `node` in a fleet where each node has so many `monitors`."""
+        """Start with an empty list.
+
+        Args:
+            node: The name of this proxy.
+            monitors: The number of monitors of each node.
+        """
         self._node, self._monitors = node, monitors
-        # For each node others with a higher weight than this proxy, no more than a node has monitors.
+        # For each node, other proxies with a higher weight than this one; at most as many as a node has monitors.
         self._outranking: dict[str, tuple[str, ...]] = {}
         self.monitored: list[str] = []
 
     def sync(self, nodes: Iterable[str]) -> None:
-        """Take over the names of all proxies."""
+        """Update the list for the names of all current proxies."""
         current = set(nodes) - {self._node}
         removed = self._outranking.keys() - current
         added = current - self._outranking.keys()
@@ -42,7 +47,7 @@
         )
 
     def _compare_with_added(self, added: set[str]) -> None:
-        """Find the new nodes that take this one's place as a monitor."""
+        """Add the new nodes that outrank this proxy as a monitor of a known node."""
         for node, outranking in self._outranking.items():
             if len(outranking) < self._monitors:
                 own = (rendezvous_weight(node, self._node), self._node)
--- a/lilacsill/mesh/virtual_soak/exchange.py
+++ b/lilacsill/mesh/virtual_soak/exchange.py
@@ -12,7 +12,7 @@
 from lilacsill.mesh.operations.operation_gate import OperationRun
 from lilacsill.mesh.proxy.request_head import forwarded_headers
 from lilacsill.mesh.proxy.request_permission import RequestPermission, permit_needs
-from lilacsill.mesh.proxy.request_permits import OwnResponse
+from lilacsill.mesh.proxy.request_permits import LocalResponse
 from lilacsill.mesh.proxy.tenant_check import KeyRefusal, check_tenant
 from lilacsill.mesh.runtime.messages import Headers
 from lilacsill.mesh.runtime.records import StoredResponse
@@ -36,10 +36,10 @@
         offers: Offers,
         request: ClientRequest,
         work: RouteWork,
-        respond: Callable[[OwnResponse], None],
+        respond: Callable[[LocalResponse], None],
     ) -> None:
         self._proxy, self._offers, self._request, self._work = proxy, offers, request, work
-        self._respond: Callable[[OwnResponse], None] | None = respond  # None: the exchange is over
+        self._respond: Callable[[LocalResponse], None] | None = respond  # None: the exchange is over
         self._permission = RequestPermission()
         self._run: OperationRun | None = None
         self._headers: Headers = []
@@ -89,7 +89,7 @@
             self._permission.begin_run(run)
         self._offer()
 
-    def on_answered(self, response: OwnResponse) -> None:
+    def on_answered(self, response: LocalResponse) -> None:
         """Pass on the response of somebody else, or a refusal."""
         self._finish(response)
 
@@ -111,7 +111,7 @@
             return
         if self._run is not None:
             self._run.answer(response)
-        self._finish(OwnResponse(response.status, response.headers, response.body))
+        self._finish(LocalResponse(response.status, response.headers, response.body))
 
     # The end
 
@@ -125,9 +125,9 @@
         self._permission.end()
 
     def _refuse(self, status: int) -> None:
-        self._finish(OwnResponse(status, [], b""))
+        self._finish(LocalResponse(status, [], b""))
 
-    def _finish(self, response: OwnResponse) -> None:
+    def _finish(self, response: LocalResponse) -> None:
         respond, self._respond = self._respond, None
         if respond is not None:
             respond(response)
--- a/lilacsill/mesh/virtual_soak/proxy_host.py
+++ b/lilacsill/mesh/virtual_soak/proxy_host.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from lilacsill.mesh.proxy.request_permits import OwnResponse
+from lilacsill.mesh.proxy.request_permits import LocalResponse
 from lilacsill.mesh.runtime.settings import Settings
 from lilacsill.mesh.simulation.network import MS, Machine
 from lilacsill.mesh.soak.observations import ClientRequest
@@ -55,6 +55,6 @@
         """Call something on the machine: at once, once it is no longer frozen, or never."""
         self.machine.here(call)()
 
-    def exchange(self, request: ClientRequest, route: RouteWork, respond: Callable[[OwnResponse], None]) -> Exchange:
+    def exchange(self, request: ClientRequest, route: RouteWork, respond: Callable[[LocalResponse], None]) -> Exchange:
         """Return the exchange of a request that has come to the present run."""
         return Exchange(self.proxy, self._offers, request, route, respond)
--- a/lilacsill/mesh/virtual_soak/virtual_clients.py
+++ b/lilacsill/mesh/virtual_soak/virtual_clients.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from random import Random
 
-from lilacsill.mesh.proxy.request_permits import OwnResponse
+from lilacsill.mesh.proxy.request_permits import LocalResponse
 from lilacsill.mesh.simulation.network import MS, SECOND, Time
 from lilacsill.mesh.soak.client import (
     AFTER_DEADLINE_US,
@@ -172,7 +172,7 @@
             self._exchange = self._host.exchange(self._request, self._route, self._on_response)
             self._exchange.start()
 
-    def _on_response(self, response: OwnResponse) -> None:
+    def _on_response(self, response: LocalResponse) -> None:
         request = self._request
         if request.end is not RequestEnd.PENDING:
             return
--- a/lilacsill/mesh/virtual_soak/virtual_proxy.py
+++ b/lilacsill/mesh/virtual_soak/virtual_proxy.py
@@ -41,7 +41,7 @@
     """Stands for `Upstreams`."""
 
     def __init__(self) -> None:
-        self.proxies = 1
+        self.proxy_count = 1
         self.tables: dict[str, NoTable] = {}
         self.links = NoLinks()
 
--- a/tests/control/control_plane.py
+++ b/tests/control/control_plane.py
@@ -108,7 +108,7 @@
         reactor: Any = Reactor(self._machine(f"{ip}:0"))
         table = SimpleNamespace(remove=lambda node: None, update=lambda endpoint, now: None)
         links = SimpleNamespace(close_idle=lambda address: None)
-        upstreams: Any = SimpleNamespace(tables={}, table=lambda service: table, proxies=1, links=links)
+        upstreams: Any = SimpleNamespace(tables={}, table=lambda service: table, proxy_count=1, links=links)
         settings = settings_of(ip, self.fleet.seeds)
         self.proxies[ip] = discovery.DiscoveryClient(
             settings, reactor, ActiveConfig(), BackendLifecycle(0), KnownEndpoints(ip, upstreams), set(), lambda: None
--- a/tests/mesh/proxy/test_answers_for_a_backend_at_work.py
+++ b/tests/mesh/proxy/test_answers_for_a_backend_at_work.py
@@ -202,7 +202,7 @@
 
 # Guards against a process that ends while the kernel has not taken the whole response of a slow reader.
 def test_a_leaving_proxy_stays_until_its_clients_have_their_responses(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("lilacsill.mesh.proxy.shutdown_sequence.NOTICE_US", 100 * MS)
+    monkeypatch.setattr("lilacsill.mesh.proxy.shutdown_sequence.READINESS_PROPAGATION_US", 100 * MS)
     with stage() as s:
         s.add("one").script += ["answers long"]
         leaving = Leaving(s, monkeypatch, grace_s=20.0)
--- a/tests/mesh/proxy/test_graceful_shutdown.py
+++ b/tests/mesh/proxy/test_graceful_shutdown.py
@@ -16,7 +16,7 @@
 
 S = 1_000_000
 MS = 1_000
-SHUTDOWN = GracefulShutdown(take_all_until=13 * S, break_off_at=15 * S)
+SHUTDOWN = GracefulShutdown(accept_all_until=13 * S, abort_at=15 * S)
 
 
 @pytest.mark.parametrize(
--- a/tests/mesh/proxy/test_idle_limit.py
+++ b/tests/mesh/proxy/test_idle_limit.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lilacsill.mesh.proxy.idle_limit import LIMIT_LIFETIME_US, MAX_IDLE_FOR_WRITE_US, RESET_WITHIN_US, IdleLimit
+from lilacsill.mesh.proxy.idle_limit import LIMIT_LIFETIME_US, MAX_IDLE_FOR_WRITE_US, MAX_RESET_DELAY_US, IdleLimit
 
 MS, S = 1_000, 1_000_000
 KEEP_ALIVE_US = 4 * S
@@ -31,5 +31,5 @@
 def test_a_reset_of_a_new_connection_or_a_late_one_says_nothing() -> None:
     limit = IdleLimit()
     limit.record_reset(0, 5 * MS, S)
-    limit.record_reset(200 * MS, RESET_WITHIN_US + 1, S)
+    limit.record_reset(200 * MS, MAX_RESET_DELAY_US + 1, S)
     assert limit.limit_us(True, KEEP_ALIVE_US, S) == KEEP_ALIVE_US and limit.resets == 0
--- a/tests/mesh/proxy/test_known_endpoints.py
+++ b/tests/mesh/proxy/test_known_endpoints.py
@@ -70,9 +70,9 @@
     with stage() as s:
         known = Known(s)
         known.apply(RECORD, replace(RECORD, node="n2"))
-        assert known.upstreams.proxies == 2
+        assert known.upstreams.proxy_count == 2
         known.apply(removed=("n1", "n2"))
-        assert known.upstreams.proxies == 1
+        assert known.upstreams.proxy_count == 1
 
 
 def test_peers_are_all_others_that_do_not_leave() -> None:
--- a/tests/mesh/proxy/test_request_body.py
+++ b/tests/mesh/proxy/test_request_body.py
@@ -2,17 +2,17 @@
 
 from __future__ import annotations
 
-from lilacsill.mesh.proxy.request_body import MAX_KEPT_BYTES, RequestBody
+from lilacsill.mesh.proxy.request_body import MAX_REPLAYABLE_BYTES, RequestBody
 
 
 def test_a_short_body_is_kept_as_it_comes() -> None:
     body = RequestBody(b"first ", is_complete=False)
     body.append(b"second", is_last=True)
-    assert body.is_kept and body.is_complete and body.data == b"first second"
+    assert body.is_replayable and body.is_complete and body.data == b"first second"
 
 
 def test_a_long_body_is_dropped_and_stays_dropped() -> None:
-    body = RequestBody(b"x" * MAX_KEPT_BYTES, is_complete=False)
+    body = RequestBody(b"x" * MAX_REPLAYABLE_BYTES, is_complete=False)
     body.append(b"y", is_last=False)
     body.append(b"", is_last=True)
-    assert not body.is_kept and body.is_complete and body.data == b""
+    assert not body.is_replayable and body.is_complete and body.data == b""
--- a/tests/mesh/proxy/test_route_statistics.py
+++ b/tests/mesh/proxy/test_route_statistics.py
@@ -9,14 +9,14 @@
     statistics = RouteStatistics()
     for _ in range(MIN_SAMPLES - 1):
         statistics.record_duration("reads", 100)
-    assert statistics.usual_ms("reads") is None
+    assert statistics.expected_ms("reads") is None
 
 
 def test_the_usual_time_is_the_mean_of_the_first_samples() -> None:
     statistics = RouteStatistics()
     for number in range(MIN_SAMPLES):
         statistics.record_duration("reads", 100 if number % 2 else 50)
-    assert statistics.usual_ms("reads") == 75 and statistics.usual_ms("writes") is None
+    assert statistics.expected_ms("reads") == 75 and statistics.expected_ms("writes") is None
 
 
 def test_a_client_with_less_than_the_usual_patience_has_spent_the_difference() -> None:
--- a/tests/mesh/test_exchanges.py
+++ b/tests/mesh/test_exchanges.py
@@ -162,7 +162,7 @@
 def _grace(play: Play) -> None:
     play.stage.until(lambda: len(play.stage.forwarder.in_flight) == 1, "all but one have their answer")
     for forwarded in list(play.stage.forwarder.in_flight):
-        forwarded.break_off()
+        forwarded.abort_for_shutdown()
 
 
 @when("the client leaves")
--- a/tests/rules/defects.py
+++ b/tests/rules/defects.py
@@ -37,7 +37,7 @@
 from lilacsill.mesh.proxy.offer_server import OfferLink
 from lilacsill.mesh.proxy.request_body import RequestBody
 from lilacsill.mesh.proxy.request_offer import OfferTemplate
-from lilacsill.mesh.proxy.request_permits import OwnResponse, PendingPermits
+from lilacsill.mesh.proxy.request_permits import LocalResponse, PendingPermits
 from lilacsill.mesh.proxy.reasons import RejectionReason
 from lilacsill.mesh.proxy.retry_budget import RetryBudget
 from lilacsill.mesh.proxy.routes import Route
@@ -104,7 +104,7 @@
 
 
 def requests_wait_for_permits_as_long_as_their_clients(patch: Patch) -> None:
-    patch.setattr(request_permits, "PATIENCE_SHARE", 2.0)
+    patch.setattr(request_permits, "PERMIT_WAIT_SHARE", 2.0)
 
 
 def a_token_that_is_waited_for_is_taken_though_the_client_left(patch: Patch) -> None:
@@ -127,7 +127,7 @@
     patch.setattr(
         request_permits,
         "replay",
-        lambda response, attempt_id: OwnResponse(response.status, response.headers, response.body),
+        lambda response, attempt_id: LocalResponse(response.status, response.headers, response.body),
     )
 
 
@@ -180,7 +180,7 @@
 
 
 def the_break_off_comes_at_a_fixed_time(patch: Patch) -> None:
-    patch.setattr(graceful_shutdown, "BREAK_OFF_SHARE", 1.0)
+    patch.setattr(graceful_shutdown, "KILL_MARGIN_SHARE", 1.0)
 
 
 def connections_are_idle_while_a_request_is_in_flight(patch: Patch) -> None:
@@ -307,7 +307,7 @@
 
 
 def the_budget_is_never_spent(patch: Patch) -> None:
-    patch.setattr(RetryBudget, "try_spend", lambda self, now, proxies: True)
+    patch.setattr(RetryBudget, "try_spend", lambda self, now, proxy_count: True)
 
 
 def every_attempt_has_all_of_the_time(patch: Patch) -> None:
--- a/tests/rules/test_quota_waits.py
+++ b/tests/rules/test_quota_waits.py
@@ -87,9 +87,9 @@
         client = s.connect(s.read(1, LIMITED_KEY) if kind == "limited read" else s.keyed(1))
         s.until(lambda: bool(forwarder.in_flight), "the request waits")
         for waiting in list(forwarder.in_flight):
-            waiting.break_off()
+            waiting.abort_for_shutdown()
         s.until(lambda: bool(client.answers), "there is a response")
-        assert client.answers[0].status == 503 and not forwarder.counters.broken_off
+        assert client.answers[0].status == 503 and not forwarder.counters.aborted_for_shutdown
         s.settle()
         s.settle()
         assert not one.ran
--- a/tests/virtual_soak/defects.py
+++ b/tests/virtual_soak/defects.py
@@ -13,7 +13,7 @@
 from lilacsill.mesh.operations.operation_name import operation_name
 from lilacsill.mesh.operations.operation_table import OperationTable, RecordState
 from lilacsill.mesh.proxy import request_head, request_permits, tenant_check
-from lilacsill.mesh.proxy.request_permits import OwnResponse
+from lilacsill.mesh.proxy.request_permits import LocalResponse
 from lilacsill.mesh.runtime.records import StoredResponse
 from lilacsill.mesh.store.state import ConfigState
 from lilacsill.mesh.tenants.directory import TenantDirectory
@@ -101,7 +101,7 @@
 def repeats_get_an_empty_body(patch: Patch) -> None:
     real = request_permits.replay
 
-    def replay(response: StoredResponse, attempt_id: bytes) -> OwnResponse:
+    def replay(response: StoredResponse, attempt_id: bytes) -> LocalResponse:
         return msgspec.structs.replace(real(response, attempt_id), body=b"")
 
     patch.setattr(request_permits, "replay", replay)
@@ -111,7 +111,7 @@
     patch.setattr(
         request_permits,
         "replay",
-        lambda response, attempt_id: OwnResponse(response.status, response.headers, response.body),
+        lambda response, attempt_id: LocalResponse(response.status, response.headers, response.body),
     )
 
 
