--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -55,7 +55,7 @@
         self._template = OfferTemplate(owner, request, route, tenant)
         self._deadline = self._template.deadline
         self._body = RequestBody(request.take_body(), is_complete)
-        self._body.is_awaiting_permits = True  # for the permits of the request
+        self._body.is_awaiting_permits = True
         self._history = AttemptHistory()
         self._failures = FailureRecord(owner, self._table, self._history, attempt_id(request))
         self._retries = RetryDecision(owner, route, self._service, self._history, self._body, self._deadline)
--- a/lilacsill/mesh/proxy/served_shares.py
+++ b/lilacsill/mesh/proxy/served_shares.py
@@ -10,7 +10,7 @@
 
 from typing import NamedTuple
 
-HALF_LIFE_US = 5_000_000  # of the weight of a request
+HALVING_US = 5_000_000  # time in which the weight of a request halves
 MIN_ARRIVALS = 10.0  # of a kind; with fewer its share is not significant
 STARVATION_THRESHOLD = 0.4  # of the share of all requests; the platform counts less than a quarter as starvation
 
@@ -26,7 +26,7 @@
 
     def decay(self, now: int) -> None:
         """Apply the decay since the last update. `now` is in microseconds."""
-        factor = 0.5 ** ((now - self._updated_at) / HALF_LIFE_US)
+        factor = 0.5 ** ((now - self._updated_at) / HALVING_US)
         self.arrived *= factor
         self.started *= factor
         self._updated_at = now
