--- a/lilacsill/mesh/proxy/request_permits.py
+++ b/lilacsill/mesh/proxy/request_permits.py
@@ -59,7 +59,7 @@
 
 
 class PermitListener(Protocol):
-    """The request that waits for permits. One of the methods is called, once."""
+    """The request that waits for permits. At most one of the methods is called, once."""
 
     def on_permitted(self, run: OperationRun | None) -> None:
         """Make the first attempt; the outcome of an operation that must run only once is reported to `run`."""
--- a/lilacsill/mesh/proxy/route_statistics.py
+++ b/lilacsill/mesh/proxy/route_statistics.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lilacsill.balancing.mechanisms.majority import usual
+from lilacsill.balancing.mechanisms.majority import majority_value
 
 MIN_SAMPLES = 8  # fewer samples are not representative
 MIN_GAIN = 0.02  # smoothing factor of the moving average; the first 50 samples have equal weight
@@ -14,7 +14,7 @@
     def __init__(self) -> None:
         self._mean_ms: dict[str, float] = {}
         self._samples: dict[str, int] = {}
-        self._usual_timeouts: dict[str, list[int]] = {}  # the state of a majority vote (`usual`)
+        self._usual_timeouts: dict[str, list[int]] = {}  # the state of a majority vote (`majority_value`)
 
     def record_duration(self, route: str, took_ms: int) -> None:
         """Record how long a backend took for a request, in milliseconds."""
@@ -34,4 +34,4 @@
         A client that retries after a refusal has less time left than is usual on its route.
         """
         votes = self._usual_timeouts.setdefault(route, [0, 0])
-        return max(0, usual(votes, client_timeout_us) - client_timeout_us)
+        return max(0, majority_value(votes, client_timeout_us) - client_timeout_us)
