--- a/lilacsill/mesh/proxy/failure_record.py
+++ b/lilacsill/mesh/proxy/failure_record.py
@@ -43,7 +43,7 @@
 
     def record_broken_off(self) -> None:
         """Record that the request is answered early because the process is about to exit."""
-        self._owner.counters.broken_off += 1
+        self._owner.counters.aborted_for_shutdown += 1
         log.info(
             "request %s: broken off at shutdown, after %d attempts that reached a backend",
             self._attempt_id_text(),
