--- a/lilacsill/mesh/proxy/admission.py
+++ b/lilacsill/mesh/proxy/admission.py
@@ -1,12 +1,12 @@
 """Admission control for a backend: which requests run, wait, or are rejected. No I/O; the caller passes the time.
 
-All requests to the backend pass through it, so the number of requests in flight is exact. A request whose expected wait
-exceeds its latency target is rejected at once, since its sender may find a free slot at another backend.
+All requests to the backend pass through it, so the number of requests in flight is exact. A request that would wait
+too long to meet its latency target is rejected at once, since its sender may find a free slot at another backend.
 
 The queue is ordered by expected duration, weighted by priority: a full backend serves the most value when short
 requests go first (Smith, "Various optimizers for single-stage production", 1956). Short requests are mostly internal
 calls that another request waits for. They must not fail because longer requests fill the queue, or their callers fail
-too and retry: they displace the longest waiting request, and may wait beyond their latency target.
+too and retry: they displace the heaviest waiting request, and may wait beyond their latency target.
 
 Requests of a starved kind (`served_shares`) go before all others until the kind has its share again.
 
@@ -29,7 +29,9 @@
 
 MAX_WAITING_PER_SLOT = 1.0
 PRIORITY_WEIGHT = 1.5  # weight factor for each step of lower priority
-LATE_WEIGHT = 2.2  # weight factor of a late request: it has 0.3 of its value, and 0.3 risks a second rejection
+# Weight factor of a late request, which has 0.3 of its value left. Its client may have been refused before, and a
+# second refusal costs 0.3 of the value.
+LATE_WEIGHT = 2.2
 STARVED_WEIGHT = 0.0  # weight of a request of a starved kind
 DISPLACING_SHARE = 0.5  # of the heaviest waiting request's weight: a request below it displaces that request
 
--- a/lilacsill/mesh/proxy/attempts.py
+++ b/lilacsill/mesh/proxy/attempts.py
@@ -39,7 +39,7 @@
         self.arrivals += 1
 
     def record_failed(self, entry: EndpointLoad) -> None:
-        """Record a failed attempt that reached the backend, so that the request may have run."""
+        """Record a failed attempt that counts as one that reached the backend: the request may have run."""
         self._failed_endpoints.append(entry)
         self.arrivals += 1
 
--- a/lilacsill/mesh/proxy/backend_lifecycle.py
+++ b/lilacsill/mesh/proxy/backend_lifecycle.py
@@ -50,7 +50,7 @@
 
 
 def parse_heartbeat(server: str, body: Any) -> BackendHeartbeat | None:
-    """Parse the JSON body of a heartbeat call; None if it is not a complete heartbeat."""
+    """Parse the JSON body of a heartbeat call. Return None if it is not a complete heartbeat."""
     try:
         details, condition = body["Details"], body["Condition"]
         return BackendHeartbeat(
--- a/lilacsill/mesh/proxy/backend_pool.py
+++ b/lilacsill/mesh/proxy/backend_pool.py
@@ -20,7 +20,7 @@
 
 
 class BackendPool:
-    """All connections to one backend. The most recently used one goes first, so that the others reach their limit."""
+    """All connections to one backend. The most recently used one is reused first, so that the others can expire."""
 
     def __init__(self, reactor: Reactor, address: Address) -> None:
         self._reactor, self._address = reactor, address
--- a/lilacsill/mesh/proxy/backend_request.py
+++ b/lilacsill/mesh/proxy/backend_request.py
@@ -1,8 +1,8 @@
 """One offered request: its admission, its transmission to the backend, and the response to its sender.
 
 The sender of the offer gets exactly one outcome: `Rejected` (a guarantee that the request has not run and never will),
-a response of the backend, or `NoResponse` (the request may have run). `Suspected` precedes the outcome if the backend
-may not answer.
+a response of the backend, or `NoResponse` (the request may have run). `Suspected` may precede the outcome of a
+read that the backend may not answer.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 from .circuit_breaker import CircuitBreaker
 from .reasons import FailureReason, RejectionReason
 
-MAX_BUFFERED_BYTES = 256 * 1024  # sent but not accepted by the receiver; above this the sender is paused
+MAX_BUFFERED_BYTES = 256 * 1024  # not accepted by the receiver yet; above this the source of the data is not read
 LATE_SHARE = 0.7  # of the expected duration: a request with less time to its latency target is late
 MIN_TIME_LEFT_US = 1_000  # a request with less time left is not passed to the backend
 RESPONSE_MARGIN_US = 30_000  # wait after the deadline for the backend's own 504
--- a/lilacsill/mesh/proxy/client_connection.py
+++ b/lilacsill/mesh/proxy/client_connection.py
@@ -159,7 +159,7 @@
     # Responses
 
     def flush(self, response: PendingResponse) -> int:
-        """Send the responses that are next in order. Return how many bytes of this one the client has not accepted."""
+        """Send what is next in order. Return how many bytes of `response` the client has not accepted."""
         if self.closed or self.stream is None:
             return 0
         while self._responses:
--- a/lilacsill/mesh/proxy/client_listener.py
+++ b/lilacsill/mesh/proxy/client_listener.py
@@ -56,7 +56,7 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Whether a client has not accepted all bytes sent to it."""
+        """Whether any client has not accepted all bytes sent to it."""
         return any(connection.unsent for connection in self.connections)
 
     def close_idle(self) -> None:
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -68,7 +68,7 @@
         self._pending: dict[str, int] = {}  # by registry: the number of the latest poll
         self._poll_count = 0
         self._newest_seq = 0  # highest known sequence number of the configuration
-        self._config_requested_from: set[str] = set()  # registries that send the configuration for the next poll
+        self._config_requested_from: set[str] = set()  # registries that must send it in reply to their next poll
         # The time of day is probably higher than the number of the previous run.
         self._incarnation = Incarnation(time.time_ns() // 1000)
         # Proof that the local configuration is the one in effect.
@@ -147,7 +147,8 @@
     def _should_send_config(self, registry: str) -> bool:
         """Return whether a registry should send the configuration with its reply.
 
-        Only one registry does. The others report that a newer one exists, and send it on request if the first fails.
+        Only one registry does. The others report that a newer configuration exists, and send it on request if the
+        first registry fails.
         """
         is_requested = registry in self._config_requested_from
         self._config_requested_from.discard(registry)
--- a/lilacsill/mesh/proxy/failure_detector.py
+++ b/lilacsill/mesh/proxy/failure_detector.py
@@ -6,7 +6,7 @@
 Rendezvous hashing assigns three monitors to each proxy without coordination. If a proxy does not answer a ping, two
 other proxies ping it as well. If they cannot reach it either, it is reported to the registries as a suspect; the
 registries accept a suspicion that two proxies report. A proxy that was stalled itself, or that finds most of its
-monitored proxies unresponsive, assumes that its own connection is at fault and reports nothing.
+monitored proxies unresponsive, assumes that its own connection is at fault and suspects no further proxies.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 PING_TIMEOUT_US = 350_000
 INDIRECT_PING_TIMEOUT_US = 500_000
 STALL_THRESHOLD_US = 200_000  # a round delayed by more means that this process was stalled
-UNRELIABLE_AFTER_STALL_US = 1_500_000  # no suspects are reported for this long after a stall
+UNRELIABLE_AFTER_STALL_US = 1_500_000  # no proxies become suspects for this long after a stall
 
 
 class Environment(Protocol):
--- a/lilacsill/mesh/proxy/failure_record.py
+++ b/lilacsill/mesh/proxy/failure_record.py
@@ -36,7 +36,7 @@
             self.eject(entry)
 
     def record_failed(self, entry: EndpointLoad, reason: str) -> None:
-        """Record that the request reached the backend, failed there and may have run."""
+        """Record an attempt that failed after it may have reached the backend: the request may have run."""
         self._owner.counters.failed_attempts[reason] += 1
         log.info("request %s: attempt at %s failed: %s", self._attempt_id_text(), entry.endpoint.node, reason)
         self._history.record_failed(entry)
@@ -45,7 +45,7 @@
         """Record that the request is answered early because the process is about to exit."""
         self._owner.counters.broken_off += 1
         log.info(
-            "request %s: broken off at shutdown, after %d attempts that reached a backend",
+            "request %s: broken off at shutdown, after %d earlier attempts that reached a backend",
             self._attempt_id_text(),
             self._history.arrivals,
         )
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -48,7 +48,7 @@
         is_complete: bool,
         tenant: Tenant | None,
     ) -> None:
-        """Create the state of a request that may use its route; `tenant` is the owner of its key."""
+        """Create the state of a request that may use its route; `tenant` is the owner of its key, if any."""
         self._owner, self._request, self._route, self._tenant = owner, request, route, tenant
         self._response = ClientResponse(response, owner.counters)
         self._service = route.split.choose(owner.rng)
@@ -173,7 +173,7 @@
         self._start_attempt()
 
     def on_suspect_answered(self, suspect: SuspectedAttempt, response: Response) -> None:
-        """Handle the response of a suspected backend. An error counts only if no other response can arrive."""
+        """Handle the response of a suspected backend. A 5xx counts only if no other response can arrive."""
         if self.is_over:
             return
         is_alone = self._current.attempt is None and self._suspects.is_only(suspect)
@@ -254,7 +254,7 @@
             self._fail()
 
     def _fail(self) -> None:
-        """Send an error: no attempt got a response, and the request may have run."""
+        """Send an error: there is no response to forward, and the request may have run."""
         if self._owner.reactor.now() >= self._deadline:
             self._respond(504, [], b"no answer in time\n")
         else:
