--- a/lilacsill/mesh/store/chain.py
+++ b/lilacsill/mesh/store/chain.py
@@ -79,7 +79,8 @@
     def may_append(self) -> bool:
         """Whether this member is the head and may assign the next sequence number.
 
-        It then has every acknowledged change, since its successor has confirmed that it holds no more than the head.
+        It then has every acknowledged change: its successor has shown in this view that it is not a complete copy ahead
+        of the head.
         Pending saves, possibly from an earlier view, must be on disk first.
         """
         replica = self._replica
@@ -177,7 +178,7 @@
         self.successor.advance()
 
     def complete_waiters(self) -> None:
-        """Call back the waiters whose changes are committed."""
+        """Call back the waiters whose changes are committed, and notify the observer."""
         self._waiters.complete(self.committed)
         self._observer.on_commit()
 
--- a/lilacsill/mesh/store/commands.py
+++ b/lilacsill/mesh/store/commands.py
@@ -23,11 +23,11 @@
     """Fetch all items of the configuration in force.
 
     Raises:
-        RequestFailed: The process did not answer, or no member that holds a read lease was reached.
+        RequestFailed: The process did not answer, or no synced tail that holds a read lease was reached.
     """
     answer = request(address, Follow(0, 0, 0))
     if not isinstance(answer, FollowReply) or answer.update is None:
-        raise RequestFailed(address, "no member that holds a read lease was reached")
+        raise RequestFailed(address, "no synced tail that holds a read lease was reached")
     return answer.update
 
 
--- a/lilacsill/mesh/store/disk_health.py
+++ b/lilacsill/mesh/store/disk_health.py
@@ -11,7 +11,7 @@
 from .replica import Replica
 
 STALLED_AFTER_US = 600_000  # age of the oldest pending write at which the disk counts as stalled
-SLOW_AFTER_US = 150_000  # age at which the disk may be about to stall; no lease is requested, to not delay a new view
+SLOW_AFTER_US = 150_000  # age at which a stall is likely: no lease is requested, as it would delay the next view
 
 
 def is_disk_stalled(environment: ReplicaEnvironment) -> bool:
--- a/lilacsill/mesh/store/environment.py
+++ b/lilacsill/mesh/store/environment.py
@@ -46,4 +46,4 @@
 
 
 def ignore_completion() -> None:
-    """Do nothing: the callback for a save whose completion has no effect."""
+    """Do nothing: the callback of a save whose completion nothing waits for."""
--- a/lilacsill/mesh/store/frontend.py
+++ b/lilacsill/mesh/store/frontend.py
@@ -47,7 +47,7 @@
     """The handler of operators' calls at one member.
 
     Attributes:
-        max_state_bytes: Calls that would make the state larger are rejected.
+        max_state_bytes: Calls that enlarge the state beyond this size are rejected.
         rejections: Status and reason of the latest rejected calls, newest last, for operators.
         rejected: Number of rejected calls in this run of the process, by type of rejection.
     """
--- a/lilacsill/mesh/store/learner_scheduler.py
+++ b/lilacsill/mesh/store/learner_scheduler.py
@@ -71,7 +71,7 @@
         return learners[index % len(learners)]
 
     def _is_behind(self, machine: MachineState) -> bool:
-        """Return whether the learner is known to lack changes."""
+        """Return whether the learner lacks changes, or may lack them because it has not reported in this view."""
         last = self._detector.last_reply(machine.member.address)
         if last is None:
             return False  # it has never replied; it counts as alive only because the view is new
--- a/lilacsill/mesh/store/lease_manager.py
+++ b/lilacsill/mesh/store/lease_manager.py
@@ -53,7 +53,7 @@
     # Holder
 
     def is_valid(self) -> bool:
-        """Return whether the view is certainly in force: a majority of its members have unexpired leases granted."""
+        """Return whether the view is certainly in force: this member holds leases of a majority of its members."""
         return not self.invalid_reason()
 
     def invalid_reason(self) -> str:
--- a/lilacsill/mesh/store/leases.py
+++ b/lilacsill/mesh/store/leases.py
@@ -110,7 +110,7 @@
         return [member for member in members if self._ends.get(member, now) > now]
 
     def remaining_us(self, view: View, me: Member, now: int) -> int:
-        """Return for how many microseconds leases of a majority of the view remain; 0 if fewer members grant one.
+        """Return for how many more microseconds leases of a majority of the view last; 0 if there is no majority.
 
         The holder counts towards the majority.
         """
--- a/lilacsill/mesh/store/membership.py
+++ b/lilacsill/mesh/store/membership.py
@@ -96,7 +96,7 @@
         return self._detector.peers()
 
     def holds_lease(self) -> bool:
-        """Return whether the view is certainly in force: a majority of its members have unexpired leases granted."""
+        """Return whether the view is certainly in force: this machine holds leases of a majority of its members."""
         return self._lease_manager.is_valid()
 
     def is_alone(self) -> bool:
--- a/lilacsill/mesh/store/node.py
+++ b/lilacsill/mesh/store/node.py
@@ -56,7 +56,7 @@
         new_incarnation: Incarnation of this machine's disk if the disk is empty.
         max_lost_machines: The number of machines that may be lost at the same time.
         max_lost_zones: The number of zones or regions that may be lost at the same time.
-        timing: The timing bounds, which are the same for all proxies.
+        timing: The bounds on what all proxies share, such as quotas and the records of operations.
     """
 
     address: str
--- a/lilacsill/mesh/store/operation_claims.py
+++ b/lilacsill/mesh/store/operation_claims.py
@@ -23,7 +23,7 @@
 from .replies import Replier
 
 CLAIM_TIMEOUT_US = 800_000  # the same as for operators' calls
-MAX_WAITING_CLAIMS = 4096  # the claims of ten seconds at 400 per second; claims beyond this are answered with UNKNOWN
+MAX_WAITING_CLAIMS = 4096  # about ten seconds of claims at 400 per second; claims beyond this are answered with UNKNOWN
 CHECKPOINT_INTERVAL_US = 5_000_000
 
 
@@ -75,7 +75,7 @@
         self._retention = OperationRetention(key_window_us)
         self._waiting: list[_PendingClaim] = []
         self._pending_floor = NO_FLOOR  # the next batch deletes records up to this sequence number
-        # The number of the last view in which this member was the head.
+        # The number of the last adopted view if this member is its head, else None.
         self._last_head_view = replica.view.number if replica.is_head else None
         self.counts = ClaimCounts()
         replica.view_listeners.append(self._on_view)
--- a/lilacsill/mesh/store/owner_index.py
+++ b/lilacsill/mesh/store/owner_index.py
@@ -25,7 +25,7 @@
             self._changed[value] = None
 
     def assign(self, value: UniqueValue, name: str) -> str | None:
-        """Make the item the owner of the value, and return the name of the previous owner."""
+        """Make the item the owner of the value, and return the name of the previous owner; None if there was none."""
         previous = self.owner(value)
         self._changed[value] = name
         return previous
--- a/lilacsill/mesh/store/paxos.py
+++ b/lilacsill/mesh/store/paxos.py
@@ -112,9 +112,8 @@
 
     ask: Callable[[Member, Message, Callable[[Message | None], None]], None]  # the answer is None after a timeout
     on_chosen: Callable[[View], None]
-    on_failed: Callable[
-        [View | None, Ballot], None
-    ]  # a later view that a voter reported, or None; the ballot to exceed
+    # Called with a later view that a voter reported, or None, and with the ballot that the next proposal must exceed.
+    on_failed: Callable[[View | None, Ballot], None]
 
 
 class Phase(Enum):
--- a/lilacsill/mesh/store/predecessor.py
+++ b/lilacsill/mesh/store/predecessor.py
@@ -31,7 +31,7 @@
         """Send the successor the changes that it lacks."""
 
     def wait_for_commit(self, seq: int, callback: CommitCallback) -> None:
-        """Call `callback` once the sequence number is committed."""
+        """Call back with True once the sequence number is committed, or with False at a new view."""
 
     def complete_waiters(self) -> None:
         """Run the callbacks that wait for sequence numbers that are now committed."""
@@ -47,7 +47,7 @@
         """Return whether the request is for the current view and for the role that this machine has in it.
 
         A machine that has lost its disk is a learner. If it accepted requests for its former position in the chain, it
-        would acknowledge changes that the members behind it may lack.
+        would acknowledge changes alone, without waiting for the members behind it, which may lack them.
         """
         replica = self._replica
         is_of_view = request.view_number == replica.view.number
--- a/lilacsill/mesh/store/process.py
+++ b/lilacsill/mesh/store/process.py
@@ -22,7 +22,8 @@
 from .node import DiskContents, Store, StoreSettings
 from .status import status_of
 
-DISK_TO_STATE_RATIO = 8  # the database, its log and a database that was moved aside must all fit on the disk
+# The state may take 1/8 of the disk: the database, its log and a renamed corrupt database must all fit on it.
+DISK_TO_STATE_RATIO = 8
 INCARNATION_BYTES = 6
 
 
--- a/lilacsill/mesh/store/quotas.py
+++ b/lilacsill/mesh/store/quotas.py
@@ -56,9 +56,9 @@
     try:
         tenant = _tenant_body.decode(body)
     except msgspec.DecodeError:
-        # The validation of operators' calls rejects such a body, so it can only be corrupt.
+        # The validation of operators' calls rejects every such body, so none should be stored.
         log.warning(
-            "tenant %s: invalid limit in the configuration (sequence number %d); applying a limit of 0",
+            "tenant %s: cannot decode the limit (sequence number %d); the tenant has no limit until its next version",
             item.name,
             item.seq,
         )
--- a/lilacsill/mesh/store/reconfiguration.py
+++ b/lilacsill/mesh/store/reconfiguration.py
@@ -132,8 +132,8 @@
 def has_too_few_copies(cluster: ClusterState) -> bool:
     """Return whether the chain is too short for the tolerated losses while a live machine could join it.
 
-    A change that is acknowledged in this state could be lost with a single disk, although the number of lost disks is
-    within the tolerance. If no machine can join, the existing copies must suffice.
+    A change that is acknowledged in this state could be lost although no more disks are lost than the store tolerates:
+    the next disk to fail may be the only one that has it. If no machine can join, the existing copies must suffice.
     """
     wanted = max(cluster.min_copies, cluster.view.majority)
     return len(cluster.view.chain) < wanted and bool(cluster.learners)
--- a/lilacsill/mesh/store/state.py
+++ b/lilacsill/mesh/store/state.py
@@ -82,7 +82,7 @@
 
     @property
     def config_seq(self) -> int:
-        """The sequence number of the newest change of the configuration up to which it is complete."""
+        """The sequence number of the newest change of the configuration, up to which the configuration is complete."""
         newest = max(self._configuration.highest_seq(), self.tombstone_floor)
         return min(newest, self.seq)  # during a repair, an item may be newer than the state
 
@@ -202,7 +202,7 @@
         return [self._collection_for(key[0]).by_key[key] for key in self._range_index()[number]]
 
     def drop_range_index(self) -> None:
-        """Free the memory of the range index when no copy is being repaired."""
+        """Free the memory of the range index. Called when no copy is being repaired any more."""
         self._keys_by_range = None
 
     def digest(self) -> int:
--- a/lilacsill/mesh/store/successor.py
+++ b/lilacsill/mesh/store/successor.py
@@ -55,7 +55,7 @@
         ...
 
     def on_successor_confirmed(self) -> None:
-        """Handle the first confirmation in this view that the successor is not ahead of this copy."""
+        """Handle the first summary in this view, from a successor that is not a complete copy ahead of this one."""
 
     def on_successor_acknowledged(self) -> None:
         """Handle an acknowledgement: more changes may be on the disks of all members from the successor to the tail."""
@@ -70,7 +70,7 @@
     Attributes:
         acked_seq: All changes up to this sequence number are on the disks of all members from the successor to the
             tail. None: unknown in this view.
-        is_confirmed: Whether the successor has confirmed in this view that it is not ahead of this copy.
+        is_confirmed: Whether the successor has shown in this view that it is not a complete copy ahead of this one.
         repairs: Descriptions of the latest repairs, newest last, for operators.
     """
 
@@ -145,7 +145,7 @@
             return
         state = self._replica.state
         if summary.complete and summary.seq > state.seq:
-            # A complete successor can be ahead of this copy only if this disk has lost changes that it acknowledged.
+            # A complete successor can be ahead of this copy only if this disk has lost acknowledged changes.
             self._forget_progress()
             self._replica.mark_outdated()
             return
@@ -174,9 +174,9 @@
     def _send_repair(self, epoch: int, ranges: list[int], seq: int) -> None:
         """Send the next chunk: as many ranges as fit into it, and at least one.
 
-        Items that change during the repair are sent with the last chunk. A complete copy therefore has no item with a
-        sequence number above its own, which it would assign to another change if it became the head. An interrupted
-        repair starts again with a summary, whose digests show which ranges remain to be sent.
+        Items that change during the repair are sent with the last chunk. A complete copy therefore has no item newer
+        than the copy's own sequence number: as the head, it would assign the number of such an item to another change.
+        An interrupted repair starts again with a summary, whose digests show which ranges remain to be sent.
         """
         self._state = LinkState.REPAIRING
         items, count = self._chunk_of(ranges)
--- a/lilacsill/mesh/store/view_proposer.py
+++ b/lilacsill/mesh/store/view_proposer.py
@@ -1,7 +1,7 @@
 """Proposals of the next view. No I/O.
 
 Any member of the chain may propose. To limit concurrent proposals, each member delays its proposal according to its
-position among the live members: the first proposes immediately, and the others only if no view is chosen until then.
+position among the live members: the first proposes immediately, and the others only if no view has been chosen by then.
 """
 
 from __future__ import annotations
@@ -86,7 +86,8 @@
         if later_view is not None:
             self._replica.adopt(later_view)
         elif proposal is not None:
-            # Two members have proposed at the same time: each waits again for the delay of its position.
+            # Another member has proposed at the same time, or too few voters replied. Each proposer waits again for the
+            # delay of its position, and one `PROPOSER_DELAY_US` more.
             self._desired_since_us = self._environment.now() + PROPOSER_DELAY_US
 
     def _on_timeout(self, proposal: Proposal) -> None:
