--- a/lilacsill/mesh/store/paxos.py
+++ b/lilacsill/mesh/store/paxos.py
@@ -112,9 +112,7 @@
 
     ask: Callable[[Member, Message, Callable[[Message | None], None]], None]  # the answer is None after a timeout
     on_chosen: Callable[[View], None]
-    on_failed: Callable[
-        [View | None, Ballot], None
-    ]  # a later view that a voter reported, or None; the ballot to exceed
+    on_failed: Callable[[View | None, Ballot], None]  # a later view known to a voter, if any; the ballot to exceed
 
 
 class Phase(Enum):
