--- a/lilacsill/mesh/proxy/active_config.py
+++ b/lilacsill/mesh/proxy/active_config.py
@@ -1,4 +1,4 @@
-"""The configuration in effect in this process: routes, services, limits and tenants. No I/O."""
+"""The configuration in use in this process: routes, services, limits and tenants. No I/O."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
 
 
 class ActiveConfig:
-    """The configuration items in effect.
+    """The configuration items in use.
 
     Within one run of the process, an item never returns to a lower version.
 
@@ -84,7 +84,7 @@
         self.was_complete = False
 
     def apply(self, items: list[Item], seq: int) -> None:
-        """Apply the items that are newer than the ones in effect.
+        """Apply the items that are newer than the ones in use.
 
         Args:
             items: New or changed items; an item without a body is removed.
--- a/lilacsill/mesh/proxy/backend_lifecycle.py
+++ b/lilacsill/mesh/proxy/backend_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of the backend beside a proxy: its incarnation, its state, and the start of its drain. No I/O.
+"""The lifecycle of the backend of a proxy: its incarnation, its state, and the start of its drain. No I/O.
 
 A backend has a new server name after each start: the name identifies one incarnation. The proxy learns it from
 heartbeats, or from a health check if the proxy itself was started later than the backend.
--- a/lilacsill/mesh/proxy/circuit_breaker.py
+++ b/lilacsill/mesh/proxy/circuit_breaker.py
@@ -2,7 +2,7 @@
 
 A backend is silent if no connection to it succeeds, or if it answers none of the requests sent to it. While the breaker
 is open, requests are rejected at once, except for one trial at a time. The trial is an idempotent request if possible:
-it is unknown whether a write without a response has run. Only the proxy beside the backend can decide this, because all
+it is unknown whether a write without a response has run. Only the proxy of the backend can decide this, because all
 requests to the backend pass through that proxy.
 """
 
--- a/lilacsill/mesh/proxy/discovery.py
+++ b/lilacsill/mesh/proxy/discovery.py
@@ -71,12 +71,12 @@
         self._config_requested_from: set[str] = set()  # registries that must send it in reply to their next poll
         # The time of day is probably higher than the number of the previous run.
         self._incarnation = Incarnation(time.time_ns() // 1000)
-        # Proof that the local configuration is the one in effect.
+        # Proof that the local configuration is the one in force.
         self.config_freshness = FreshnessTracker(FRESHNESS_MAX_AGE_US)
         self._is_shutting_down = False
 
     def is_config_current(self) -> bool:
-        """Return whether the local configuration is proven to be the one in effect."""
+        """Return whether the local configuration is proven to be the one in force."""
         return self.config_freshness.is_current(self._environment.now())
 
     def start(self) -> None:
--- a/lilacsill/mesh/proxy/endpoint_table.py
+++ b/lilacsill/mesh/proxy/endpoint_table.py
@@ -70,7 +70,7 @@
         if entry is None or entry.endpoint.server != endpoint.server:
             entry = self.entries[endpoint.node] = EndpointLoad(endpoint, now)
         elif entry.endpoint.incarnation != endpoint.incarnation:
-            entry.ejected_until = entry.ejection_us = 0  # the proxy was restarted beside the same backend
+            entry.ejected_until = entry.ejection_us = 0  # the proxy was restarted, its backend was not
         entry.endpoint = endpoint
         if endpoint.warmup_left_ms:
             entry.warming_up_until = now + endpoint.warmup_left_ms * 1000
--- a/lilacsill/mesh/proxy/exchange.py
+++ b/lilacsill/mesh/proxy/exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges: one offer of a request to the proxy beside a backend, and its one outcome.
+"""Exchanges: one offer of a request to the proxy of a backend, and its one outcome.
 
 An exchange with the backend of this machine stays within the process; `exchange_links` implements those with other
 proxies.
--- a/lilacsill/mesh/proxy/failure_rate.py
+++ b/lilacsill/mesh/proxy/failure_rate.py
@@ -1,4 +1,4 @@
-"""The failure rate of a backend, as measured by the proxy beside it. No I/O; the caller passes the time.
+"""The failure rate of a backend, as measured by its proxy. No I/O; the caller passes the time.
 
 The backend's own health check may report a false success or a false failure, so only the outcomes of real requests
 count. Without outcomes the rate decays, so that the backend gets real requests again: a high rate makes a backend less
--- a/lilacsill/mesh/proxy/failure_record.py
+++ b/lilacsill/mesh/proxy/failure_record.py
@@ -41,17 +41,17 @@
         log.info("request %s: attempt at %s failed: %s", self._attempt_id_text(), entry.endpoint.node, reason)
         self._history.record_failed(entry)
 
-    def record_broken_off(self) -> None:
-        """Record that the request is answered early because the process is about to exit."""
+    def record_aborted_for_shutdown(self) -> None:
+        """Record that the request is ended early because the process is about to exit."""
         self._owner.counters.aborted_for_shutdown += 1
         log.info(
-            "request %s: broken off at shutdown, after %d earlier attempts that reached a backend",
+            "request %s: aborted for shutdown, after %d earlier attempts that may have reached a backend",
             self._attempt_id_text(),
             self._history.arrivals,
         )
 
     def eject(self, entry: EndpointLoad) -> None:
-        """Exclude an unreachable endpoint for a time."""
+        """Exclude an endpoint for a time: its proxy or backend cannot be reached, or its incarnation has changed."""
         self._table.eject(entry, self._owner.reactor.now())
 
     def _attempt_id_text(self) -> str:
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -2,7 +2,7 @@
 
 A rejected request has not reached a backend and is offered to the next endpoint without using the retry budget. A
 request that may have run is retried only if its route is idempotent and the retry budget allows it; otherwise its
-client gets an error that does not guarantee whether it ran. An operation that runs once continues after its client has
+client gets an error that does not say whether it ran. An operation that runs once continues after its client has
 disconnected, since repeats of the operation get its response. No other module sends a client's request again;
 `retry_decision` decides whether it may be sent.
 """
@@ -124,11 +124,15 @@
         self._current.cancel()
 
     def abort_for_shutdown(self) -> None:
-        """Answer at once, since the process is about to exit. The request may have run, unless it waits for permits."""
+        """End the request at once, since the process is about to exit.
+
+        The client gets an error, or a truncated response if the response has begun. The request may have run, unless it
+        waits for its permits.
+        """
         if self._permission.is_pending:
             self._refuse_unless_suspects()
             return
-        self._failures.record_broken_off()
+        self._failures.record_aborted_for_shutdown()
         self._on_timeout()
 
     # Attempts
@@ -263,7 +267,7 @@
     # End of the request
 
     def _refuse_unless_suspects(self) -> None:
-        """Refuse the request, which no backend accepts now, unless a suspected attempt may still be answered."""
+        """Refuse the request, as no further attempt is made, unless a suspected attempt may still be answered."""
         if self._suspects:
             return
         self._permission.release_run()
--- a/lilacsill/mesh/proxy/forwarder.py
+++ b/lilacsill/mesh/proxy/forwarder.py
@@ -68,7 +68,7 @@
             is_complete: Whether the whole body has been received.
 
         Returns:
-            The request in flight; None if it was answered without being offered to a backend.
+            The request, which may be over already; None if it was refused for its route, its key or the shutdown.
         """
         host = request.fields.get(b"host", b"").lower().partition(b":")[0]
         route = self.config.match(host, request.target.partition(b"?")[0])
--- a/lilacsill/mesh/proxy/graceful_shutdown.py
+++ b/lilacsill/mesh/proxy/graceful_shutdown.py
@@ -24,7 +24,7 @@
     """The schedule of one shutdown, as times of the reactor's clock in microseconds."""
 
     accept_all_until: int  # until then clients may not have noticed that the proxy is not ready
-    abort_at: int  # requests still in flight are answered by the proxy itself
+    abort_at: int  # when requests still in flight are aborted: the proxy answers them itself or truncates the response
 
     def can_finish(self, now: int, time_left_us: int) -> bool:
         """Return whether a request that arrives now is sure to end before `abort_at`, or must be accepted anyway.
--- a/lilacsill/mesh/proxy/process.py
+++ b/lilacsill/mesh/proxy/process.py
@@ -108,7 +108,7 @@
     # Events
 
     def _on_suspect(self) -> None:
-        log.info("unreachable proxies suspected: %s", " ".join(sorted(self._failure_detector.suspects)))
+        log.info("proxies suspected to be unreachable: %s", " ".join(sorted(self._failure_detector.suspects)))
         self._discovery.poll_now()
 
     def _on_update(self) -> None:
@@ -125,7 +125,7 @@
         """Take over a drain that the backend reported to an earlier run of this proxy, as known to the registries.
 
         Returns:
-            Whether the drain was not known here yet.
+            Whether the drain has been started by this call.
         """
         own = self._endpoints.get(self._settings.node_name)
         if own is None or own.state != EndpointState.DRAINING or not own.server:
--- a/lilacsill/mesh/proxy/request_offer.py
+++ b/lilacsill/mesh/proxy/request_offer.py
@@ -18,7 +18,7 @@
 
     Attributes:
         arrived_at: Arrival time of the request, in microseconds of the reactor's clock.
-        deadline: When the client or the route times out, on the same clock.
+        deadline: When the client or the route times out, whichever is earlier, on the same clock.
     """
 
     def __init__(self, owner: RequestOwner, request: HttpMessage, route: Route, tenant: Tenant | None) -> None:
--- a/lilacsill/mesh/proxy/request_owner.py
+++ b/lilacsill/mesh/proxy/request_owner.py
@@ -16,10 +16,10 @@
 
 
 class InFlightRequest(Protocol):
-    """A request that has no response yet."""
+    """A request without a complete response yet."""
 
     def abort_for_shutdown(self) -> None:
-        """Answer at once because the process shuts down. The request may have run."""
+        """End the request at once because the process shuts down. The request may have run."""
 
 
 class RequestOwner(Protocol):
--- a/lilacsill/mesh/proxy/request_permits.py
+++ b/lilacsill/mesh/proxy/request_permits.py
@@ -55,7 +55,7 @@
     operation_key: bytes | None  # None: not an operation that must run only once
     attempt_id: bytes
     target_us: int  # latency target of the route
-    decide_by: int  # when the request is refused without a decision; microseconds of the reactor's clock
+    decide_by: int  # when the request is refused if there is no decision yet; microseconds of the reactor's clock
 
 
 class PermitListener(Protocol):
@@ -157,7 +157,10 @@
         return self._clock.now()
 
     def request(self, needs: PermitNeeds, listener: PermitListener) -> PendingPermits:
-        """Request all permits that a request needs. The listener is called once, possibly before this returns."""
+        """Request all permits that a request needs.
+
+        The listener is called once, unless the request is cancelled, and possibly before this method returns.
+        """
         pending = PendingPermits(self, needs, listener)
         pending.start()
         return pending
--- a/lilacsill/mesh/proxy/response_stream.py
+++ b/lilacsill/mesh/proxy/response_stream.py
@@ -28,7 +28,7 @@
         self._pause_above_limit(self._response.add(chunk))
 
     def resume(self) -> None:
-        """Resume the exchange: all data has been sent to the client."""
+        """Resume the exchange: all data has been sent to the client, or the client has disconnected."""
         if self._current.exchange is not None:
             self._current.exchange.resume()
 
--- a/lilacsill/mesh/proxy/retry_budget.py
+++ b/lilacsill/mesh/proxy/retry_budget.py
@@ -1,8 +1,8 @@
 """The retry budget: a bound, over all proxies, on the arrivals at a service beyond the first arrival of each request.
 
-Each proxy may spend a fraction of the ratio on its own requests, plus its share of a fraction of the slack. The sum
-over all proxies is below the whole budget, so proxies need not coordinate. A retry that runs repeats its inner calls;
-the rest of the ratio is reserved for them.
+Each proxy may spend a fraction of the ratio, multiplied by the number of its own requests, plus its share of a fraction
+of the slack. The sum over all proxies is below the whole budget, so proxies need not coordinate. A retry that runs
+repeats its inner calls; the rest of the ratio is reserved for them.
 
 A restarted process knows neither what the previous process has spent nor how many proxies there are, so it does not use
 the slack for one window. No I/O; the caller passes the time.
@@ -12,7 +12,7 @@
 
 import msgspec
 
-RATIO_SHARE = 0.45  # the rest covers inner calls of retries, and windows at other positions
+RATIO_SHARE = 0.45  # the rest covers inner calls of retries, and windows that begin at other times than the steps here
 SLACK_SHARE = 0.6
 STEPS_PER_WINDOW = 20
 
--- a/lilacsill/mesh/proxy/retry_decision.py
+++ b/lilacsill/mesh/proxy/retry_decision.py
@@ -10,8 +10,8 @@
 from .request_owner import RequestOwner
 from .routes import Route
 
-MIN_ATTEMPT_US = 2_000  # with less time left no attempt is made
-MAX_FAILURE_RATE_TO_RETRY = 0.15  # of the best backend; at higher rates a dependency of the service is at fault
+MIN_ATTEMPT_US = 2_000  # with less time left an attempt is not worthwhile
+MAX_FAILURE_RATE_TO_RETRY = 0.15  # of the best backend; from this rate on a dependency of the service is at fault
 
 
 class RetryDecision:
@@ -46,7 +46,7 @@
         return self._route.is_idempotent and self.may_retry()
 
     def after_suspicion(self, table: EndpointTable) -> bool:
-        """Return whether to start a second attempt at another endpoint while the suspected one stays open."""
+        """Return whether to start another attempt while the suspected one stays open."""
         if not self._route.is_idempotent:
             return False
         if self._history.choose_next(table, self._owner.reactor.now()) is None:
--- a/lilacsill/mesh/proxy/shutdown_sequence.py
+++ b/lilacsill/mesh/proxy/shutdown_sequence.py
@@ -2,9 +2,9 @@
 
 1. The proxy announces that it is leaving, fails its readiness check, and closes each client connection with the next
    response.
-2. It closes its listeners once clients have had time to notice and nothing is in flight or unsent. When the grace
-   period is almost over, it first aborts the requests that are still in flight.
-3. It stops the event loop when the last responses have been sent.
+2. It closes its listeners once clients have had time to notice and nothing is in flight or unsent. If this takes until
+   the grace period is almost over, it aborts the requests that are still in flight, and then closes its listeners.
+3. It stops the event loop when the last responses have been sent, at the latest half the kill margin before the kill.
 """
 
 from __future__ import annotations
--- a/lilacsill/mesh/proxy/status_report.py
+++ b/lilacsill/mesh/proxy/status_report.py
@@ -23,7 +23,7 @@
     service: str
     state: str  # see `EndpointState`
     slots: int
-    circuit_open: bool  # the backend does not respond; one read at a time is sent as a probe
+    circuit_open: bool  # the backend does not respond; one request at a time is sent as a trial, a read if possible
     connections: int
     max_connections: int
     connections_forgotten: int  # stale idle connections: the backend had dropped them
@@ -42,7 +42,7 @@
     slowdown: float  # 0.0: unknown
     failure_rate: float
     report_age_ms: int | None  # None: no report received
-    ejected_ms: int  # remaining time of its ejection, after its machine could not be reached
+    ejected_ms: int  # remaining time of its ejection; 0: not ejected (see `FailureRecord.eject`)
 
 
 class OperationsStatus(msgspec.Struct):
--- a/lilacsill/mesh/proxy/suspected_attempts.py
+++ b/lilacsill/mesh/proxy/suspected_attempts.py
@@ -1,7 +1,7 @@
 """Attempts of one request whose backends may not answer, kept open while another attempt is made.
 
-The first response is used. Until then no attempt is cancelled: the suspicion may be wrong, and the other attempt may be
-rejected.
+The first response is used; a 5xx response of a suspected backend only if no other response can arrive. Until then all
+attempts stay open: the suspicion may be wrong, and the other attempt may be rejected.
 """
 
 from __future__ import annotations
--- a/lilacsill/mesh/proxy/tenant_check.py
+++ b/lilacsill/mesh/proxy/tenant_check.py
@@ -47,7 +47,7 @@
         return False
     if key is not None:
         return is_config_current()  # otherwise a newer configuration may contain the key
-    # The items of a configuration may arrive one after the other, tenants among the last.
+    # The items of a configuration may arrive one after the other: tenants may still be missing.
     return route.is_public or config.was_complete or is_config_current()
 
 
