--- a/lilacsill/mesh/simulation/loopback_processes.py
+++ b/lilacsill/mesh/simulation/loopback_processes.py
@@ -81,6 +81,7 @@
         self.core_ips = core_ips
         self._zone_count, self._lost_machines, self._bounds = zone_count, lost_machines, bounds
         self._is_logged = is_logged
+        self.source_folders: dict[ProcessKey, Path] = {}  # processes that start from another source tree than this one
         self._folder = tempfile.TemporaryDirectory(prefix=TEMPORARY_PREFIX)
         self._running: dict[ProcessKey, subprocess.Popen[bytes]] = {}
         self._started: list[subprocess.Popen[bytes]] = []  # all of them, for the end
@@ -91,11 +92,12 @@
         path = self._write_settings(key, service, fresh)
         command = [sys.executable, "-m", f"lilacsill.mesh.{program}"]
         env = {**os.environ, "LILACSILL_SETTINGS": str(path)}
+        folder = self.source_folders.get(key)  # Python imports from the working folder first
         if self._is_logged:
             with self._log_path(key).open("ab") as log_file:
-                process = subprocess.Popen(command, env=env, stdout=log_file, stderr=log_file)
+                process = subprocess.Popen(command, cwd=folder, env=env, stdout=log_file, stderr=log_file)
         else:
-            process = subprocess.Popen(command, env=env)
+            process = subprocess.Popen(command, cwd=folder, env=env)
         self._running[key] = process
         self._started.append(process)
         return process
