--- a/benchmarks/mixed_versions/__main__.py
+++ b/benchmarks/mixed_versions/__main__.py
@@ -26,7 +26,10 @@
 from pathlib import Path
 
 from .checks import Check, format_table, has_passed, summarize
+from .hosted import check_hosted
 from .mesh import check_mesh
+from .recording import check_recording
+from .recovery import check_recovery
 from .source_trees import TreePair, bytecode_kept_in, make_pair
 
 DEFAULT_SECONDS, MIN_SECONDS, MAX_SECONDS = 40.0, 10.0, 600.0  # two rolling changes take about 25 s
@@ -34,6 +37,9 @@
 EXIT_PASSED, EXIT_FAILED, EXIT_USAGE = 0, 1, 2
 AREAS: dict[str, Callable[[TreePair, int, float], list[Check]]] = {
     "mesh": check_mesh,
+    "hosted": check_hosted,
+    "recovery": check_recovery,
+    "recording": check_recording,
 }
 
 
--- a/benchmarks/standins.py
+++ b/benchmarks/standins.py
@@ -81,7 +81,7 @@
 
 
 class Discovery(asyncio.Protocol):
-    """The whole list at once; a watch waits for ever, since nothing changes."""
+    """The whole list at once, also to a watch that has none yet; any other waits for ever, since nothing changes."""
 
     def __init__(self, ports: list[int]) -> None:
         self._ports = ports
@@ -92,7 +92,7 @@
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        if b"wait=" in data:
+        if b"wait=" in data and b"index=0&" not in data:
             return
         body = json.dumps(members(self._ports)).encode()
         assert self._transport is not None
