--- a/benchmarks/mixed_versions/mesh.py
+++ b/benchmarks/mixed_versions/mesh.py
@@ -194,7 +194,8 @@
         if name == TO_NEW:
             self.phases[-1].census = self.watch.census()
         self._begin_phase(name)
-        lanes = rollout_lanes(self.core_ips, self.proxy_ips)
+        remaining = [ip for ip in self.proxy_ips if not self.watch.runs_from(ProcessKey(Program.PROXY, ip), tree)]
+        lanes = rollout_lanes(self.core_ips, remaining)
         self._lanes = [RolloutLane(groups, tree, self.watch, self._restart_from) for groups in lanes]
 
     def _restart_from(self, key: ProcessKey, tree: SourceTree) -> None:
