--- a/benchmarks/mixed_versions/mesh.py
+++ b/benchmarks/mixed_versions/mesh.py
@@ -11,11 +11,21 @@
 import signal
 from collections import Counter
 from collections.abc import Callable
+from concurrent.futures import Future, ThreadPoolExecutor
 from contextlib import suppress
 from pathlib import Path
 from random import Random
 
-from lilacsill.mesh.simulation.loopback_processes import CORE_PROGRAMS, LoopbackProcesses, ProcessKey, Program
+import msgspec
+
+from lilacsill.mesh.runtime.client import RequestFailed, fetch_status
+from lilacsill.mesh.simulation.loopback_processes import (
+    CORE_PROGRAMS,
+    INTERNAL_PORTS,
+    LoopbackProcesses,
+    ProcessKey,
+    Program,
+)
 from lilacsill.mesh.soak.fault_plan import ClosingFault, Fault, FaultEvent, FaultPlan
 from lilacsill.mesh.soak.observations import ClientRequest
 from lilacsill.mesh.soak.soak_run import SoakRun, SoakSettings
@@ -24,12 +34,19 @@
 from .mesh_judge import (
     Census,
     Phase,
+    ProxyRun,
+    ProxyRuns,
+    Status,
     StoreHistory,
+    count_forwarded,
     count_phases,
+    count_replayed,
+    judge_directions,
     judge_mixture,
     judge_phases,
     judge_rollout,
     judge_rules,
+    judge_statuses,
     judge_stores,
 )
 from .source_trees import SourceTree, TreePair
@@ -37,7 +54,7 @@
 US_PER_S = 1_000_000
 POLL_US = 50_000
 READY_US = 1_000_000  # from the start of a process to the restart of the next one
-MIXED_US = 3 * US_PER_S  # before the first rolling change
+MIXED_US = 4 * US_PER_S  # before the first rolling change
 PROXIES_AT_ONCE = 2  # restarted together
 DATABASE = "store.db"
 MIXED, TO_NEW, TO_OLD = "half old, half new", "old to new", "new to old"
@@ -81,6 +98,18 @@
     return [core, proxies]
 
 
+def read_statuses(core_ips: list[str], proxy_ips: list[str]) -> list[Status]:
+    """Return the statuses of all processes that answer; store and registry of a machine listen on its first ports."""
+    first_port = INTERNAL_PORTS[0]
+    addresses = [f"{ip}:{first_port + number}" for ip in core_ips for number in range(len(CORE_PROGRAMS))]
+    addresses += [f"{ip}:{first_port}" for ip in proxy_ips]
+    statuses: list[Status] = []
+    for address in addresses:
+        with suppress(RequestFailed):
+            statuses.append(msgspec.json.decode(fetch_status(address)))
+    return statuses
+
+
 class ProcessWatch:
     """Observes which tree each process really runs from, by the kernel's account of its working folder."""
 
@@ -89,6 +118,7 @@
         self._pids: dict[ProcessKey, int] = {}
         self._running: dict[ProcessKey, tuple[SourceTree, int]] = {}  # with the time it was first seen
         self.stores: dict[str, StoreHistory] = {}  # by core machine
+        self.proxies: ProxyRuns = {}
 
     def observe(self, now: int) -> None:
         """Take note of processes that are new."""
@@ -112,6 +142,8 @@
         self._pids[key], self._running[key] = pid, (tree, now)
         if key.program is Program.STORE:
             self.stores[key.ip].trees.append(tree.name)
+        if key.program is Program.PROXY:
+            self.proxies.setdefault(key.ip, []).append(ProxyRun(tree.name, now))
 
     def is_ready(self, key: ProcessKey, tree: SourceTree, now: int) -> bool:
         """Return whether a process has run from a tree for a while."""
@@ -163,6 +195,9 @@
         self.plan = plan_changes(Random(settings.seed), int(settings.seconds * US_PER_S))
         self.watch = ProcessWatch(self.processes, trees)
         self.phases: list[Phase] = []
+        self.statuses: list[Status] = []  # at the end of the first phase
+        self._reader = ThreadPoolExecutor(1, "statuses")  # the event loop serves clients and backends meanwhile
+        self._reading: Future[list[Status]] | None = None
         self._lanes: list[RolloutLane] = []
         for key, tree in initial_trees(trees, self.core_ips, self.proxy_ips).items():
             self.processes.source_folders[key] = tree.folder
@@ -172,18 +207,25 @@
         """Begin the first phase with the first request."""
         if not self.phases:
             self._begin_phase(MIXED)
-            self.after(MIXED_US, self._begin_rollout, TO_NEW, self._trees.new)
+            self.after(MIXED_US, self._read_statuses)
         super().on_request_sent(request)
 
     def _poll(self) -> None:
         now = self.reactor.now()
         self.watch.observe(now)
+        if self._reading is not None and self._reading.done():
+            self.statuses, self._reading = self._reading.result(), None
+            self._reader.shutdown()
+            self._begin_rollout(TO_NEW, self._trees.new)
         if self._lanes:
             self._lanes = [lane for lane in self._lanes if not lane.advance(now)]
             if not self._lanes:
                 self._on_rollout_completed()
         self.after(POLL_US, self._poll)
 
+    def _read_statuses(self) -> None:
+        self._reading = self._reader.submit(read_statuses, self.core_ips, self.proxy_ips)
+
     def _begin_phase(self, name: str) -> None:
         now = self.reactor.now()
         if self.phases:
@@ -224,6 +266,9 @@
             judge_rules(report.violations, report.requests, report.operations_repeated),
             *judge_phases(counts, PHASES),
             judge_mixture(soak.phases[0].census),
+            *judge_statuses(soak.statuses, len(soak.core_ips), len(soak.proxy_ips)),
+            judge_directions("requests served across builds", count_forwarded(soak.record, soak.watch.proxies)),
+            judge_directions("responses repeated across builds", count_replayed(soak.record, soak.watch.proxies)),
             judge_rollout(soak.phases, TO_NEW, trees.new.name),
             judge_rollout(soak.phases, TO_OLD, trees.old.name),
             *judge_stores(soak.watch.stores, soak.core_ips),
--- a/benchmarks/mixed_versions/mesh_judge.py
+++ b/benchmarks/mixed_versions/mesh_judge.py
@@ -4,10 +4,11 @@
 
 from collections import Counter
 from itertools import pairwise
+from typing import Any
 
 import msgspec
 
-from lilacsill.mesh.soak.observations import Record
+from lilacsill.mesh.soak.observations import Record, WorkEnd
 from lilacsill.mesh.soak.violations import Violation
 
 from .checks import Check
@@ -19,6 +20,8 @@
 OLD, NEW = "old", "new"
 PROGRAMS = ("store", "registry", "proxy")
 
+Status = dict[str, Any]  # of a process, as `python -m lilacsill.mesh.PROGRAM status` prints it
+
 Census = Counter[tuple[str, str]]  # how many processes run, by program and name of the tree
 
 
@@ -61,6 +64,50 @@
         return {(before, after) for before, after in pairwise(self.trees) if before != after}
 
 
+class ProxyRun(msgspec.Struct, frozen=True):
+    """One run of a proxy."""
+
+    tree: str  # its name
+    began_at: int
+
+
+ProxyRuns = dict[str, list[ProxyRun]]  # by machine, in order
+Directions = Counter[tuple[str, str]]  # by the trees of the proxy that asked and of the one that answered
+
+
+def tree_at(runs: ProxyRuns, ip: str, at: int) -> str:
+    """Return the tree that the proxy of a machine ran from at a time; empty where it was not seen yet."""
+    return next((run.tree for run in reversed(runs.get(ip, [])) if run.began_at <= at), "")
+
+
+def count_forwarded(record: Record, runs: ProxyRuns) -> Directions:
+    """Return how many requests each build's proxies had served by backends behind the proxies of each build.
+
+    Requests that several backends worked on are left out: it is not known whose response the client got.
+    """
+    directions: Directions = Counter()
+    for request in record.requests:
+        works = record.work.get(request.attempt_id, [])
+        if request.status != SERVED_STATUS or [work.end for work in works] != [WorkEnd.ANSWERED]:
+            continue
+        if works[0].ip != request.ip:
+            asked, answered = (tree_at(runs, ip, request.ended_at) for ip in (request.ip, works[0].ip))
+            directions[asked, answered] += 1
+    return directions
+
+
+def count_replayed(record: Record, runs: ProxyRuns) -> Directions:
+    """Return how many repeats of operations got the response that another proxy stored, by the builds of both."""
+    owners = {request.attempt_id: request.ip for request in record.requests}
+    directions: Directions = Counter()
+    for request in record.requests:
+        owner_ip = owners.get(request.sealed_by, request.ip)
+        if request.status == SERVED_STATUS and request.operation_key and owner_ip != request.ip:
+            asked, answered = (tree_at(runs, ip, request.ended_at) for ip in (request.ip, owner_ip))
+            directions[asked, answered] += 1
+    return directions
+
+
 def count_phases(record: Record, phases: list[Phase], closed_at: int) -> list[PhaseCounts]:
     """Return the counts of each phase; the last one ends at `closed_at` if nothing else ended it."""
     return [_counts(record, phase, closed_at if phase.ended_at is None else phase.ended_at) for phase in phases]
@@ -109,6 +156,42 @@
     return Check(AREA, "both builds run side by side", passed, _describe(census))
 
 
+def judge_directions(name: str, directions: Directions) -> Check:
+    """Proxies of each build had answers from proxies of the other one."""
+    passed = directions[OLD, NEW] > 0 and directions[NEW, OLD] > 0
+    figures = f"{directions[OLD, NEW]} from old to new, {directions[NEW, OLD]} from new to old"
+    return Check(AREA, name, passed, figures)
+
+
+def judge_statuses(statuses: list[Status], core_machines: int, proxies: int) -> list[Check]:
+    """All processes, half of each build, answered and form one mesh: one chain, one directory, one configuration."""
+    stores = [status for status in statuses if "members" in status]
+    registries = [status for status in statuses if "endpoints" in status]
+    nodes = [status for status in statuses if "tables" in status]
+    joined = [status for status in stores if status["complete"] and len(status["members"]) == core_machines]
+    informed = [
+        status
+        for status in registries
+        if status["sure"] and len(status["registry_versions"]) >= core_machines - 1 and _has_all(status, proxies)
+    ]
+    current = [status for status in nodes if status["sure"] and status["config_seq"] > 0]
+    views = {status["view"] for status in joined}
+    return [
+        Check(AREA, "stores form one chain", len(joined) == core_machines and len(views) == 1, f"{len(joined)} joined"),
+        Check(
+            AREA,
+            "registries know all proxies and each other",
+            len(informed) == core_machines,
+            f"{len(informed)} of {core_machines}",
+        ),
+        Check(AREA, "proxies have the configuration in force", len(current) == proxies, f"{len(current)} of {proxies}"),
+    ]
+
+
+def _has_all(registry: Status, proxies: int) -> bool:
+    return sum(entry["endpoint"] is not None for entry in registry["endpoints"]) >= proxies
+
+
 def judge_rollout(phases: list[Phase], name: str, tree: str) -> Check:
     """A rolling change was completed under traffic; after it all processes run from one tree."""
     phase = next((phase for phase in phases if phase.name == name), None)
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -24,13 +24,20 @@
 from benchmarks.mixed_versions.mesh_judge import (
     Census,
     Phase,
+    ProxyRun,
+    ProxyRuns,
     StoreHistory,
+    count_forwarded,
     count_phases,
+    count_replayed,
+    judge_directions,
     judge_mixture,
     judge_phases,
     judge_rollout,
     judge_rules,
+    judge_statuses,
     judge_stores,
+    tree_at,
 )
 from benchmarks.mixed_versions.recovery import judge_recovery, judge_served
 from benchmarks.mixed_versions.source_trees import (
@@ -42,7 +49,7 @@
     make_pair,
 )
 from lilacsill.mesh.simulation.loopback_processes import LoopbackProcesses, ProcessKey, Program
-from lilacsill.mesh.soak.observations import ClientRequest, ItemChange, Record
+from lilacsill.mesh.soak.observations import BackendWork, ClientRequest, ItemChange, Record, WorkEnd
 from lilacsill.mesh.soak.violations import Rule, Violation
 
 CORES, PROXIES = ["127.9.1.1", "127.9.1.2", "127.9.1.3"], ["127.9.2.1", "127.9.2.2", "127.9.2.3"]
@@ -296,3 +303,83 @@
 def test_each_agent_must_serve_its_requests() -> None:
     assert judge_served("a", [300, 270]).passed
     assert not judge_served("a", [300, 269]).passed
+
+
+# What proxies of both builds did for each other
+
+RUNS: ProxyRuns = {
+    PROXIES[0]: [ProxyRun("old", 0), ProxyRun("new", 100)],
+    PROXIES[1]: [ProxyRun("new", 0), ProxyRun("old", 100)],
+}
+
+
+def attempt(number: int, ip: str, ended_at: int, sealed_by: int, status: int = 200) -> ClientRequest:
+    found = ClientRequest(f"1-{number}", ip, "reserve", False, 0, 0, status=status, ended_at=ended_at)
+    found.operation_key, found.sealed_by = "k", f"1-{sealed_by}"
+    return found
+
+
+def work(number: int, ip: str, end: WorkEnd = WorkEnd.ANSWERED) -> BackendWork:
+    return BackendWork(f"1-{number}", ip, 0, end)
+
+
+def test_a_proxy_counts_for_the_build_it_ran_from_at_the_time() -> None:
+    assert [tree_at(RUNS, PROXIES[0], at) for at in (0, 99, 100)] == ["old", "old", "new"]
+    assert tree_at(RUNS, PROXIES[2], 50) == "" and tree_at(RUNS, PROXIES[0], -1) == ""
+
+
+def test_only_a_request_with_one_answer_from_another_machine_was_served_across() -> None:
+    record = Record(
+        requests=[attempt(n, PROXIES[0], 150 if n == 5 else 50, n, 503 if n == 4 else 200) for n in range(1, 6)],
+        work={
+            "1-1": [work(1, PROXIES[1])],
+            "1-2": [work(2, PROXIES[0])],
+            "1-3": [work(3, PROXIES[1]), work(3, PROXIES[0])],  # a second try: the first response may have been lost
+            "1-4": [work(4, PROXIES[1])],
+            "1-5": [work(5, PROXIES[1])],
+        },
+    )
+    directions = count_forwarded(record, RUNS)
+    assert directions == {("old", "new"): 1, ("new", "old"): 1}
+    assert judge_directions("a", directions).passed
+    del directions["new", "old"]
+    assert not judge_directions("a", directions).passed
+
+
+def test_a_repeat_counts_where_another_proxy_had_the_response() -> None:
+    record = Record(
+        requests=[
+            attempt(1, PROXIES[0], 10, 1),
+            attempt(2, PROXIES[1], 20, 1),  # new asks old
+            attempt(3, PROXIES[0], 30, 1),  # the owner itself
+            attempt(4, PROXIES[1], 150, 1),  # both have changed
+            attempt(5, PROXIES[1], 30, 1, status=503),
+        ]
+    )
+    assert count_replayed(record, RUNS) == {("new", "old"): 1, ("old", "new"): 1}
+
+
+def statuses(**changed: Any) -> list[dict[str, Any]]:
+    store = {"members": CORES, "complete": True, "view": 7}
+    registry = {"sure": True, "registry_versions": {"b": 1, "c": 1}, "endpoints": [{"endpoint": {}}] * 3}
+    node = {"tables": {}, "sure": True, "config_seq": 9}
+    odd = [{key: changed.get(key, value) for key, value in one.items()} for one in (store, registry, node)]
+    return [*[store] * 2, *[registry] * 2, *[node] * 2, *odd]
+
+
+@pytest.mark.parametrize(
+    ("changed", "passed"),
+    [
+        ({}, [True, True, True]),
+        ({"view": 8}, [False, True, True]),
+        ({"members": CORES[:2]}, [False, True, True]),
+        ({"complete": False}, [False, True, True]),
+        ({"registry_versions": {"b": 1}}, [True, False, True]),
+        ({"endpoints": [{"endpoint": {}}, {"endpoint": {}}, {"endpoint": None}]}, [True, False, True]),
+        ({"sure": False}, [True, False, False]),
+        ({"config_seq": 0}, [True, True, False]),
+    ],
+)
+def test_one_process_that_stays_apart_fails(changed: dict[str, Any], passed: list[bool]) -> None:
+    assert [check.passed for check in judge_statuses(statuses(**changed), 3, 3)] == passed
+    assert not any(check.passed for check in judge_statuses([], 3, 3))
