--- a/benchmarks/mixed_versions/mesh.py
+++ b/benchmarks/mixed_versions/mesh.py
@@ -41,6 +41,7 @@
     count_forwarded,
     count_phases,
     count_replayed,
+    judge_decoding,
     judge_directions,
     judge_mixture,
     judge_phases,
@@ -261,9 +262,11 @@
     soak = MixedSoakRun(SoakSettings(seed, seconds, shared=True), trees)
     with soak:
         report = soak.play()
+        logs = {f"{key.program} at {key.ip}": soak.processes.log_text(key) for key in soak.processes.known_keys()}
         counts = count_phases(soak.record, soak.phases, soak.reactor.now())
         return [
             judge_rules(report.violations, report.requests, report.operations_repeated),
+            judge_decoding(logs),
             *judge_phases(counts, PHASES),
             judge_mixture(soak.phases[0].census),
             *judge_statuses(soak.statuses, len(soak.core_ips), len(soak.proxy_ips)),
--- a/benchmarks/mixed_versions/mesh_judge.py
+++ b/benchmarks/mixed_versions/mesh_judge.py
@@ -2,6 +2,7 @@
 
 from __future__ import annotations
 
+import re
 from collections import Counter
 from itertools import pairwise
 from typing import Any
@@ -20,6 +21,9 @@
 OLD, NEW = "old", "new"
 PROGRAMS = ("store", "registry", "proxy")
 
+# A message that cannot be decoded is logged with the reason of msgspec's decoder, whatever the words around it are.
+DECODING_FAILURE = re.compile(r"invalid message| - at `\$|of at least length|MessagePack data|Input data was truncated")
+
 Status = dict[str, Any]  # of a process, as `python -m lilacsill.mesh.PROGRAM status` prints it
 
 Census = Counter[tuple[str, str]]  # how many processes run, by program and name of the tree
@@ -163,6 +167,19 @@
     return Check(AREA, name, passed, figures)
 
 
+def judge_decoding(logs: dict[str, str]) -> Check:
+    """No process logged a message that it could not decode; `logs` has what each process printed in all its runs."""
+    failures = [
+        f"{name}: {line.strip()}"
+        for name, text in logs.items()
+        for line in text.splitlines()
+        if DECODING_FAILURE.search(line)
+    ]
+    figures = f"{len(failures)} failures in the logs of {len(logs)} processes"
+    shown = "; ".join(failures[:MAX_SHOWN])
+    return Check(AREA, "all messages are decoded", bool(logs) and not failures, f"{figures}{': ' * bool(shown)}{shown}")
+
+
 def judge_statuses(statuses: list[Status], core_machines: int, proxies: int) -> list[Check]:
     """All processes, half of each build, answered and form one mesh: one chain, one directory, one configuration."""
     stores = [status for status in statuses if "members" in status]
--- a/tests/test_mixed_versions.py
+++ b/tests/test_mixed_versions.py
@@ -30,6 +30,7 @@
     count_forwarded,
     count_phases,
     count_replayed,
+    judge_decoding,
     judge_directions,
     judge_mixture,
     judge_phases,
@@ -383,3 +384,19 @@
 def test_one_process_that_stays_apart_fails(changed: dict[str, Any], passed: list[bool]) -> None:
     assert [check.passed for check in judge_statuses(statuses(**changed), 3, 3)] == passed
     assert not any(check.passed for check in judge_statuses([], 3, 3))
+
+
+@pytest.mark.parametrize(
+    "line",
+    [
+        "8.1 a peer sent an invalid message: Invalid value 'Answer' - at `$[0]`",
+        "8.1 other words: Expected `int`, got `str` - at `$[3]`",
+        "8.1 other words: Expected `array` of at least length 5, got 4",
+        "8.1 other words: MessagePack data is malformed: invalid opcode (byte 0)",
+    ],
+)
+def test_a_message_that_is_not_decoded_fails(line: str) -> None:
+    assert judge_decoding({"store": "8.0 started\n", "proxy": ""}).passed
+    found = judge_decoding({"store": f"8.0 started\n{line}\n", "proxy": ""})
+    assert not found.passed and found.figures == f"1 failures in the logs of 2 processes: store: {line}"
+    assert not judge_decoding({}).passed
