--- a/lilacsill/balancing/interface/actions.py
+++ b/lilacsill/balancing/interface/actions.py
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class Reject:
-    """Send the final answer of a request: rejected. The client can retry safely: a retry does no harm.
+    """Send the final answer of a request: rejected. A retry by the client is harmless.
 
     Attributes:
         request: Number of the request.
--- a/lilacsill/balancing/interface/backends.py
+++ b/lilacsill/balancing/interface/backends.py
@@ -42,9 +42,9 @@
     REJECTED = "rejected"  # the backend rejected the request before it ran
     TIMEOUT = "timeout"  # no response in time; the request may have run or may still run
     CONNECT_FAILED = "connect_failed"  # no connection to the backend; the request did not run
-    RESET = "reset"  # the connection was reset; the request may have run
+    RESET = "reset"  # the connection was lost; the request may have run
     CANCELLED = "cancelled"  # the request may have run or may still run
-    NOT_SENT = "not_sent"  # the request was not sent
+    NOT_SENT = "not_sent"  # the request did not leave this process
 
     __hash__ = object.__hash__  # members are singletons; Enum.__hash__ is a slow Python call, several per request
 
--- a/lilacsill/balancing/interface/events.py
+++ b/lilacsill/balancing/interface/events.py
@@ -11,7 +11,9 @@
 
 @dataclass(slots=True)
 class BackendsChanged:
-    """The list of backends changed. The first event of a balancer has kind CACHED, even if that list is empty.
+    """An update of the list of backends, or a failure to get one.
+
+    The first event of a balancer has kind CACHED, even if that list is empty.
 
     Attributes:
         kind: How to apply the entries to the list.
--- a/lilacsill/balancing/logic/admission.py
+++ b/lilacsill/balancing/logic/admission.py
@@ -69,11 +69,14 @@
             self._queue_or_finish(request, bool(candidates))
 
     def on_pair_ready(self, request: RequestRecord) -> None:
-        """Send the request to the better of the two samples; draw again if neither is expected to respond in time."""
+        """Send the request to the better of the two samples that is expected to respond in time.
+
+        If neither is, draw again up to the limit of pairs, then queue the request or give its final answer.
+        """
         assert request.sampled_pair is not None
         pair, unreported = request.sampled_pair, request.awaiting_report
         request.sampled_pair, request.awaiting_report = None, []
-        # A sample with a fresh report is preferred to one without; if both have none, the load table decides.
+        # A sample with a fresh report is preferred to one without; if neither has one, the load table decides.
         if len(unreported) == len(set(pair)):
             unreported = []
         limit_us = self._eligibility.time_limit(request)
@@ -131,7 +134,8 @@
     def _queue_or_finish(self, request: RequestRecord, has_candidates: bool) -> None:
         """Queue a request for which no backend was found, or finish it.
 
-        It is queued while no backend is eligible before its first attempt, or for a limited time if all are busy.
+        While no backend is eligible, a request without an attempt is queued until its `queue_until`, unless the reason
+        is maintenance. While all backends are busy, a request is queued as long as `_may_wait` allows it.
         """
         now, queue_until = self._context.now, request.queue_until - self._context.answer_margin_us
         is_busy = has_candidates and self._sampler.saturation.is_busy
--- a/lilacsill/balancing/logic/attempts.py
+++ b/lilacsill/balancing/logic/attempts.py
@@ -27,7 +27,7 @@
 from .sampling import Sampler
 from .tenant_quotas import TenantQuotas
 
-RETRY_AFTER_LATENCIES = 4.0  # advised retry delay in typical latencies: earlier ones compete with others and are late
+RETRY_AFTER_LATENCIES = 4.0  # retry delay in typical latencies: an earlier retry competes with others and is late
 
 
 class AttemptListener(Protocol):
@@ -157,8 +157,8 @@
         if self._peers.fanout and event.outcome is Outcome.OK and load is not None:
             self._peers.send_report(backend, load - 1)
         # A time-out counts as a failure of a backend only if no response arrived since the start of the attempt;
-        # otherwise the backend is slow, not faulty. A backend that rejects because of overload is healthy: the load
-        # table already contains its load.
+        # otherwise the backend is slow, not faulty. A rejection because of overload is a response, not a failure; the
+        # load table already contains the reported load.
         is_overloaded = is_overload_rejection(event, table.load_column, table.mean_load)
         counts_as_evidence = event.outcome is not Outcome.TIMEOUT or backend.responded_at <= attempt.sent_at
         if not is_overloaded and counts_as_evidence:
@@ -189,7 +189,7 @@
         return min(int(RETRY_AFTER_LATENCIES * self._table.typical_latency_us), settings.max_retry_after_us)
 
     def _close(self, request: RequestRecord) -> None:
-        """Mark a request as answered, cancel its attempts, and remove it once none is in flight."""
+        """Mark a request as answered, cancel its attempts if possible, and remove it once none is in flight."""
         request.is_answered = True
         self.waiting.discard(request.id)
         self._cancel_attempts(request)
--- a/lilacsill/balancing/logic/concurrency_window.py
+++ b/lilacsill/balancing/logic/concurrency_window.py
@@ -59,9 +59,8 @@
     def record_send(self, now: int) -> None:
         """Count a sent attempt."""
         if not self.in_flight:
-            self.no_response_since = max(
-                self.no_response_since, now
-            )  # a lack of responses counts from the first attempt in flight
+            # A lack of responses counts from the first attempt in flight.
+            self.no_response_since = max(self.no_response_since, now)
         self.in_flight += 1
 
     def record_end(self, now: int, has_response: bool) -> None:
--- a/lilacsill/balancing/logic/context.py
+++ b/lilacsill/balancing/logic/context.py
@@ -39,7 +39,8 @@
         self.timer_lag_us = 0.0
         self._deadlines = DeadlineQueue()
         # The final answer follows one round after the end of an attempt. Therefore attempts end two rounds before the
-        # deadline; a grace period reduces this margin by half of its length.
+        # deadline. Half of a grace period is deducted from this margin, down to 0: the final answer then falls into the
+        # first half of the grace period at the latest.
         self.answer_margin_us = max(0, 2 * settings.tick_us - settings.answer_grace_us // 2)
 
     def begin_event(self, now: int) -> None:
--- a/lilacsill/balancing/logic/eligibility.py
+++ b/lilacsill/balancing/logic/eligibility.py
@@ -10,11 +10,13 @@
 from .records import BackendRecord, RequestRecord
 from .warm_up_budget import WarmUpBudget
 
-MAX_UNPREDICTED_ATTEMPTS = 3.0  # attempts that all balancers may have in flight at a backend despite its prediction
+MAX_UNPREDICTED_ATTEMPTS = 3.0  # attempts in flight at a backend, of all balancers together, whatever is predicted
 TARGET_SHARE = 0.45  # limit of the predicted time as a fraction of the time to the target: the rest allows for variance
 LOW_PRIORITY_SHARE = 0.2  # the same for low-priority requests
 ESTIMATE_SHARE = 0.75  # of the time to the target: limit of a prediction from outdated reports or the mean load
-UNOBSERVED_RETRY_US = 250_000  # time without report or send after which a backend that cannot be probed is tried again
+# A backend that cannot be probed and has no attempt of this balancer in flight is tried again this long after its
+# latest report or send.
+UNOBSERVED_RETRY_US = 250_000
 MAX_DRAW_PEER_UNHEALTHY = 0.5  # fraction of requests that may sample a backend which one other balancer finds unhealthy
 UNREPORTED_FACTOR = 2  # multiple of the median age of reports after which a backend without a report may hang
 
@@ -118,7 +120,7 @@
             backend: Backend to check.
             limit_us: Limit of the predicted time, microseconds.
             time_left_us: Time to the target, microseconds.
-            was_probed: Whether a probe has ended or is no longer awaited, so that no better information will follow.
+            was_probed: Whether no better information will follow: no probe was needed, or none is awaited any longer.
         """
         now = self._context.now
         # Expensive requests that not even an idle backend could answer in time took a third of the fleet's capacity.
--- a/lilacsill/balancing/logic/load_probing.py
+++ b/lilacsill/balancing/logic/load_probing.py
@@ -59,7 +59,7 @@
             self._probe(backend)
 
     def on_probe_ended(self, event: ProbeEnded) -> None:
-        """Record the load report. A successful probe proves no health: such a process may still fail requests."""
+        """Record the load report. A successful probe does not prove health: the process may still fail requests."""
         now = self._context.now
         backend = self._members.backends.get(event.backend)
         if backend is None:
--- a/lilacsill/balancing/logic/membership.py
+++ b/lilacsill/balancing/logic/membership.py
@@ -12,7 +12,7 @@
     """Backends of this balancer, by their state in discovery and in maintenance.
 
     Attributes:
-        backends: All backends by identity, including removed ones with attempts in flight.
+        backends: All backends by identity, including draining ones and removed ones with attempts or probes in flight.
         ready: Backends that accept work, in the order of `backends`.
         by_id_hash: Backends by the hash of their identity, which peer reports contain.
         in_maintenance: Identities of the backends that operators have taken out of service.
@@ -30,7 +30,7 @@
         self._watch = DiscoveryWatch(context)
 
     def on_backends_changed(self, event: BackendsChanged) -> bool:
-        """Apply an update of the list of backends; return False if it reports a failed call."""
+        """Apply an update of the list of backends; return False if it reports a failure, which has no list."""
         if event.kind is ListKind.FAILED:
             self._watch.on_failed()
             return False
--- a/lilacsill/balancing/logic/outlier_detection.py
+++ b/lilacsill/balancing/logic/outlier_detection.py
@@ -89,14 +89,14 @@
     def record_probe(self, backend: BackendRecord, now: int, outcome: Outcome) -> None:
         """Record the outcome of a probe.
 
-        A response does not prove that the process works, but a failed connect proves that it does not. It ejects a
-        backend on trial again without the risk of an attempt.
+        A response does not prove that the process works, but a failed connect proves that it does not. A failed
+        connect ejects a backend on trial again without the risk of an attempt.
         """
         if outcome is Outcome.CONNECT_FAILED and backend.trial_limit is not None:
             self.eject(backend, now, outcome.value)
 
     def eject(self, backend: BackendRecord, now: int, reason: str) -> None:
-        """Eject a backend for twice the previous duration; afterwards it is on trial."""
+        """Eject a backend for twice the previous duration, within the limits; afterwards it is on trial."""
         if backend.ejected_until > now:
             return
         if not backend.ejection_us:
--- a/lilacsill/balancing/logic/overdue_attempts.py
+++ b/lilacsill/balancing/logic/overdue_attempts.py
@@ -20,7 +20,7 @@
 
 
 class AttemptSender(Protocol):
-    """Interface to the requests with attempts in flight, which also starts hedged attempts."""
+    """Interface to the open requests and their attempts, which also starts hedged attempts."""
 
     requests: dict[int, RequestRecord]  # open requests by number, oldest first
     window: ConcurrencyWindow
@@ -53,7 +53,7 @@
             self._context.call_at(due_at, self._hedge, request, attempt)
 
     def cancel_lost(self, backend: BackendRecord, load: float, requested_at: int) -> None:
-        """Cancel the oldest attempt at a backend whose reported load is lower than its attempts in flight.
+        """Cancel the oldest attempt at a backend, if overdue, when the reported load is below the attempts in flight.
 
         In this case the backend has ended an attempt whose response did not reach this balancer. A cancel wastes no
         work, and a repeatable request is retried on another backend.
--- a/lilacsill/balancing/logic/peer_reports.py
+++ b/lilacsill/balancing/logic/peer_reports.py
@@ -19,7 +19,7 @@
 
 
 def peer_fanout(settings: Settings, load_column: int | None) -> int:
-    """Return the number of peers that receive each report; 0 if reports are not shared."""
+    """Return the number of peers that receive a report at full fanout; 0 if reports are not shared."""
     if not settings.can_message_peers or load_column is None:
         return 0
     price = settings.prices.peer
@@ -31,7 +31,7 @@
     """Sends load reports to other balancers and records those that they send.
 
     Attributes:
-        fanout: Number of peers that receive each report; 0 if reports are not shared.
+        fanout: Number of peers that receive a report at full fanout; 0 if reports are not shared.
     """
 
     def __init__(self, context: Context, members: Membership, table: LoadTable, fanout: int) -> None:
--- a/lilacsill/balancing/logic/records.py
+++ b/lilacsill/balancing/logic/records.py
@@ -145,7 +145,7 @@
     Attributes:
         number: Number of the attempt within its request, from 0.
         backend: Backend that received the attempt.
-        sent_at: Clock time at which it was sent.
+        sent_at: Clock time at which it was sent, or at which the upload of its request was complete.
         load: Estimated load of the backend, including this attempt.
     """
 
@@ -216,8 +216,8 @@
         self.id, self.request_class, self.deadline = event.request, request_class, now + event.timeout_us
         target_us = request_class.latency_target_us + int(request_class.target_per_cost * event.cost_hint_us)
         self.target_at = min(now + target_us, self.deadline)
-        # A request without an attempt is rejected after half of its time-out at the latest: a late rejection costs the
-        # client more than an early one.
+        # Half of the client's time-out: a rejection after that, without any attempt, costs the client more than an
+        # early one. A request that waits for busy backends may exceed this limit.
         self.queue_until = min(self.target_at, now + event.timeout_us // 2)
         self.is_idempotent = request_class.idempotency is Idempotency.IDEMPOTENT
         self.is_repeatable = request_class.idempotency is not Idempotency.NOT_IDEMPOTENT
--- a/lilacsill/balancing/logic/sampling.py
+++ b/lilacsill/balancing/logic/sampling.py
@@ -55,7 +55,7 @@
         self._has_peer_reports = has_peer_reports
 
     def draw_pair(self, request: RequestRecord, candidates: list[BackendRecord]) -> Pair | None:
-        """Return two uniform samples of the eligible candidates, with replacement; None if no candidate is eligible."""
+        """Return two uniform samples of the eligible candidates, with replacement; None if the search finds none."""
         now, limit_us = self.context.now, self.eligibility.time_limit(request)
         # The cache is used only while the CPU is saturated: otherwise a search may succeed without an event that clears
         # the cache, since reports age and can be requested again.
--- a/lilacsill/balancing/mechanisms/deadline_queue.py
+++ b/lilacsill/balancing/mechanisms/deadline_queue.py
@@ -26,7 +26,7 @@
         heappush(self._entries, (due_at, self._count, callback, arguments))
 
     def next_to_arm(self) -> int | None:
-        """Return the earliest due time and store it as `armed_at`; None if the armed timer fires early enough."""
+        """Return the earliest due time and store it as `armed_at`; None if the queue is empty or a timer covers it."""
         if not self._entries:
             return None
         due_at = self._entries[0][0]
--- a/lilacsill/balancing/simulator_wire.py
+++ b/lilacsill/balancing/simulator_wire.py
@@ -48,9 +48,8 @@
 DISCOVERY = Struct(">HQBB")  # instance, unused, number of the list, kind
 REQUEST = Struct(">HQIIQHBI")  # instance, request, tenant, time-out, affinity key, class, flags, estimated cost
 STREAM_STARTED = Struct(">HQH")  # instance, request, attempt
-ATTEMPT_ENDED = Struct(
-    ">HQBHI6sHB4f"
-)  # instance, request, answered, attempt, latency, backend, outcome, report (length, four fields)
+# Instance, request, answered, attempt, latency, backend, outcome, report (length, four fields).
+ATTEMPT_ENDED = Struct(">HQBHI6sHB4f")
 CLIENT_DISCONNECTED = Struct(">HQ")  # instance, request
 TIMER_FIRED = Struct(">HQ")  # instance, token
 PROBE_ENDED = Struct(">H6sHIB4f")  # instance, backend, outcome, latency, report (length, four fields)
