--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -1,7 +1,7 @@
-"""What the mesh's processes send to each other, in msgpack; a frame (`..frames`) holds one message.
+"""Messages between the processes of the mesh, encoded in msgpack; each frame (`..frames`) contains one message.
 
-There is a module for each kind of link. All but the messages between proxies are requests and replies, which
-`lilacsill.mesh.runtime.rpc` pairs by number.
+There is one module for each kind of link. Except for the messages between proxies, all messages are requests and
+replies, which `lilacsill.mesh.runtime.rpc` matches by number.
 """
 
 from __future__ import annotations
@@ -101,7 +101,7 @@
 )
 
 BadMessage = msgspec.DecodeError
-"""The bytes received are no message of this protocol."""
+"""The received bytes are not a valid message."""
 
 _encoder = msgspec.msgpack.Encoder()
 _decoder = msgspec.msgpack.Decoder(AnyMessage)
@@ -113,10 +113,10 @@
 
 
 def decode(data: bytes | memoryview) -> Message:
-    """Return the message that these bytes hold.
+    """Decode a message.
 
     Raises:
-        BadMessage: the bytes are no message of this protocol.
+        BadMessage: The bytes are not a valid message.
     """
     return _decoder.decode(data)
 
--- a/lilacsill/mesh/runtime/messages/base.py
+++ b/lilacsill/mesh/runtime/messages/base.py
@@ -1,16 +1,16 @@
-"""The base of all messages between processes of the mesh, and types that several of them use."""
+"""The base class of all messages between processes of the mesh, and types that several of them use."""
 
 from __future__ import annotations
 
 import msgspec
 
 Headers = list[tuple[bytes, bytes]]
-"""HTTP header lines in order: name as it was received, value."""
+"""HTTP header lines in order: name with its original case, and value."""
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, gc=False):
-    """Base of all messages.
+    """Base class of all messages.
 
-    On the wire a message is a msgpack array: its tag, then its fields in order. Fields have no names there, so a field
-    may be renamed, but not moved. The tag is the name of the class unless the class states another one.
+    A message is encoded as a msgpack array: its tag, then its fields in order. Field names are not encoded, so a field
+    may be renamed but not moved. The tag is the name of the class unless the class defines another one.
     """
--- a/lilacsill/mesh/runtime/messages/configuration.py
+++ b/lilacsill/mesh/runtime/messages/configuration.py
@@ -1,4 +1,4 @@
-"""Messages about the configuration: calls that registries pass to the store, and what registries follow."""
+"""Messages about the configuration: operators' calls, which registries forward to the store, and updates."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 class Patch(Message):
-    """An operator's change."""
+    """An operator's change of the configuration."""
 
     body: bytes  # JSON
-    hops: int  # how often it was forwarded
+    hops: int  # number of times that the request was forwarded
 
 
 class Read(Message):
@@ -22,14 +22,14 @@
 
 
 class Reply(Message):
-    """The answer to `Patch` and `Read`."""
+    """The reply to `Patch` and `Read`."""
 
-    status: int  # of HTTP
+    status: int  # HTTP status
     body: bytes  # JSON
 
 
 class Follow(Message):
-    """A registry asks a member of the store for newer items of the configuration (a long poll)."""
+    """A registry's long poll of a store member for newer items of the configuration."""
 
     seq: int
     wait_ms: int
@@ -37,22 +37,22 @@
 
 
 class ConfigUpdate(msgspec.Struct, array_like=True, gc=False):
-    """What the configuration in force has beyond the requested sequence number."""
+    """The changes of the configuration in force after the requested sequence number."""
 
-    seq: int  # of its last change
+    seq: int  # sequence number of the last change
     items: list[Item]
     freshness: Freshness
 
 
 class FollowReply(Message):
-    """The answer to `Follow`."""
+    """The reply to `Follow`."""
 
     update: ConfigUpdate | None  # None: no holder of a read lease was reached
-    core_addresses: list[str]  # control addresses of all core machines known
+    core_addresses: list[str]  # control addresses of all known core machines
 
 
 class Status(Message):
-    """An operator asks a process for its status (`python -m lilacsill.mesh.store status`)."""
+    """An operator's request for the status of a process (`python -m lilacsill.mesh.store status`)."""
 
 
 class StatusReply(Message):
--- a/lilacsill/mesh/runtime/messages/consensus.py
+++ b/lilacsill/mesh/runtime/messages/consensus.py
@@ -1,4 +1,4 @@
-"""Messages among members of the store: heartbeats with read leases, and agreement on the next view (Paxos)."""
+"""Messages between members of the store: heartbeats with read leases, and Paxos for the next view."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 
 class Heartbeat(Message):
-    """Sent by each member of the store to each other one, several times a second."""
+    """Sent by each member of the store to every other member several times a second."""
 
     sender: Member
     view: View
-    seq: int  # of the last change that is on the sender's disk
-    view_pending: bool  # the sender has accepted a next view that it does not know to be chosen
+    seq: int  # sequence number of the last change on the sender's disk
+    view_pending: bool  # the sender has accepted a next view, but does not know whether it was chosen
     departure: Departure
-    synced: bool  # the sender's place in the chain is confirmed by its predecessor
-    peers: list[str]  # addresses of all core machines that the sender knows
-    complete: bool  # the sender's disk has all that was acknowledged before this view
-    promised: Ballot  # highest ballot promised, on disk; leases requested before it are void for the sender
+    synced: bool  # the sender's position in the chain is confirmed by its predecessor
+    peers: list[str]  # addresses of all core machines known to the sender
+    complete: bool  # the sender's disk has all changes that were acknowledged before this view
+    promised: Ballot  # highest promised ballot on disk; leases requested before it are void for the sender
     requests_lease: bool
 
 
 class HeartbeatReply(Message):
-    """The same in the other direction, and a read lease if both are in the same view."""
+    """The state of the receiver of a `Heartbeat`, and a read lease if both members are in the same view."""
 
     sender: Member
     view: View
@@ -32,25 +32,25 @@
     synced: bool
     peers: list[str]
     complete: bool
-    lease_us: int  # for how long the sender accepts no later view; 0: no lease
+    lease_us: int  # time for which the sender does not accept a later view; 0: no lease
 
 
 class Prepare(Message):
     """Phase 1 of Paxos for one view number."""
 
     to: Member
-    view_number: int  # of the view that is to be chosen
+    view_number: int  # number of the view to be chosen
     ballot: Ballot
 
 
 class Promise(Message):
-    """The answer to `Prepare`."""
+    """The reply to `Prepare`."""
 
     ok: bool
-    ballot: Ballot  # the highest one promised
+    ballot: Ballot  # highest promised ballot
     accepted_ballot: Ballot | None
     accepted_view: View | None
-    view: View  # the one in force at the sender
+    view: View  # view in force at the sender
 
 
 class Accept(Message):
@@ -62,7 +62,7 @@
 
 
 class Accepted(Message):
-    """The answer to `Accept`."""
+    """The reply to `Accept`."""
 
     ok: bool
     ballot: Ballot
@@ -70,24 +70,24 @@
 
 
 class ViewChange(Message):
-    """A view that was chosen."""
+    """Announces a view that was chosen."""
 
     view: View
 
 
 class ViewChangeReply(Message):
-    """The number of the view in force at the sender."""
+    """The reply to `ViewChange`: the number of the view in force at the sender."""
 
     view_number: int
 
 
 class Confirm(Message):
-    """Ask a member whether this view is in force for it."""
+    """Request to a member to confirm that this view is in force there."""
 
     view_number: int
 
 
 class Confirmed(Message):
-    """The answer to `Confirm`."""
+    """The reply to `Confirm`."""
 
     ok: bool
--- a/lilacsill/mesh/runtime/messages/proxying.py
+++ b/lilacsill/mesh/runtime/messages/proxying.py
@@ -1,6 +1,6 @@
-"""Messages between the proxy of a client and the proxy beside a backend.
+"""Messages between the proxy of a client and the proxy of a backend.
 
-An exchange has its link to itself while it lasts; the number of the exchange is in the header of each frame.
+A link carries one exchange at a time; the header of each frame contains the number of the exchange.
 """
 
 from __future__ import annotations
@@ -10,9 +10,9 @@
 
 
 class Offer(Message):
-    """A request for the backend beside the receiving proxy. Without `body_complete`, body chunks follow."""
+    """A request for the backend of the receiving proxy. Without `body_complete`, body chunks follow."""
 
-    server: str  # identity of the backend that is meant
+    server: str  # identity of the intended backend
     service: str
     route: str
     method: bytes
@@ -20,13 +20,13 @@
     headers: Headers
     body: bytes
     body_complete: bool
-    content_length: int  # of the body as its header states it; -1: not stated
-    time_left_ms: int  # until the client or the route gives up
-    target_left_ms: int  # until the request loses its full value (its latency target); may be negative
+    content_length: int  # value of the Content-Length header; -1: no such header
+    time_left_ms: int  # until the time-out of the client or the route
+    target_left_ms: int  # until the latency target, after which the response has less value; may be negative
     priority: int  # lower is more urgent
     idempotent: bool
-    may_have_run: bool  # an earlier attempt may have arrived at a backend
-    expected_ms: int  # usual time of this route at a backend, as the sender has measured it; 0: not measured yet
+    may_have_run: bool  # an earlier attempt may have reached a backend
+    expected_ms: int  # usual duration of this route at a backend, as measured by the sender; 0: not measured yet
 
 
 class BodyChunk(Message, tag="Piece"):
@@ -37,7 +37,7 @@
 
 
 class Rejected(Message, tag="Declined"):
-    """The request was not passed to the backend and never will be: it is safe to send it elsewhere."""
+    """The request was not passed to the backend and never will be, so it is safe to retry at another backend."""
 
     reason: str  # a `RejectionReason` of `lilacsill.mesh.proxy.reasons`, or one of a later version
     load: Load
@@ -46,23 +46,23 @@
 class Response(Message, tag="Answer"):
     """The response of the backend. Without `body_complete`, body chunks follow.
 
-    A link that ends before the last chunk truncates the response.
+    If the link ends before the last chunk, the response is truncated.
     """
 
     status: int
     headers: Headers
     body: bytes
     body_complete: bool
-    content_length: int  # -1: not known
+    content_length: int  # -1: unknown
     not_run: bool  # the backend guarantees that it has not executed the request
     duration_ms: int  # at the backend
     load: Load
 
 
 class Suspected(Message):
-    """The backend may not answer the request: it seems to have lost it, or to be silent. The exchange goes on.
+    """The backend may not respond: it seems to have lost the request, or is unresponsive. The exchange stays open.
 
-    The sender decides whether to wait or to end the exchange and try elsewhere.
+    The sender of the request decides whether to wait, or to end the exchange and try another backend.
     """
 
     reason: str
@@ -70,7 +70,7 @@
 
 
 class NoResponse(Message, tag="Unanswered"):
-    """The request was passed to the backend and there will be no response: it may have been executed."""
+    """The request was passed to the backend and may have been executed, but there will be no response."""
 
     reason: str
     load: Load
--- a/lilacsill/mesh/runtime/messages/replication.py
+++ b/lilacsill/mesh/runtime/messages/replication.py
@@ -1,4 +1,4 @@
-"""Messages from one member of the chain to its successor, and back."""
+"""Messages between a member of the chain and its successor."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class SummaryRequest(Message):
-    """Request a summary of what the successor has."""
+    """Request for a summary of the successor's items."""
 
     view_number: int
-    to_learner: bool = False  # a machine that lost its disk must not answer in the place that it had before
+    to_learner: bool = False  # True: to a learner; a machine that lost its disk must not reply as the former member
 
 
 class Summary(Message):
-    """A summary of what the successor has."""
+    """The reply to `SummaryRequest`: a summary of the successor's items."""
 
     complete: bool
     seq: int
-    digests: list[int]  # of the ranges of names, see `lilacsill.mesh.store.digests`
+    digests: list[int]  # one digest per range of names (`lilacsill.mesh.store.digests`)
 
 
 class Replicate(Message):
-    """Items for the successor, which are complete up to `seq` with the last message.
+    """Items for the successor, which is complete up to `seq` after the last message.
 
-    A repair comes in several messages. Each replaces all that the successor has in `ranges`.
+    A repair consists of several messages. Each replaces all items of the successor in `ranges`.
     """
 
     view_number: int
@@ -34,11 +34,11 @@
     ranges: list[int]
     last: bool
     tombstone_floor: int = 0  # tombstones up to this sequence number are collected
-    to_learner: bool = False  # the answer of a learner acknowledges nothing
+    to_learner: bool = False  # the reply of a learner does not acknowledge the changes
 
 
 class ReplicateReply(Message):
-    """All members from the sender to the tail have everything up to `seq` on disk."""
+    """The reply to `Replicate`: all members from the sender to the tail have the changes up to `seq` on disk."""
 
     ok: bool
     seq: int
--- a/lilacsill/mesh/runtime/messages/shared_state.py
+++ b/lilacsill/mesh/runtime/messages/shared_state.py
@@ -1,4 +1,4 @@
-"""Messages about what all proxies share: quotas of tenants, and operations that run once."""
+"""Messages about the state that all proxies share: quotas of tenants, and operations that run at most once."""
 
 from __future__ import annotations
 
@@ -9,81 +9,84 @@
 
 
 class TokenRequest(Message):
-    """A proxy asks a member of the store for tokens of the quotas that this member owns."""
+    """A proxy's request to a member of the store for tokens of the quotas that the member owns."""
 
     demands: list[TokenDemand]
 
 
 class TokenReply(Message):
-    """The answer to `TokenRequest`.
+    """The reply to `TokenRequest`.
 
-    A tenant without a grant was not decided on: the member does not own its quota, or may not grant now.
+    There is no decision on a tenant without a grant: the member does not own its quota, or may not grant now.
     """
 
     grants: list[TokenGrant]
-    view_number: int  # of the view that the member knows; -1: it knows none
+    view_number: int  # of the newest view known to the member; -1: no view is known
     members: list[str]  # control addresses of the chain in that view, head first
 
 
 class ClaimStatus(IntEnum):
-    """What became of a claim on an operation."""
+    """The result of a claim on an operation."""
 
-    GRANTED = 0  # the claim is on enough disks: its owner may run the operation
-    OWNED = 1  # another claim came first
-    UNKNOWN = 2  # this member is not the head, or cannot tell; the claim may be repeated as it is
-    FULL = 3  # the ledger takes no more operations for now
+    GRANTED = 0  # the claim is on enough disks, so its owner may run the operation
+    OWNED = 1  # an earlier claim owns the operation
+    UNKNOWN = 2  # this member is not the head or cannot decide; the same claim may be sent again
+    FULL = 3  # the ledger is full and accepts no new operations for now
 
 
 class Claim(Message):
-    """A proxy asks the head of the chain for the right to run an operation. It may be repeated without harm."""
+    """A proxy's request to the head of the chain for the right to run an operation. It is idempotent."""
 
     operation: str  # `operations.operation_name` of tenant and key
     owner: OperationOwner
-    replaces: OperationOwner | None = None  # a claim whose owner has stated that it will never run the operation
+    replaces: OperationOwner | None = None  # an earlier claim whose owner has released the operation without running it
 
 
 class ClaimReply(Message):
-    """The answer to `Claim`."""
+    """The reply to `Claim`."""
 
     status: int  # a `ClaimStatus`
-    owner: OperationOwner | None  # with OWNED: the claim that came first
+    owner: OperationOwner | None  # with OWNED: the earlier claim
     view_number: int  # as in `TokenReply`
     members: list[str]
 
 
 class OperationState(StrEnum):
-    """What the owner of an operation says of it."""
+    """The state of an operation as reported by its owner."""
 
     IN_PROGRESS = "in_progress"
-    ANSWERED = "answered"  # the response comes with it
+    ANSWERED = "answered"  # the reply contains the response
     RELEASED = "released"  # it has not run, and never will under this claim
-    UNKNOWN = "unknown"  # it may have run, and its response is not here
+    UNKNOWN = "unknown"  # it may have run, but its response is not available
 
 
 class OperationQuery(Message):
-    """A proxy asks the owner of an operation what became of it."""
+    """A proxy's request to the owner of an operation for the operation's state."""
 
     operation: str
     owner: OperationOwner
 
 
 class OperationReply(Message):
-    """The answer to `OperationQuery`."""
+    """The reply to `OperationQuery`."""
 
     state: str  # an `OperationState`
     response: StoredResponse | None  # with ANSWERED
 
 
 class Relay(Message):
-    """A proxy that cannot reach a core machine has another proxy ask it. Who relays asks once, directly."""
+    """A request that a proxy sends to a core machine through another proxy, because it cannot reach the core machine.
+
+    The relaying proxy sends the request once, directly to the core machine.
+    """
 
     address: str  # control address of the member of the store
     request: TokenRequest | Claim
-    timeout_ms: int  # how long the relaying proxy waits for the answer
+    timeout_ms: int  # time for which the relaying proxy waits for the reply
 
 
 class RelayReply(Message):
-    """The answer to `Relay`."""
+    """The reply to `Relay`."""
 
-    is_sent: bool  # False: the request has not been sent, and may be relayed by another proxy
-    reply: TokenReply | ClaimReply | None  # None: the member did not answer the relaying proxy
+    is_sent: bool  # False: the request was not sent, and may be relayed by another proxy
+    reply: TokenReply | ClaimReply | None  # None: the member did not reply to the relaying proxy
--- a/lilacsill/mesh/runtime/records.py
+++ b/lilacsill/mesh/runtime/records.py
@@ -1,6 +1,6 @@
-"""The records that messages between processes carry: endpoints, items of the configuration, views of the chain.
+"""Records in messages between processes: endpoints, items of the configuration, views of the chain.
 
-On the wire they are arrays in msgpack, in the order of their fields.
+They are encoded as msgpack arrays, in the order of their fields.
 """
 
 from __future__ import annotations
@@ -12,53 +12,53 @@
 
 
 class Load(msgspec.Struct, array_like=True, gc=False):
-    """The load of a backend at this moment, as the proxy beside it counts it."""
+    """The current load of a backend, as measured by its proxy."""
 
-    in_flight: int  # requests that run or wait there
-    slots: int  # requests that it can run at once
-    slowdown: float  # smoothed mean of response times, each over the usual one of its route; 0: none measured yet
-    failure_rate: float  # smoothed share of outcomes that failed, fading with time
+    in_flight: int  # requests that run or are queued
+    slots: int  # requests that the backend can run concurrently
+    slowdown: float  # smoothed mean of response time divided by the usual one of its route; 0: not measured yet
+    failure_rate: float  # smoothed share of failed requests; decays over time
 
 
 class EndpointState(StrEnum):
-    """The states of an endpoint, as they are on the wire. A later version may announce others."""
+    """The states of an endpoint, as encoded on the wire. Later versions may send other values."""
 
     READY = "ready"
-    DRAINING = "draining"  # the backend has said that it ends
-    GONE = "gone"  # the backend has ended
-    LEAVING = "leaving"  # the proxy ends
-    WAITING = "waiting"  # the proxy has not heard of its backend yet
+    DRAINING = "draining"  # the backend has announced its shutdown
+    GONE = "gone"  # the backend has terminated
+    LEAVING = "leaving"  # the proxy is shutting down
+    WAITING = "waiting"  # the proxy has not received a message from its backend yet
 
 
 class Endpoint(msgspec.Struct, array_like=True, gc=False):
-    """One proxy and the backend beside it, as the proxy announces them."""
+    """One proxy and its backend, as announced by the proxy."""
 
     node: str
-    incarnation: int  # of the proxy; of two records the one with the higher number counts
-    version: int  # of the record in that incarnation
+    incarnation: int  # of the proxy; the record with the higher incarnation wins
+    version: int  # of the record within the incarnation
     host: str  # of proxy and backend
-    port: int  # where the proxy takes offers
+    port: int  # at which the proxy accepts offers from other proxies
     zone: str
     service: str
-    server: str  # identity of the backend; empty: the proxy has not heard of it yet
-    state: str  # an `EndpointState`; a text, so that states of later versions can be decoded and passed on
+    server: str  # identity of the backend; empty: the proxy has not received a message from its backend yet
+    state: str  # an `EndpointState`; a str, so that states of later versions can be decoded and forwarded
     slots: int
-    warmup_left_ms: int  # how much longer the backend is slow after its start, when it was announced
+    warmup_left_ms: int  # remaining warm-up time of the backend at the time of the announcement
 
 
 class Suspect(NamedTuple):
-    """A node that neither the sender nor its helpers reach."""
+    """A node that neither the sender nor its helpers can reach."""
 
     node: str
     incarnation: int  # of the node
 
 
 class SuspicionReport(NamedTuple):
-    """One node's report that neither it nor its helpers reach another one."""
+    """A report that neither the reporter nor its helpers can reach a node."""
 
     node: str
-    incarnation: int  # of the node that is not reached
-    reporter: str  # the node that reports it
+    incarnation: int  # of the unreachable node
+    reporter: str  # name of the reporting node
 
 
 class Item(msgspec.Struct, array_like=True, gc=False):
@@ -66,40 +66,40 @@
 
     kind: str  # route, service, limits, tenant
     name: str
-    version: int  # given by the operator
-    seq: int  # sequence number that the chain gave to the change
-    body: bytes | None  # JSON; None: the item was dropped, and this is its tombstone
-    accepted: bytes | None = None  # earlier versions (`lilacsill.mesh.store.accepted_changes`); within the store only
+    version: int  # set by the operator
+    seq: int  # sequence number that the chain assigned to the change
+    body: bytes | None  # JSON; None: the item was deleted, and this is its tombstone
+    accepted: bytes | None = None  # earlier versions (`lilacsill.mesh.store.accepted_changes`); used only in the store
 
 
 class Freshness(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """The age of the statement "this configuration is in force" when the answer leaves.
+    """The age of a proof that a configuration is in force, at the time when the reply is sent.
 
     See `lilacsill.mesh.runtime.freshness`.
     """
 
-    age_ms: int  # since the moment for which a holder of a read lease made the statement
-    pending_ms: int  # for how long the request was pending at the responder
+    age_ms: int  # time since the moment for which the holder of a read lease made the proof
+    pending_ms: int  # time for which the responder held the request
 
 
 class Member(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """A machine of the chain; the incarnation is that of its disk."""
+    """A machine of the chain; the incarnation identifies the contents of its disk."""
 
     address: str
     incarnation: str
 
 
 class Ballot(NamedTuple):
-    """A proposal number of Paxos: ballots are ordered by number, and of equal numbers by proposer."""
+    """A Paxos proposal number; ballots are ordered by number, then by proposer."""
 
     number: int
-    proposer: str  # address of the member that proposes
+    proposer: str  # address of the proposing member
 
 
 class View(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """The voters and the chain, head first. A majority of the members of view n - 1 agrees on view n.
+    """The voting members and the chain, head first. A majority of the members of view n - 1 chooses view n.
 
-    The last `suspended` members keep their vote but are not part of the chain: they are silent, or being synced.
+    The last `suspended` members can vote but are not part of the chain: they are unresponsive or being synced.
     """
 
     number: int
@@ -108,12 +108,12 @@
 
     @property
     def chain(self) -> tuple[Member, ...]:
-        """The members that replicate, head first."""
+        """The members that are not suspended, head first."""
         return self.members[: len(self.members) - self.suspended]
 
     @property
     def majority(self) -> int:
-        """How many members make a quorum."""
+        """The number of members in a quorum."""
         return len(self.members) // 2 + 1
 
     def __str__(self) -> str:
@@ -123,32 +123,32 @@
 
 
 class Departure(IntEnum):
-    """Whether a member of the chain asks to be removed from it, and why."""
+    """Whether a member requests its removal from the chain, and for what reason."""
 
     NONE = 0
-    PLANNED = 1  # the process ends once a successor has taken its place
+    PLANNED = 1  # the process is shutting down, and exits once it has been replaced
     DISK_STALLED = 2  # its disk does not complete writes, which blocks the chain
-    IMMEDIATE = 3  # the grace period is over: the process ends now
+    IMMEDIATE = 3  # the grace period has expired, and the process exits now
 
 
 class OperationOwner(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """One claim on an operation: the proxy that may run it, and which of its claims this is."""
+    """Identifies one claim on an operation and the proxy that made it."""
 
-    address: str  # host:port at which that proxy answers other proxies
-    incarnation: int  # identifies the run of that proxy's process (`incarnation.incarnation_id`)
+    address: str  # host:port at which the proxy accepts requests of other proxies
+    incarnation: int  # identifies the run of the proxy's process (`incarnation.incarnation_id`)
     claim: int  # number of the claim within that run
 
 
 class StoredResponse(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """The response of a backend to the first run of an operation, as repeats of the operation receive it."""
+    """The response of a backend to the first run of an operation, which is replayed to repeats of the operation."""
 
-    status: int  # of HTTP
-    headers: list[tuple[bytes, bytes]]  # end-to-end header lines, `Server-Seal` among them
+    status: int  # HTTP status
+    headers: list[tuple[bytes, bytes]]  # end-to-end header lines, including `Server-Seal`
     body: bytes
 
 
 class TokenDemand(msgspec.Struct, array_like=True, gc=False, frozen=True):
-    """How many requests of one tenant wait at a proxy for a token of its quota."""
+    """The number of requests of one tenant that wait at a proxy for tokens of the tenant's quota."""
 
     tenant: str
     count: int
@@ -158,5 +158,5 @@
     """The decision on a `TokenDemand`."""
 
     tenant: str
-    granted: int  # requests that may be forwarded; the rest of the demand is beyond the quota
-    retry_after_ms: int  # until there will be another token; 0 if all of the demand was granted
+    granted: int  # requests that may be forwarded; the rest of the demand exceeds the quota
+    retry_after_ms: int  # time until the next token; 0 if the whole demand was granted
