--- a/lilacsill/mesh/registry/__main__.py
+++ b/lilacsill/mesh/registry/__main__.py
@@ -1,4 +1,4 @@
-"""Run a registry as its settings file says (`python -m lilacsill.mesh.registry`), or an operator's command."""
+"""Runs a registry with its settings file (`python -m lilacsill.mesh.registry`), or an operator's command."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def run() -> int:
-    """Run the registry."""
+    """Run the registry until it is stopped; return the exit status if it cannot start."""
     handle_early_signals()
     from lilacsill.mesh.runtime.start import run_process
 
@@ -18,7 +18,7 @@
 
 
 def main() -> int:
-    """Run a command if the arguments name one, else the registry."""
+    """Run the command given on the command line, or the registry if there are no arguments."""
     if len(sys.argv) == 1:
         return run()
     from lilacsill.mesh.runtime.commands import Commands, run_command
--- a/lilacsill/mesh/registry/config_cache.py
+++ b/lilacsill/mesh/registry/config_cache.py
@@ -1,4 +1,4 @@
-"""A registry's copy of the configuration, and the batches of it that proxies get. No I/O."""
+"""A registry's copy of the configuration, and the batches in which it is sent to proxies. Does no I/O."""
 
 from __future__ import annotations
 
@@ -8,24 +8,24 @@
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.runtime.sequence import Items, highest_seq, items_after, set_newest, sorted_by_seq
 
-MAX_BATCH_BYTES = 12_000  # in one reply: what takes long on a slow link is requested again before it has arrived
-ITEM_OVERHEAD_BYTES = 40  # of an item beyond its body
-MAX_TOMBSTONES = 4096  # that are kept
-TOMBSTONE_SLACK = 256  # beyond that bound, so that few updates walk over all items
+MAX_BATCH_BYTES = 12_000  # per reply; on a slow link the proxy would time out before a larger reply has arrived
+ITEM_OVERHEAD_BYTES = 40  # encoded size of an item without its body
+MAX_TOMBSTONES = 4096  # kept after a collection
+TOMBSTONE_SLACK = 256  # tombstones above MAX_TOMBSTONES before a collection; makes its scan of all items rare
 
 
 class ConfigBatch(NamedTuple):
-    """A part of the configuration."""
+    """A part of the configuration, as sent in one reply."""
 
     items: list[Item]
-    seq: int  # with `items` the receiver has everything up to this sequence number
+    seq: int  # after applying `items`, the receiver is complete up to this sequence number
 
 
 class ConfigCache:
-    """The items that the store has sent.
+    """The configuration items received from the store.
 
-    Tombstones stay: a proxy that has run for longer than this registry may still hold what was dropped. The newest
-    `MAX_TOMBSTONES` are kept. A proxy that missed more drops than that, in one incarnation of it, may keep the oldest.
+    The newest `MAX_TOMBSTONES` tombstones are kept, because a proxy that started before this registry may still hold
+    deleted items. A proxy that misses more deletions than that during one run may keep the oldest deleted items.
 
     Attributes:
         seq: The sequence number up to which the copy is complete.
@@ -37,7 +37,7 @@
         self.seq = 0
 
     def apply(self, items: list[Item], seq: int) -> None:
-        """Take later changes, which are complete up to that sequence number."""
+        """Apply newer changes, after which the copy is complete up to `seq`."""
         ordered = True
         for item in items:
             current = self._items.get((item.kind, item.name))
@@ -59,10 +59,10 @@
         self._tombstones = MAX_TOMBSTONES
 
     def next_batch(self, seq: int) -> ConfigBatch:
-        """Return the items that follow a sequence number, up to a bounded size.
+        """Return the items after a sequence number, up to `MAX_BATCH_BYTES`.
 
         Args:
-            seq: What the receiver has; 0: it has nothing, and needs no tombstones.
+            seq: Sequence number of the receiver's copy; 0: its copy is empty, so tombstones are left out.
         """
         batch: list[Item] = []
         size = 0
--- a/lilacsill/mesh/registry/config_follower.py
+++ b/lilacsill/mesh/registry/config_follower.py
@@ -1,4 +1,4 @@
-"""Following the configuration: a long poll of the store's member on this machine, repeated after each reply."""
+"""Follows the configuration by long-polling the store replica on this machine."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from .core_hosts import CoreHosts
 from .local_config import LocalConfig
 
-POLL_WAIT_MS = 400  # the store may wait for so long; the proof that comes with the reply must not be older than 0.9 s
-REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # the wait, and time for the store to reach a holder of a read lease
-RETRY_DELAY_US = 100_000  # after a request without a usable reply
+POLL_WAIT_MS = 400  # the store replies within this time; the proof in the reply must not be older than 0.9 s
+REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # 500 ms for the store to reach a replica with a read lease
+RETRY_DELAY_US = 100_000  # after a request without a reply, or a reply without an update
 
 
 class ConfigFollower:
-    """Keeps the local configuration up to date."""
+    """Keeps the local copy of the configuration up to date."""
 
     def __init__(
         self,
@@ -28,13 +28,13 @@
         on_core_hosts: Callable[[], None],
         on_change: Callable[[], None],
     ) -> None:
-        """Prepare to follow; `start` sends the first request.
+        """Initialize without sending a request; `start` sends the first one.
 
         Args:
-            environment: Keeps the time, and sends the requests.
-            store: Address of the store's member on this machine.
-            config: Is updated.
-            core_hosts: Is updated.
+            environment: Provides the clock, timers and requests.
+            store: Address of the store replica on this machine.
+            config: Updated with each change of the configuration.
+            core_hosts: Updated with each reply.
             on_core_hosts: Called after each update of `core_hosts`.
             on_change: Called after a change of the configuration.
         """
@@ -46,7 +46,7 @@
         self._on_change = on_change
 
     def start(self) -> None:
-        """Begin to follow, without end."""
+        """Send the first request; the next one is sent after each reply, or without a reply after `RETRY_DELAY_US`."""
         self._request()
 
     def _request(self) -> None:
--- a/lilacsill/mesh/registry/core_hosts.py
+++ b/lilacsill/mesh/registry/core_hosts.py
@@ -1,4 +1,4 @@
-"""Which core machines there are."""
+"""The known core machines."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 class CoreHosts:
-    """The hosts of all core machines; each has a registry and a member of the store.
+    """The hosts of all core machines; each runs a registry and a store replica.
 
     Attributes:
         own: The host of this registry.
-        all: All of them, with the own one.
+        all: All known hosts, including `own`.
     """
 
     def __init__(self, own: str, seeds: Iterable[str]) -> None:
@@ -20,5 +20,5 @@
         self.all = {*seeds, own}
 
     def replace(self, addresses: list[str]) -> None:
-        """Take the addresses of all core machines, as the store knows them."""
+        """Replace the hosts by those of the addresses that the store reported."""
         self.all = {parse_address(address).host for address in addresses} | {self.own}
--- a/lilacsill/mesh/registry/directory.py
+++ b/lilacsill/mesh/registry/directory.py
@@ -1,7 +1,7 @@
-"""The directory: one record for each proxy and the backend beside it, as the proxy announces them.
+"""The directory: one endpoint record for each proxy and its backend, as announced by the proxy.
 
-It is soft state: after a loss the proxies fill it again. Changes are numbered, so that a reader gets only those that it
-does not have. No I/O; the clock from outside, in microseconds.
+The directory is soft state: if it is lost, the announcements of the proxies rebuild it. Changes are numbered, so that a
+reader gets only the changes that it lacks. Does no I/O; the caller passes the time in microseconds.
 """
 
 from __future__ import annotations
@@ -14,51 +14,51 @@
 
 from lilacsill.mesh.runtime.messages import Endpoint, EndpointState, SuspicionReport
 
-FAILURE_TIMEOUT_US = 2_500_000  # a node that no registry has heard from for so long has failed
-MIN_REPORTERS = 2  # neighbours that cannot reach a node, after which it has failed
-REPORT_LIFETIME_US = 2_000_000  # a report that a node is unreachable counts for so long
-DIRECT_CONTACT_US = 900_000  # a node that this registry heard from within this time has not failed, whoever reports it
-TOMBSTONE_LIFETIME_US = 60_000_000  # readers are told for so long that a node was removed
-MAX_CHANGES_PER_REPLY = 128  # about 11 KB: more would not cross a slow link before the reader's time-out
-CHANGE_LOG_SLACK = 64  # changes that may be kept beyond two for each entry
-ENDING_STATES = (EndpointState.DRAINING, EndpointState.GONE)
+FAILURE_TIMEOUT_US = 2_500_000  # a node has failed if no registry has heard from it for this time
+MIN_REPORTERS = 2  # a node has failed if this many neighbours report it unreachable
+REPORT_LIFETIME_US = 2_000_000  # after which a report of an unreachable node expires
+DIRECT_CONTACT_US = 900_000  # reports are ignored for a node that this registry heard from within this time
+TOMBSTONE_LIFETIME_US = 60_000_000  # for which the removal of a node is kept for readers
+MAX_CHANGES_PER_REPLY = 128  # about 11 KB; a larger reply would exceed the reader's time-out on a slow link
+CHANGE_LOG_SLACK = 64  # the change log is compacted when it exceeds two changes per entry by this many
+SHUTDOWN_STATES = (EndpointState.DRAINING, EndpointState.GONE)
 
 
 class Changes(NamedTuple):
-    """What a reader of the directory does not have."""
+    """The changes of the directory that a reader lacks."""
 
     endpoints: list[Endpoint]
-    removed: list[str]  # nodes
-    version: int  # with these changes the reader has everything up to this version
+    removed: list[str]  # names of removed nodes
+    version: int  # after applying these changes, the reader is complete up to this version
 
 
 class Report(NamedTuple):
     """A neighbour's report that it cannot reach a node."""
 
-    at: int  # when it came
-    direct: bool  # it was made to this registry, not to another one
+    received_at: int
+    direct: bool  # the neighbour sent the report to this registry; otherwise another registry forwarded it
 
 
 class Entry(msgspec.Struct):
-    """One node's place in the directory."""
+    """The directory's entry for one node."""
 
-    endpoint: Endpoint | None  # None: it was removed
-    change_number: int  # of its latest change
-    last_heard_at: int  # by any registry, as far as this one knows
-    last_contact_at: int | None  # by this registry; None: never
-    reports: dict[str, Report] = {}  # by reporter
-    draining_server: str = ""  # identity of the backend that has said that it ends
+    endpoint: Endpoint | None  # None: the node was removed, and this entry is its tombstone
+    change_number: int  # number of the latest change of this entry
+    last_heard_at: int  # last time that any registry is known to have heard from the node
+    last_contact_at: int | None  # last time that this registry heard from the node; None: never
+    reports: dict[str, Report] = {}  # by reporting node
+    draining_server: str = ""  # identity of the backend that has announced its shutdown
 
 
 class Directory:
     """The directory of one registry.
 
     Attributes:
-        incarnation: Tells this run from others, which count their own versions.
+        incarnation: Identifies this run of the registry; versions are comparable only within one run.
         version: Number of the latest change.
         entries: By node.
-        observing_since: Silence of nodes counts from here on: a registry that was cut off or suspended has missed
-            what it should have heard before.
+        observing_since: Start of the current observation. Earlier silence of a node is ignored, because a registry
+            that was partitioned or suspended has missed announcements.
     """
 
     def __init__(self, incarnation: int = 1) -> None:
@@ -66,17 +66,17 @@
         self.version = 0
         self.entries: dict[str, Entry] = {}
         self.observing_since = 0
-        self._change_log: list[tuple[int, str]] = []  # number and node; superseded changes are dropped now and then
+        self._change_log: list[tuple[int, str]] = []  # number and node; superseded changes remain until a compaction
 
     # Announcements
 
     def update(self, endpoint: Endpoint, now: int, direct: bool = True) -> bool:
-        """Take a record, and return whether it changes the directory.
+        """Apply an endpoint record, and return whether the directory changed.
 
         Args:
-            endpoint: The record that the proxy announces.
-            now: The time.
-            direct: The proxy announced it to this registry; else another registry passed it on.
+            endpoint: The record that the proxy announced.
+            now: The current time.
+            direct: The proxy announced the record to this registry; otherwise another registry forwarded it.
         """
         entry = self.entries.get(endpoint.node)
         if entry is None:
@@ -91,8 +91,8 @@
             if current.incarnation == endpoint.incarnation and current.version >= endpoint.version:
                 return False
             if current.incarnation > endpoint.incarnation:
-                # The higher incarnation counts. It is announced anew, also to whoever knows the lower one: the proxy,
-                # if it is alive, raises its own above that (`lilacsill.mesh.runtime.incarnation`).
+                # The record with the higher incarnation wins. It gets a new change number, so that the proxy with the
+                # lower incarnation receives it and raises its own (`lilacsill.mesh.runtime.incarnation`).
                 self._change(entry, endpoint.node, current)
                 return False
         self._change(entry, endpoint.node, endpoint)
@@ -101,20 +101,20 @@
         return True
 
     def _add(self, endpoint: Endpoint, now: int, direct: bool) -> None:
-        draining_server = endpoint.server if endpoint.state in ENDING_STATES else ""
+        draining_server = endpoint.server if endpoint.state in SHUTDOWN_STATES else ""
         entry = Entry(None, 0, now, now if direct else None, {}, draining_server)
         self.entries[endpoint.node] = entry
         self._change(entry, endpoint.node, endpoint)
 
     def mark_alive(self, nodes: list[str], now: int) -> None:
-        """Note that another registry hears from these nodes."""
+        """Record that another registry has heard from these nodes."""
         for node in nodes:
             entry = self.entries.get(node)
             if entry is not None:
                 entry.last_heard_at = now
 
     def recently_contacted(self, now: int, within_us: int) -> list[str]:
-        """Return the nodes that this registry itself heard from within this time."""
+        """Return the nodes that announced themselves to this registry within this time."""
         return [
             node
             for node, entry in self.entries.items()
@@ -124,34 +124,37 @@
     # Failures
 
     def report_unreachable(self, report: SuspicionReport, now: int, direct: bool = True) -> bool:
-        """Take a report that neither the reporter nor its helpers reach a node, and return whether it is new.
+        """Record a report that neither the reporter nor its helpers reach a node, and return whether it is new.
 
         Args:
-            report: It concerns one incarnation of the node.
-            now: The time.
-            direct: The report was made to this registry; else another registry passed it on.
+            report: Applies to one incarnation of the node.
+            now: The current time.
+            direct: The reporter sent it to this registry; otherwise another registry forwarded it.
         """
         entry = self.entries.get(report.node)
         if entry is None or entry.endpoint is None or entry.endpoint.incarnation != report.incarnation:
             return False
         known = entry.reports.get(report.reporter)
-        if known is not None and now - known.at < REPORT_LIFETIME_US and (known.direct or not direct):
+        if known is not None and now - known.received_at < REPORT_LIFETIME_US and (known.direct or not direct):
             return False
         entry.reports[report.reporter] = Report(now, direct)
         return True
 
     def direct_reports(self, now: int) -> list[SuspicionReport]:
-        """Return the reports that were made to this registry. Those of others are not passed on, or it never ended."""
+        """Return the current reports received directly.
+
+        Forwarded reports are left out; otherwise registries would forward them to each other forever.
+        """
         return [
             SuspicionReport(node, entry.endpoint.incarnation, reporter)
             for node, entry in self.entries.items()
             if entry.endpoint is not None
             for reporter, report in entry.reports.items()
-            if report.direct and now - report.at < REPORT_LIFETIME_US
+            if report.direct and now - report.received_at < REPORT_LIFETIME_US
         ]
 
     def remove_failed(self, now: int) -> bool:
-        """Remove the nodes that have failed, and return whether there were any."""
+        """Remove failed nodes and expired tombstones; return whether a node was removed."""
         failed, expired = [], []
         observed_long_enough = now - self.observing_since > FAILURE_TIMEOUT_US
         for node, entry in self.entries.items():
@@ -171,26 +174,26 @@
         return bool(failed)
 
     def _is_reported_unreachable(self, entry: Entry, now: int) -> bool:
-        """Whether enough neighbours have reported it lately, and this registry does not hear from it either."""
-        reporters = sum(now - report.at < REPORT_LIFETIME_US for report in entry.reports.values())
+        """Whether `MIN_REPORTERS` unexpired reports exist and this registry has no recent contact with the node."""
+        reporters = sum(now - report.received_at < REPORT_LIFETIME_US for report in entry.reports.values())
         last_contact_at = max(entry.last_contact_at or 0, self.observing_since)
         return reporters >= MIN_REPORTERS and now - last_contact_at > DIRECT_CONTACT_US
 
     # Changes
 
     def is_newer_than(self, incarnation: int, version: int) -> bool:
-        """Whether there are changes for a reader that has this version, of that incarnation."""
+        """Whether a reader at this version of a directory with this incarnation lacks changes."""
         return incarnation != self.incarnation or version < self.version
 
     def changes_for(self, incarnation: int, version: int) -> Changes:
-        """Return the changes for a reader that has this version, of that incarnation.
+        """Return the changes that a reader at this version of a directory with this incarnation lacks.
 
-        All entries are changes for a reader of another incarnation.
+        A reader with another incarnation gets all entries.
         """
         return self.changes_since(version if incarnation == self.incarnation else 0)
 
     def changes_since(self, version: int) -> Changes:
-        """Return the changes after a version, the oldest first, up to a bounded number."""
+        """Return the changes after a version, oldest first, at most `MAX_CHANGES_PER_REPLY`."""
         endpoints: list[Endpoint] = []
         removed: list[str] = []
         complete_to = version
@@ -218,14 +221,17 @@
             self._change_log = [change for change in self._change_log if self._is_latest(*change)]
 
     def _is_latest(self, number: int, node: str) -> bool:
-        """Whether that change is the latest one of an entry that still exists."""
+        """Whether this change is the latest one of an existing entry."""
         entry = self.entries.get(node)
         return entry is not None and entry.change_number == number
 
 
 def _keep_draining(entry: Entry, endpoint: Endpoint) -> Endpoint:
-    """Remember that a backend drains, and keep it so: a proxy that was restarted beside it does not know."""
-    if endpoint.state in ENDING_STATES:
+    """Record a draining backend, and return its later READY records as DRAINING.
+
+    A proxy that restarts while its backend drains announces the backend as READY.
+    """
+    if endpoint.state in SHUTDOWN_STATES:
         entry.draining_server = endpoint.server
     elif endpoint.state == EndpointState.READY and endpoint.server and endpoint.server == entry.draining_server:
         return msgspec.structs.replace(endpoint, state=EndpointState.DRAINING)
--- a/lilacsill/mesh/registry/gossip_client.py
+++ b/lilacsill/mesh/registry/gossip_client.py
@@ -1,4 +1,4 @@
-"""The client's side of gossip: this registry polls each other one for changes of its directory."""
+"""The client side of gossip: polls every other registry for changes of its directory."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from .directory import Directory
 from .poll_server import PollServer
 
-POLL_WAIT_MS = 300  # the other registry may wait for so long; with each reply it says which nodes are alive
-REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # the wait, and time for the way there and back
+POLL_WAIT_MS = 300  # the other registry replies within this time; each reply lists the nodes that are alive
+REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # 500 ms for the round trip
 RETRY_DELAY_US = 300_000  # after a request without a reply
 
 
 class DirectoryPosition(NamedTuple):
-    """How much of another registry's directory this one has."""
+    """Up to which version another registry's directory has been received."""
 
     incarnation: int
     version: int
@@ -28,10 +28,10 @@
 
 
 class GossipClient:
-    """Polls all other registries, each once more after its reply.
+    """Long-polls all other registries, with one request in flight per registry.
 
     Attributes:
-        positions: By host; a host is here while it is polled.
+        positions: By host; contains the hosts that are being polled.
     """
 
     def __init__(
@@ -42,14 +42,14 @@
         directory: Directory,
         poll_server: PollServer,
     ) -> None:
-        """Prepare to poll; `poll_new_hosts` begins.
+        """Initialize without sending a request; `poll_new_hosts` sends the first ones.
 
         Args:
-            environment: Keeps the time, and sends the requests.
-            core_hosts: Those to poll.
+            environment: Provides the clock, timers and requests.
+            core_hosts: Hosts of the registries to poll.
             registry_port: Port of all registries.
-            directory: Is updated.
-            poll_server: Takes the reports of others, and notifies proxies of changes.
+            directory: Updated with the endpoints of each reply.
+            poll_server: Handles forwarded reports, and notifies proxies of changes.
         """
         self.positions: dict[str, DirectoryPosition] = {}
         self._environment = environment
@@ -59,12 +59,12 @@
         self._poll_server = poll_server
 
     def poll_new_hosts(self) -> None:
-        """Begin to poll the hosts that are not polled yet."""
+        """Start polling the hosts that are not being polled."""
         for host in self._core_hosts.all - self.positions.keys() - {self._core_hosts.own}:
             self._request(host)
 
-    def forget_removed_hosts(self) -> None:
-        """End the polls of hosts that are no core machines any more."""
+    def drop_removed_hosts(self) -> None:
+        """Stop polling hosts that are no longer core machines."""
         hosts = self._core_hosts.all
         self.positions = {host: position for host, position in self.positions.items() if host in hosts}
 
@@ -81,19 +81,19 @@
             self._environment.after(RETRY_DELAY_US, self._retry, host)
             return
         self.positions[host] = DirectoryPosition(reply.registry_incarnation, reply.directory_version)
-        self._take(reply)
+        self._apply_reply(reply)
         self._request(host)
 
     def _retry(self, host: str) -> None:
         if host in self.positions:
             self._request(host)
 
-    def _take(self, reply: GossipReply) -> None:
+    def _apply_reply(self, reply: GossipReply) -> None:
         now = self._environment.now()
         changed = False
         for endpoint in reply.endpoints:
             changed = self._directory.update(endpoint, now, direct=False) or changed
         self._directory.mark_alive(reply.alive, now)
-        self._poll_server.take_reports(reply.suspects, now, direct=False)
+        self._poll_server.handle_reports(reply.suspects, now, direct=False)
         if changed:
-            self._poll_server.notify_soon()
+            self._poll_server.schedule_notification()
--- a/lilacsill/mesh/registry/gossip_server.py
+++ b/lilacsill/mesh/registry/gossip_server.py
@@ -1,4 +1,4 @@
-"""The server's side of gossip: other registries poll this one for changes of its directory."""
+"""The server side of gossip: other registries poll this one for changes of its directory."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from .directory import Directory
 from .long_polls import LongPoll, LongPolls
 
-ALIVE_WITHIN_US = 1_500_000  # nodes that this registry heard from within this time are passed on as alive
+ALIVE_WITHIN_US = 1_500_000  # nodes that this registry heard from within this time are reported as alive
 
 
 class GossipServer:
@@ -21,7 +21,7 @@
         self._polls: LongPolls[Gossip] = LongPolls(environment, self._reply)
 
     def handle(self, gossip: Gossip, send_reply: SendReply) -> None:
-        """Reply at once if there are changes, else when there are some or the wait of the other registry is over."""
+        """Reply at once if there are changes, otherwise with the next change or when the poll's wait time expires."""
         poll = LongPoll(gossip, send_reply, self._environment.now())
         if self._is_outdated(gossip):
             self._reply(poll)
@@ -29,12 +29,12 @@
             self._polls.add(poll, gossip.wait_ms)
 
     def reply_with_changes(self) -> None:
-        """Reply to the registries for which there are changes."""
+        """Reply to the waiting registries that lack changes."""
         for poll in self._polls.pop_where(self._is_outdated):
             self._reply(poll)
 
     def reply_to_all(self) -> None:
-        """Reply to all registries that wait; suspicions are no changes, and urgent."""
+        """Reply to all waiting registries; used for suspicions, which are urgent but not changes of the directory."""
         for poll in self._polls.pop_all():
             self._reply(poll)
 
--- a/lilacsill/mesh/registry/local_config.py
+++ b/lilacsill/mesh/registry/local_config.py
@@ -1,4 +1,4 @@
-"""What a registry knows of the configuration."""
+"""A registry's configuration and its freshness."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 from .config_cache import ConfigCache
 
-MAX_PROOF_AGE_US = 900_000  # a younger proof of the store makes the local copy count as the configuration in force
+MAX_PROOF_AGE_US = 900_000  # the local copy is current while the newest proof from the store is younger than this
 
 
 class LocalConfig:
-    """The local copy of the configuration, and how fresh it is.
+    """The local copy of the configuration and its freshness.
 
     Attributes:
         cache: The copy.
-        freshness: The newest proof that it is the configuration in force.
+        freshness: Tracks the newest proof that the copy is the configuration in force.
     """
 
     def __init__(self, environment: Environment) -> None:
@@ -25,5 +25,5 @@
 
     @property
     def is_current(self) -> bool:
-        """Whether the copy counts as the configuration in force."""
+        """Whether a sufficiently recent proof shows that the copy is the configuration in force."""
         return self.freshness.is_current(self._environment.now())
--- a/lilacsill/mesh/registry/long_polls.py
+++ b/lilacsill/mesh/registry/long_polls.py
@@ -1,4 +1,4 @@
-"""Long polls: requests that wait until there is something to reply, or until their time is over."""
+"""Long polls: requests that are held until there is an update or their wait time expires."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 
 class LongPoll(Generic[RequestT]):
-    """One request that waits.
+    """One pending request.
 
     Attributes:
         request: The request.
-        send_reply: Sends its reply.
-        received_at: When the request came, in microseconds.
+        send_reply: Sends the reply to the request.
+        received_at: Time at which the request was received, in microseconds.
     """
 
     __slots__ = ("request", "send_reply", "received_at")
@@ -30,14 +30,14 @@
 
 
 class LongPolls(Generic[RequestT]):
-    """The requests of one kind that wait."""
+    """The pending requests of one type."""
 
     def __init__(self, environment: Environment, reply: Callable[[LongPoll[RequestT]], None]) -> None:
-        """Begin without requests.
+        """Initialize without requests.
 
         Args:
-            environment: Keeps the time.
-            reply: Sends a reply to a poll whose time is over; the poll does not wait any more then.
+            environment: Provides the clock and timers.
+            reply: Replies to a poll whose wait time has expired; the poll has been removed by then.
         """
         self._environment = environment
         self._reply = reply
@@ -48,18 +48,18 @@
         return len(self._pending)
 
     def add(self, poll: LongPoll[RequestT], wait_ms: int) -> None:
-        """Have a poll wait for so long at most."""
+        """Hold a poll for at most `wait_ms`."""
         self._last_number += 1
         self._pending[self._last_number] = poll
         self._environment.after(wait_ms * 1000, self._expire, self._last_number)
 
     def pop_where(self, is_due: Callable[[RequestT], bool]) -> list[LongPoll[RequestT]]:
-        """Return the polls with such a request, the oldest first. They do not wait any more."""
+        """Remove and return the polls whose request matches `is_due`, oldest first."""
         due = [number for number, poll in self._pending.items() if is_due(poll.request)]
         return [self._pending.pop(number) for number in due]
 
     def pop_all(self) -> list[LongPoll[RequestT]]:
-        """Return all polls, the oldest first. They do not wait any more."""
+        """Remove and return all polls, oldest first."""
         pending, self._pending = self._pending, {}
         return list(pending.values())
 
--- a/lilacsill/mesh/registry/metrics.py
+++ b/lilacsill/mesh/registry/metrics.py
@@ -1,4 +1,4 @@
-"""The figures of a registry for monitoring (`GET /metrics`). Load this module only when they are asked for."""
+"""The metrics of a registry (`GET /metrics`). Import this module lazily: it loads the Prometheus library."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
     operator_api: OperatorApi,
     now: int,
 ) -> bytes:
-    """Return the figures of the moment `now`, in microseconds, as text."""
+    """Return the metrics in the Prometheus text format; `now` is the current time in microseconds."""
     text = MetricsText()
     endpoints = [entry.endpoint for entry in directory.entries.values() if entry.endpoint is not None]
     states = Counter(str(endpoint.state) for endpoint in endpoints)
--- a/lilacsill/mesh/registry/operator_api.py
+++ b/lilacsill/mesh/registry/operator_api.py
@@ -1,4 +1,4 @@
-"""The HTTP calls of operators: the registry forwards them to the store."""
+"""The HTTP API for operators: the registry forwards its calls to the store."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 from .core_hosts import CoreHosts
 
-CALL_TIMEOUT_US = 950_000  # operators get an answer within a second
-MIN_ATTEMPT_US = 300_000  # time left in which another member of the store is worth trying
-MAX_LOGGED_BYTES = 400  # of the response to a call that failed
+CALL_TIMEOUT_US = 950_000  # operators get a response within one second
+MIN_ATTEMPT_US = 300_000  # minimum time left for an attempt at another store replica
+MAX_LOGGED_BYTES = 400  # logged of the response body of a failed call
 
 HTTP_OK = 200
 CONFIG_PATH = b"/api/config"
@@ -26,13 +26,13 @@
 
 
 class ForwardedCall:
-    """A call on its way to the store.
+    """A call that is being forwarded to the store.
 
     Attributes:
-        message: What the store gets.
-        respond: Sends the response.
-        hosts: Members of the store that have not been tried.
-        deadline: Until when there must be a response, in microseconds.
+        message: The message for the store.
+        respond: Sends the response to the operator.
+        hosts: Hosts of the store replicas that have not been tried.
+        deadline: Time by which the operator must have a response, in microseconds.
     """
 
     __slots__ = ("message", "respond", "hosts", "deadline")
@@ -45,26 +45,26 @@
 
 
 class OperatorApi:
-    """Handles the calls."""
+    """Handles the HTTP calls of operators."""
 
     def __init__(self, reactor: Reactor, rpc_clients: RpcClientPool, store: Address, core_hosts: CoreHosts) -> None:
-        """Prepare to forward calls.
+        """Initialize the API.
 
         Args:
-            reactor: Keeps the time.
-            rpc_clients: Sends the calls.
-            store: Address of the store's member on this machine; the others have the same port.
-            core_hosts: Those of all members.
+            reactor: Provides the clock.
+            rpc_clients: Sends the calls to the store.
+            store: Address of the store replica on this machine; all replicas use the same port.
+            core_hosts: Hosts of all store replicas.
         """
         self._reactor = reactor
         self._rpc_clients = rpc_clients
         self._store = store
         self._core_hosts = core_hosts
-        self.responses: Counter[int] = Counter()  # to calls for the configuration, by HTTP status
-        self._last_failure = (0, b"")  # status and body of the last response but 200
+        self.responses: Counter[int] = Counter()  # responses to configuration calls, by HTTP status
+        self._last_failure = (0, b"")  # status and body of the last logged response other than 200
 
     def handle(self, request: Request, respond: Respond) -> None:
-        """Forward a change or a read of the configuration; reject all other calls."""
+        """Forward reads and changes of the configuration; reject all other calls."""
         path = request.target.partition(b"?")[0]
         if path == CONFIG_PATH and request.method == b"PATCH":
             self._forward(Patch(bytes(request.body), 0), respond)
@@ -73,7 +73,7 @@
         elif path == CONFIG_PATH:
             respond(405, b'{"Message":"PATCH or GET"}')
         elif path.startswith(SERVERS_PREFIX):
-            # The proxy beside the backend takes its heartbeats; a registry cannot keep what a drain promises.
+            # Backends send heartbeats to their sidecar proxy; a registry cannot carry out a drain for a backend.
             respond(503, b'{"Message":"beats go to the proxy beside the backend"}')
         else:
             respond(404, b'{"Message":"no such call"}')
@@ -88,10 +88,10 @@
 
     def _record(self, status: int, body: bytes) -> None:
         self.responses[status] += 1
-        if status == HTTP_OK or (status, body) == self._last_failure:  # an operator repeats a call that failed
+        if status == HTTP_OK or (status, body) == self._last_failure:  # operators retry failed calls: log only once
             return
         self._last_failure = (status, body)
-        log.info("answers a call with %d: %s", status, body[:MAX_LOGGED_BYTES].decode(errors="replace"))
+        log.info("operator call failed with HTTP %d: %s", status, body[:MAX_LOGGED_BYTES].decode(errors="replace"))
 
     def _try_next_host(self, call: ForwardedCall) -> None:
         time_left_us = call.deadline - self._reactor.now()
@@ -105,4 +105,4 @@
         if isinstance(reply, Reply):
             call.respond(reply.status, reply.body)
         else:
-            self._try_next_host(call)  # calls are idempotent: one that arrives twice has the effect of one
+            self._try_next_host(call)  # safe even if the store has executed the call, because calls are idempotent
--- a/lilacsill/mesh/registry/pacing.py
+++ b/lilacsill/mesh/registry/pacing.py
@@ -1,25 +1,25 @@
-"""When proxies are notified of changes: soon after the first, and in a burst no more often than a registry can bear.
+"""Paces the notification of proxies: batches changes, and limits the rate in a burst to bound the registry's CPU time.
 
-No I/O; the clock from outside.
+Does no I/O; the caller passes the time.
 """
 
 from __future__ import annotations
 
-BATCHING_DELAY_US = 20_000  # changes that arrive within this time go out together
-PAUSE_PER_PROXY_US = 600  # after a notification, for each proxy: four to ten times the CPU time of one reply
-MAX_PAUSE_US = 500_000  # so that a change is known to all proxies within this time, however many there are
+BATCHING_DELAY_US = 20_000  # changes that arrive within this time are sent together
+PAUSE_PER_PROXY_US = 600  # pause after a notification per notified proxy; 4 to 10 times the CPU time of one reply
+MAX_PAUSE_US = 500_000  # bounds the delay of a change for any number of proxies
 
 
 class NotificationPacer:
-    """Says when a registry may notify its proxies next."""
+    """Computes the delay before the next notification of proxies."""
 
     def __init__(self) -> None:
         self._paused_until = 0
 
     def delay_us(self, now: int) -> int:
-        """Return how long to wait after a change that came now."""
+        """Return the delay before a change that occurs now is sent."""
         return max(BATCHING_DELAY_US, self._paused_until - now)
 
-    def notified(self, proxies: int, now: int) -> None:
-        """Note that this many proxies were notified."""
+    def record_notification(self, proxies: int, now: int) -> None:
+        """Record that this many proxies were notified."""
         self._paused_until = now + min(proxies * PAUSE_PER_PROXY_US, MAX_PAUSE_US)
--- a/lilacsill/mesh/registry/poll_server.py
+++ b/lilacsill/mesh/registry/poll_server.py
@@ -1,4 +1,4 @@
-"""The directory as proxies see it: they announce themselves with a long poll, and get what they do not have."""
+"""Serves the long polls of proxies: each poll announces the proxy, and its reply carries the updates that it lacks."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class PollServer:
-    """Takes announcements and reports into the directory, and notifies proxies and other registries of changes."""
+    """Records announcements and reports in the directory, and notifies proxies and other registries of changes."""
 
     def __init__(
         self,
@@ -26,15 +26,15 @@
         registry_port: int,
         gossip_server: GossipServer,
     ) -> None:
-        """Begin without polls.
+        """Initialize without polls.
 
         Args:
-            environment: Keeps the time.
-            directory: Is updated.
-            config: Proxies get its items.
-            core_hosts: Proxies get their addresses.
+            environment: Provides the clock and timers.
+            directory: Updated with the announcements and reports of proxies.
+            config: The configuration that is sent to proxies.
+            core_hosts: Hosts of the registry addresses that are sent to proxies.
             registry_port: Port of all registries, for these addresses.
-            gossip_server: Is notified of changes and reports, too.
+            gossip_server: Sends changes and reports to other registries.
         """
         self._environment = environment
         self._directory = directory
@@ -45,42 +45,44 @@
         self._pacer = NotificationPacer()
         self._polls: LongPolls[Poll] = LongPolls(environment, self._reply)
         self._notification_pending = False
-        self.replies = 0  # in this run of the process
+        self.replies = 0  # sent in this run of the process
         self.updates = 0  # endpoints, removals and items in these replies
 
     @property
     def waiting(self) -> int:
-        """How many polls wait for something new."""
+        """The number of pending polls."""
         return len(self._polls)
 
     def handle(self, request: Poll, send_reply: SendReply) -> None:
-        """Take what a proxy announces. Reply at once if it is outdated, else later."""
+        """Record a proxy's announcement and reports. Reply at once if the proxy is outdated, else hold the poll."""
         now = self._environment.now()
         if self._directory.update(request.endpoint, now):
-            self.notify_soon()
+            self.schedule_notification()
         reporter = request.endpoint.node
         reports = [SuspicionReport(suspect.node, suspect.incarnation, reporter) for suspect in request.suspects]
-        self.take_reports(reports, now, direct=True)
+        self.handle_reports(reports, now, direct=True)
         poll = LongPoll(request, send_reply, now)
-        if request.wait_ms <= 0 or (self._is_outdated(request) and not self._is_notified_soon(request)):
+        if request.wait_ms <= 0 or (
+            self._is_outdated(request) and not self._is_covered_by_pending_notification(request)
+        ):
             self._reply(poll)
         else:
             self._polls.add(poll, request.wait_ms)
 
-    def take_reports(self, reports: list[SuspicionReport], now: int, direct: bool) -> None:
-        """Take reports that nodes are unreachable.
+    def handle_reports(self, reports: list[SuspicionReport], now: int, direct: bool) -> None:
+        """Record reports of unreachable nodes, and remove nodes that have failed.
 
         Args:
-            reports: May be known already.
-            now: The time.
-            direct: They were made to this registry. Then other registries are notified at once.
+            reports: May include known ones.
+            now: The current time.
+            direct: The reporters sent them to this registry, which then forwards them to other registries at once.
         """
         new = False
         for report in reports:
             new = self._directory.report_unreachable(report, now, direct) or new
         if not new:
             return
-        if self._config.is_current:  # else this registry may be the one that is cut off
+        if self._config.is_current:  # otherwise this registry may itself be partitioned
             self.remove_failed(now)
         if direct:
             self._gossip_server.reply_to_all()
@@ -88,21 +90,21 @@
     def remove_failed(self, now: int) -> None:
         """Remove failed nodes from the directory, and notify proxies and other registries."""
         if self._directory.remove_failed(now):
-            self.notify_soon()
+            self.schedule_notification()
 
-    def notify_soon(self) -> None:
-        """Have all that lack something get it, at the pace that this registry can bear."""
+    def schedule_notification(self) -> None:
+        """Schedule a notification of all outdated proxies and registries, with the delay given by the pacer."""
         if not self._notification_pending:
             self._notification_pending = True
             self._environment.after(self._pacer.delay_us(self._environment.now()), self._notify)
 
     def _notify(self) -> None:
         self._notification_pending = False
-        # All are selected before the first reply: whether the local configuration is current may change with the time.
+        # Select all outdated polls before the first reply: `LocalConfig.is_current` may change as time passes.
         outdated = self._polls.pop_where(self._is_outdated)
         for poll in outdated:
             self._reply(poll)
-        self._pacer.notified(len(outdated), self._environment.now())
+        self._pacer.record_notification(len(outdated), self._environment.now())
         self._gossip_server.reply_with_changes()
 
     def _is_outdated(self, request: Poll) -> bool:
@@ -114,8 +116,8 @@
         seq = self._config.cache.seq
         return self._config.is_current and (request.newest_seq < seq or 0 <= request.config_seq < seq)
 
-    def _is_notified_soon(self, request: Poll) -> bool:
-        """Whether only a few changes of the directory are missing, which the next notification will bring."""
+    def _is_covered_by_pending_notification(self, request: Poll) -> bool:
+        """Whether the pending notification will deliver all that the proxy lacks: a few changes of the directory."""
         directory = self._directory
         few = (
             request.registry_incarnation == directory.incarnation
--- a/lilacsill/mesh/registry/process.py
+++ b/lilacsill/mesh/registry/process.py
@@ -1,4 +1,4 @@
-"""The process: its parts and how they are connected, periodic checks, graceful shutdown."""
+"""The registry process: wires its components, runs periodic checks, and shuts down gracefully."""
 
 from __future__ import annotations
 
@@ -28,19 +28,19 @@
 from .poll_server import PollServer
 from .status_report import status_report
 
-STORE_PORT_OFFSET = 1  # the store's port, from the first of the internal ports
-CHECK_INTERVAL_US = 250_000  # between two searches for failed nodes and new core machines
-MAX_CHECK_DELAY_US = 400_000  # a check that is later by more shows that this process was suspended
-MIN_SHUTDOWN_US = 1_000_000  # from SIGTERM to the end, so that callers go to other registries
-SHUTDOWN_CHECK_US = 50_000
-MAX_SHUTDOWN_SHARE = 3 / 4  # of the grace period: so long calls under way may take
+STORE_PORT_OFFSET = 1  # the store's port relative to the first internal port
+CHECK_INTERVAL_US = 250_000  # between checks for failed nodes and new core machines
+MAX_CHECK_DELAY_US = 400_000  # a check that is delayed by more shows that this process was suspended
+MIN_SHUTDOWN_US = 1_000_000  # from SIGTERM to the exit, so that callers can switch to other registries
+SHUTDOWN_CHECK_US = 50_000  # between checks for calls in flight during shutdown
+MAX_SHUTDOWN_SHARE = 3 / 4  # part of the grace period within which calls in flight must complete
 
 
 class Process:
     """One registry."""
 
     def __init__(self, settings: Settings, reactor: Reactor) -> None:
-        """Begin to listen, to follow the store and to poll other registries.
+        """Start listening, following the store and polling other registries.
 
         Raises:
             OSError: An address cannot be bound.
@@ -66,11 +66,11 @@
             f"{store.host}:{store.port}",
             self._config,
             self._core_hosts,
-            on_core_hosts=self._gossip_client.forget_removed_hosts,
-            on_change=self._poll_server.notify_soon,
+            on_core_hosts=self._gossip_client.drop_removed_hosts,
+            on_change=self._poll_server.schedule_notification,
         )
         self._operator_api = OperatorApi(reactor, rpc_clients, store, self._core_hosts)
-        self._checked_at = reactor.now()
+        self._last_check_at = reactor.now()
         handlers: dict[type, RequestHandler] = {
             Poll: self._poll_server.handle,
             Gossip: gossip_server.handle,
@@ -80,18 +80,18 @@
         self._control_server = ControlServer(reactor, settings.listen["ControlPort"], self._operator_api.handle)
         self._metrics_server = MetricsServer(reactor, Address(settings.ip, REGISTRY_PORT), self._load_metrics_encoder)
         reactor.on_signal(signal.SIGTERM, self._shut_down)
-        reactor.on_signal(signal.SIGHUP, lambda: None)  # the settings are read at a start only
+        reactor.on_signal(signal.SIGHUP, lambda: None)  # ignored: the settings are read only at startup
         config_follower.start()
         self._check()
 
     def _check(self) -> None:
-        """Find failed nodes and new core machines, periodically."""
+        """Remove failed nodes and start polling new core machines; runs every `CHECK_INTERVAL_US`."""
         now = self._reactor.now()
-        was_suspended = now - self._checked_at > CHECK_INTERVAL_US + MAX_CHECK_DELAY_US
+        was_suspended = now - self._last_check_at > CHECK_INTERVAL_US + MAX_CHECK_DELAY_US
         if was_suspended or not self._config.is_current:
-            # This registry was suspended, or is cut off: that nodes are silent may be its own fault.
+            # This registry was suspended or is partitioned, so the silence of nodes does not show that they failed.
             self._directory.observing_since = now
-        self._checked_at = now
+        self._last_check_at = now
         self._reactor.after(CHECK_INTERVAL_US, self._check)
         self._gossip_client.poll_new_hosts()
         self._poll_server.remove_failed(now)
@@ -99,21 +99,21 @@
     def _shut_down(self) -> None:
         if self._control_server.draining:
             return
-        log.info("shutting down")
+        log.info("registry shutting down: grace period %d ms", self._grace_period_us // 1000)
         self._control_server.draining = True
         self._control_server.listener.close()
-        last_at = self._reactor.now() + int(MAX_SHUTDOWN_SHARE * self._grace_period_us)
-        self._reactor.after(min(MIN_SHUTDOWN_US, self._grace_period_us // 2), self._stop_when_idle, last_at)
+        stop_at = self._reactor.now() + int(MAX_SHUTDOWN_SHARE * self._grace_period_us)
+        self._reactor.after(min(MIN_SHUTDOWN_US, self._grace_period_us // 2), self._stop_when_idle, stop_at)
 
-    def _stop_when_idle(self, last_at: int) -> None:
-        """End once all calls under way have their responses, at `last_at` in any case."""
-        if self._control_server.is_busy and self._reactor.now() < last_at:
-            self._reactor.after(SHUTDOWN_CHECK_US, self._stop_when_idle, last_at)
+    def _stop_when_idle(self, stop_at: int) -> None:
+        """Stop the loop once no call is in flight, or at `stop_at` at the latest."""
+        if self._control_server.is_busy and self._reactor.now() < stop_at:
+            self._reactor.after(SHUTDOWN_CHECK_US, self._stop_when_idle, stop_at)
         else:
             self._reactor.stop()
 
     def _load_metrics_encoder(self) -> Encode:
-        from .metrics import encode_metrics  # the library need not be in memory where nobody fetches metrics
+        from .metrics import encode_metrics  # imported lazily to save memory if no metrics are fetched
 
         return lambda: encode_metrics(
             self._directory, self._config, self._core_hosts, self._poll_server, self._operator_api, self._reactor.now()
--- a/lilacsill/mesh/registry/status_report.py
+++ b/lilacsill/mesh/registry/status_report.py
@@ -1,4 +1,4 @@
-"""The status of a registry as operators see it (`python -m lilacsill.mesh.registry status`)."""
+"""The status report of a registry for operators (`python -m lilacsill.mesh.registry status`)."""
 
 from __future__ import annotations
 
@@ -16,22 +16,22 @@
 class EntryStatus(msgspec.Struct):
     """One entry of the directory."""
 
-    endpoint: Endpoint | None  # None: it was removed
-    heard_ms: int  # since any registry heard from its proxy
-    reporters: list[str]  # nodes that report that they cannot reach it
+    endpoint: Endpoint | None  # None: the node was removed
+    heard_ms: int  # time since any registry heard from the proxy
+    reporters: list[str]  # nodes that reported the proxy as unreachable
 
 
 class RegistryStatus(msgspec.Struct):
-    """The whole report."""
+    """The status report."""
 
     incarnation: int  # of the directory
     directory_version: int
-    config_seq: int  # of the local copy of the configuration
-    sure: bool  # the local copy is the configuration in force
-    unsure_reason: str = msgspec.field(name="why_unsure")  # the key is the same in the status of all programs
-    age_ms: int | None  # of the newest proof; None: there never was one
+    config_seq: int  # sequence number of the local copy of the configuration
+    sure: bool  # the local copy is known to be the configuration in force
+    unsure_reason: str = msgspec.field(name="why_unsure")  # all programs use this key in their status
+    age_ms: int | None  # age of the newest freshness proof; None: no proof was received
     core_hosts: list[str]
-    registry_versions: dict[str, DirectoryPosition]  # by host: what is known of the directories of other registries
+    registry_versions: dict[str, DirectoryPosition]  # by host: position in the directory of each other registry
     endpoints: list[EntryStatus]
     log: list[str]
 
@@ -39,7 +39,7 @@
 def status_report(
     directory: Directory, config: LocalConfig, core_hosts: CoreHosts, gossip_client: GossipClient, now: int
 ) -> RegistryStatus:
-    """Return the status as of now."""
+    """Return the current status."""
     return RegistryStatus(
         incarnation=directory.incarnation,
         directory_version=directory.version,
--- a/lilacsill/mesh/virtual_soak/virtual_registry.py
+++ b/lilacsill/mesh/virtual_soak/virtual_registry.py
@@ -37,21 +37,21 @@
             store_address(ip),
             self._config,
             core_hosts,
-            on_core_hosts=self._gossip_client.forget_removed_hosts,
-            on_change=self._poll_server.notify_soon,
+            on_core_hosts=self._gossip_client.drop_removed_hosts,
+            on_change=self._poll_server.schedule_notification,
         )
         machine.handlers = {Poll: self._poll_server.handle, Gossip: gossip_server.handle}
-        self._checked_at = machine.now()
+        self._last_check_at = machine.now()
         follower.start()
         self._check()
 
     def _check(self) -> None:
         """Find failed nodes and new core machines, as the process does."""
         now = self._machine.now()
-        was_suspended = now - self._checked_at > CHECK_INTERVAL_US + MAX_CHECK_DELAY_US
+        was_suspended = now - self._last_check_at > CHECK_INTERVAL_US + MAX_CHECK_DELAY_US
         if was_suspended or not self._config.is_current:
             self._directory.observing_since = now
-        self._checked_at = now
+        self._last_check_at = now
         self._machine.after(CHECK_INTERVAL_US, self._check)
         self._gossip_client.poll_new_hosts()
         self._poll_server.remove_failed(now)
--- a/tests/mesh/test_refused_calls.py
+++ b/tests/mesh/test_refused_calls.py
@@ -53,6 +53,6 @@
     for _ in range(4):
         api.handle(call, lambda status, body: None)
     first, second = lines(ring)
-    assert first == "answers a call with 400: first"
-    assert second.startswith("answers a call with 400: second") and len(second) < 500
+    assert first == "operator call failed with HTTP 400: first"
+    assert second.startswith("operator call failed with HTTP 400: second") and len(second) < 500
     assert api.responses == {200: 1, 400: 3}
