--- a/lilacsill/mesh/__init__.py
+++ b/lilacsill/mesh/__init__.py
@@ -1,1 +1,1 @@
-"""The service mesh: proxy, registry, configuration store and what they share."""
+"""The service mesh: proxy, registry, configuration store and their shared modules."""
--- a/lilacsill/mesh/early_signals.py
+++ b/lilacsill/mesh/early_signals.py
@@ -1,4 +1,4 @@
-"""Signals that come before a process can handle them. Load this module before any other: the rest takes time."""
+"""Handles signals that arrive during startup. Import this module first: importing the others takes time."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def handle_early_signals() -> None:
-    """Make SIGHUP harmless and SIGTERM an end in order, until the process registers its own handlers."""
-    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # the settings are about to be read anyway
+    """Ignore SIGHUP and exit with status 0 on SIGTERM, until the process registers its own handlers."""
+    signal.signal(signal.SIGHUP, signal.SIG_IGN)  # startup reads the settings anyway
     signal.signal(signal.SIGTERM, _exit)
 
 
 def _exit(_number: int, _frame: FrameType | None) -> None:
-    """End at once: the process has accepted nothing yet."""
+    """Exit at once: the process has not accepted any connection."""
     os._exit(0)
--- a/lilacsill/mesh/operations/claim_client.py
+++ b/lilacsill/mesh/operations/claim_client.py
@@ -107,7 +107,7 @@
             return
         members = self._client.members
         address = members.head() if self._asks_head else None
-        address = address or members.any_candidate()
+        address = address or members.next_candidate()
         if address is None:
             self._retry_later()
         else:
@@ -123,7 +123,7 @@
             self._retry_later()
             return
         members = self._client.members
-        members.learn(reply.view_number, reply.members)
+        members.update_view(reply.view_number, reply.members)
         if reply.status == ClaimStatus.GRANTED:
             self._client.on_granted(self._claim.operation, self._claim.owner)
             self._decide(ClaimOutcome.GRANTED)
--- a/lilacsill/mesh/proxy/shared_state.py
+++ b/lilacsill/mesh/proxy/shared_state.py
@@ -66,4 +66,6 @@
     @property
     def unreachable(self) -> list[str]:
         """The known core machines that do not answer this proxy."""
-        return [address for address in self.core_links.reachability.unreachable if self.members.knows(address)]
+        return [
+            address for address in self.core_links.reachability.unreachable if self.members.is_core_address(address)
+        ]
--- a/lilacsill/mesh/quota/quota_client.py
+++ b/lilacsill/mesh/quota/quota_client.py
@@ -112,7 +112,7 @@
         self._asked.discard(owner)
         undecided = dict(waiting_by_tenant)
         if isinstance(answer, TokenReply):
-            self._members.learn(answer.view_number, answer.members)
+            self._members.update_view(answer.view_number, answer.members)
             for grant in answer.grants:
                 self._decide(grant, undecided.pop(grant.tenant, []))
         if undecided:
--- a/lilacsill/mesh/quota/view_probe.py
+++ b/lilacsill/mesh/quota/view_probe.py
@@ -41,7 +41,7 @@
         if self._is_open:
             return
         self._is_open = True
-        address = self._members.any_candidate()
+        address = self._members.next_candidate()
         if address is None:
             self._on_answer(None)
             return
@@ -49,7 +49,7 @@
 
     def _on_answer(self, answer: Message | None) -> None:
         if isinstance(answer, TokenReply) and answer.view_number > self._members.view_number:
-            self._members.learn(answer.view_number, answer.members)
+            self._members.update_view(answer.view_number, answer.members)
             self._end()
             return
         self._environment.after(self.next_pause_us(), self._end)
--- a/lilacsill/mesh/relaying/core_links.py
+++ b/lilacsill/mesh/relaying/core_links.py
@@ -4,7 +4,7 @@
 
 from functools import partial
 
-from lilacsill.mesh.runtime.environment import Answered, Environment
+from lilacsill.mesh.runtime.environment import Environment, OnReply
 from lilacsill.mesh.runtime.messages import Message, TokenRequest
 
 from .reachability import UNPROVEN_TIMEOUT_US, Reachability
@@ -22,7 +22,7 @@
         self._environment = environment
         self.reachability = Reachability()
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
         """Ask directly; `answered` is called once, later."""
         now = self._environment.now()
         timeout_us = self.reachability.timeout_us(address, timeout_us, now)
@@ -34,7 +34,7 @@
         if self.reachability.take_probe(address, self._environment.now()):
             self.ask(address, TokenRequest([]), UNPROVEN_TIMEOUT_US, _ignore)
 
-    def _on_reply(self, address: str, sent_at: int, answered: Answered, reply: Message | None) -> None:
+    def _on_reply(self, address: str, sent_at: int, answered: OnReply, reply: Message | None) -> None:
         now = self._environment.now()
         if reply is None:
             self.reachability.on_no_answer(address, sent_at, now)
--- a/lilacsill/mesh/relaying/relay_server.py
+++ b/lilacsill/mesh/relaying/relay_server.py
@@ -44,7 +44,7 @@
         self._core_links.ask(relay.address, relay.request, timeout_us, partial(self._on_reply, send_reply))
 
     def _may_send(self, address: str) -> bool:
-        if self._in_flight >= MAX_RELAYS_IN_FLIGHT or not self._members.knows(address):
+        if self._in_flight >= MAX_RELAYS_IN_FLIGHT or not self._members.is_core_address(address):
             return False
         self._core_links.probe(address)
         return self._core_links.reachability.is_reachable(address)
--- a/lilacsill/mesh/relaying/relayed_links.py
+++ b/lilacsill/mesh/relaying/relayed_links.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from lilacsill.mesh.runtime.environment import Answered, Environment
+from lilacsill.mesh.runtime.environment import Environment, OnReply
 from lilacsill.mesh.runtime.messages import Claim, Message, Relay, RelayReply, TokenRequest
 
 from .core_links import CoreLinks
@@ -38,7 +38,7 @@
         self.environment, self.selector, self.counters = environment, selector, counters
         self._core_links = core_links
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
         """Send a question; `answered` is called once, later, with None if there was no answer in time."""
         if not isinstance(message, TokenRequest | Claim):
             self.environment.ask(address, message, timeout_us, answered)
@@ -48,9 +48,7 @@
             self._core_links.probe(address)
             self._ask_unreachable(address, message, timeout_us, answered)
 
-    def _ask_unreachable(
-        self, address: str, message: TokenRequest | Claim, timeout_us: int, answered: Answered
-    ) -> None:
+    def _ask_unreachable(self, address: str, message: TokenRequest | Claim, timeout_us: int, answered: OnReply) -> None:
         relay = self.selector.select(address, self.now())
         if relay is None:
             self._core_links.ask(address, message, timeout_us, answered)
@@ -62,7 +60,7 @@
     """One question on its way through other proxies."""
 
     def __init__(
-        self, links: RelayedLinks, member: str, request: TokenRequest | Claim, timeout_us: int, answered: Answered
+        self, links: RelayedLinks, member: str, request: TokenRequest | Claim, timeout_us: int, answered: OnReply
     ) -> None:
         self._links, self._member, self._request, self._answered = links, member, request, answered
         self._end_at = links.now() + min(timeout_us, RELAYED_TIMEOUT_US)
--- a/lilacsill/mesh/runtime/callbacks.py
+++ b/lilacsill/mesh/runtime/callbacks.py
@@ -1,21 +1,21 @@
-"""Wrappers of callbacks. No I/O."""
+"""Callback wrappers. Does no I/O."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from typing import TypeVar
 
-Answer = TypeVar("Answer")
+ValueT = TypeVar("ValueT")
 
 
-def once(answered: Callable[[Answer], None]) -> Callable[[Answer], None]:
-    """Return a callback that passes on only the first of several answers, or of an answer and a time-out."""
-    is_answered = False
+def once(callback: Callable[[ValueT], None]) -> Callable[[ValueT], None]:
+    """Return a wrapper that forwards only its first call, such as the first of a reply and a time-out."""
+    was_called = False
 
-    def answer_once(answer: Answer) -> None:
-        nonlocal is_answered
-        if not is_answered:
-            is_answered = True
-            answered(answer)
+    def call_once(value: ValueT) -> None:
+        nonlocal was_called
+        if not was_called:
+            was_called = True
+            callback(value)
 
-    return answer_once
+    return call_once
--- a/lilacsill/mesh/runtime/client.py
+++ b/lilacsill/mesh/runtime/client.py
@@ -9,17 +9,17 @@
 from .frames import FrameDecoder, encode_frame
 from .messages import BadMessage, Message, Status, StatusReply, decode, encode
 
-TIMEOUT_S = 3.0  # to connect, and for each read: an operator waits at a terminal
-READ_BYTES = 1 << 16  # taken from the socket with one call
-REQUEST_NUMBER = 1  # there is one request on a connection, so any number will do
+TIMEOUT_S = 3.0  # for connecting and for each read; short because an operator waits at a terminal
+READ_BYTES = 1 << 16  # maximum per read from the socket
+REQUEST_NUMBER = 1  # any number is valid, because a connection carries one request
 
 
 class RequestFailed(Exception):
     """A process could not be reached, or did not reply.
 
     Attributes:
-        address: Where the process was expected, as the operator gave it.
-        reason: What went wrong.
+        address: Address of the process as the operator entered it.
+        reason: Description of the failure.
     """
 
     def __init__(self, address: str, reason: str) -> None:
@@ -32,7 +32,7 @@
     """Send one message to the process at HOST:PORT and return its reply.
 
     Raises:
-        RequestFailed: The process cannot be reached, closed the connection, or sent no valid message.
+        RequestFailed: The process cannot be reached, closed the connection, or sent an invalid message.
     """
     try:
         target = parse_address(address)
@@ -51,18 +51,18 @@
     while True:
         data = sock.recv(READ_BYTES)
         if not data:
-            raise RequestFailed(address, "closed the connection")
+            raise RequestFailed(address, "the process closed the connection without a reply")
         for _, payload in frames.feed(data):
             return payload
 
 
 def fetch_status(address: str) -> bytes:
-    """Return the status of a process of any of the three programs, as JSON.
+    """Return the status of a store, registry or proxy process as JSON.
 
     Raises:
-        RequestFailed: There is no reply, or a reply of another kind.
+        RequestFailed: There is no reply, or it is not a `StatusReply`.
     """
     reply = request(address, Status())
     if not isinstance(reply, StatusReply):
-        raise RequestFailed(address, "sent a reply of another kind")
+        raise RequestFailed(address, f"expected a StatusReply, got a {type(reply).__name__}")
     return reply.text
--- a/lilacsill/mesh/runtime/commands.py
+++ b/lilacsill/mesh/runtime/commands.py
@@ -1,4 +1,4 @@
-"""The command line that all three programs share. Without a command a program runs."""
+"""The command line shared by store, registry and proxy. Without a command, the program itself runs."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 
 class CommandFailed(Exception):
-    """A command cannot be carried out; the text says why."""
+    """A command cannot be carried out; the message gives the reason."""
 
 
 class Commands:
-    """Commands for a running process and its files. HOST:PORT is the first of its internal ports."""
+    """Commands for a running process and its settings file. HOST:PORT is the process's first internal port."""
 
     def status(self, address: str, log: bool = False) -> None:
-        """Print the state of the process at HOST:PORT; with --log its recent log lines, too."""
+        """Print the status of the process at HOST:PORT; with --log also its recent log lines."""
         state = json.loads(fetch_status(address))
         lines = state.pop("log", [])
         print(json.dumps(state, indent=2))
@@ -28,21 +28,21 @@
             print("\n".join(lines))
 
     def settings(self, path: str) -> None:
-        """Check a settings file, and print the settings that are used."""
+        """Check a settings file, and print the effective settings."""
         import msgspec
 
         print(json.dumps(msgspec.to_builtins(load_settings(path)), indent=2))
 
 
 def run_command(name: str, commands: type[Commands]) -> int:
-    """Run the command that the process's arguments name.
+    """Run the command given in the process's arguments.
 
     Args:
-        name: Of the program: store, registry or proxy.
-        commands: Each public method is a command.
+        name: Name of the program: store, registry or proxy.
+        commands: Class whose public methods are the commands.
 
     Returns:
-        The exit status. 0: done; 1: the command failed or a process did not reply; 2: the settings file cannot be used.
+        The exit status. 0: success; 1: the command failed or a process did not reply; 2: the settings file is invalid.
     """
     import fire
 
@@ -58,5 +58,5 @@
 
 
 def _serialize(result: Any) -> Any:
-    """Keep `fire` from printing the object that holds the commands."""
+    """Prevent `fire` from printing the `Commands` object."""
     return None if isinstance(result, Commands) else result
--- a/lilacsill/mesh/runtime/control.py
+++ b/lilacsill/mesh/runtime/control.py
@@ -1,4 +1,4 @@
-"""The HTTP server for the JSON calls of the platform, backends and operators, on the shared reader of HTTP/1.1."""
+"""The HTTP server for JSON calls of the platform, backends and operators; uses the shared HTTP/1.1 reader."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 from .log_ring import log
 from .reactor import Reactor
 
-MAX_BODY_BYTES = 32 * 1024 * 1024  # of a call
-IDLE_TIMEOUT_US = 30_000_000  # after which a connection without a call is closed
+MAX_BODY_BYTES = 32 * 1024 * 1024  # of a request
+IDLE_TIMEOUT_US = 30_000_000  # after which a connection without a request is closed
 FAILED_BODY = b'{"Message":"failed"}'
 
 Respond = Callable[[int, bytes], None]
 """Takes the HTTP status and the JSON body of a response."""
 Handle = Callable[[Message, Respond], None]
-"""Takes a call, and responds to it at once or later."""
+"""Handles a request, and responds to it at once or later."""
 
 
 class ControlServer:
-    """Accepts connections and gives each call to `handle`.
+    """Accepts connections and passes each request to `handle`.
 
     Attributes:
-        handle: Answers the calls; each call gets one response.
+        handle: Handles the requests; each request gets one response.
         draining: Whether each connection is closed after its next response.
     """
 
@@ -41,9 +41,9 @@
 
         Args:
             reactor: Event loop of the process.
-            address: Where to listen.
-            handle: Answers the calls.
-            content_type: Of all responses.
+            address: Address to bind.
+            handle: Handles the requests.
+            content_type: Content-Type of all responses.
 
         Raises:
             OSError: The address cannot be bound.
@@ -57,7 +57,7 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a caller still waits for its response, or has not taken all of it."""
+        """Whether a request is in flight or a response is not sent completely."""
         return any(connection.is_busy for connection in self.connections)
 
     def close(self) -> None:
@@ -73,9 +73,10 @@
 
 
 class ControlConnection(Connection):
-    """The connection of one caller.
+    """The connection of one client.
 
-    One call at a time is handled, those behind it wait. Each call gets one response, the first that its handler gives.
+    Requests are handled one at a time; pipelined requests wait. If a handler responds twice to a request, only the
+    first response is sent.
     """
 
     def __init__(self, server: ControlServer) -> None:
@@ -88,21 +89,21 @@
 
     @property
     def is_busy(self) -> bool:
-        """Whether a call is being handled, or its response is not sent completely."""
+        """Whether a request is being handled or its response is not sent completely."""
         return self._handling or self.unsent > 0
 
     def on_data(self, data: bytes) -> None:
-        """Read calls from the bytes received."""
+        """Parse requests from the received bytes."""
         self._queue += self._reader.feed(data)
         self._handle_next()
 
     def on_end(self) -> None:
-        """Forget the connection."""
+        """Remove the closed connection from the server."""
         self._server.connections.discard(self)
         self._idle_timer.cancel()
 
     def on_fault(self) -> None:
-        """Reset the connection after a fault in this class."""
+        """Reset the connection after an unhandled exception in this class."""
         self.drop()
 
     def _handle_next(self) -> None:
@@ -117,13 +118,13 @@
 
     def _handle(self, request: Message) -> None:
         self._handling = True
-        self._idle_timer.cancel()  # it bounds how long a caller may be idle, not how long a response may take
+        self._idle_timer.cancel()  # the timer limits the time between requests, not the time for a response
         responded = False
 
         def respond(status: int, body: bytes) -> None:
             nonlocal responded
             if responded:
-                log.warning("a second response to one call is dropped: %d", status)
+                log.warning("dropping a second response to one request: HTTP %d", status)
                 return
             responded = True
             self._respond(request, status, body)
@@ -131,7 +132,7 @@
         try:
             self._server.handle(request, respond)
         except Exception:
-            log.exception("the handler of a call failed")
+            log.exception("unhandled exception in a request handler")
             if not responded:
                 respond(500, FAILED_BODY)
 
--- a/lilacsill/mesh/runtime/environment.py
+++ b/lilacsill/mesh/runtime/environment.py
@@ -1,6 +1,6 @@
-"""What a decision needs of its process: a clock, timers and the links to other processes.
+"""The interface of protocol code to its process: a clock, timers and requests to other processes.
 
-Each program implements it over its event loop; in tests a world in virtual time takes its place.
+In the programs it is implemented by the event loop, in tests by a simulation in virtual time.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from lilacsill.mesh.runtime.messages import Message
 from lilacsill.timers import Timer
 
-Answered = Callable[[Message | None], None]  # None: no answer came in time
+OnReply = Callable[[Message | None], None]  # None: there was no reply in time
 
 
 class Environment(Protocol):
-    """The surroundings of one process. All callbacks come in one thread."""
+    """Clock, timers and requests of one process. All callbacks run in the same thread."""
 
     def now(self) -> int:
         """Return the time of a monotonic clock in microseconds."""
         ...
 
     def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> Timer:
-        """Call once after the delay, unless the timer is cancelled."""
+        """Call `call` once after the delay, unless the timer is cancelled."""
         ...
 
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
-        """Call once, after the present callback has returned."""
+        """Call `callback` once, after the current callback has returned."""
         ...
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
-        """Send a request; `answered` is called once, never from inside this call."""
+    def ask(self, address: str, message: Message, timeout_us: int, on_reply: OnReply) -> None:
+        """Send a request. `on_reply` is called once, never before this method returns."""
         ...
--- a/lilacsill/mesh/runtime/frames.py
+++ b/lilacsill/mesh/runtime/frames.py
@@ -1,27 +1,27 @@
-"""Framing: each message is preceded by its length and a number. No I/O."""
+"""Message framing: each message is preceded by its length and a number. Does no I/O."""
 
 from __future__ import annotations
 
 from struct import Struct
 
 HEADER = Struct("!IQ")  # length of the payload in bytes, number of the request or exchange
-MAX_PAYLOAD_BYTES = 80 * 1024 * 1024  # the largest body that a configuration may allow, and its headers
+MAX_PAYLOAD_BYTES = 80 * 1024 * 1024  # fits the largest body that a configuration may allow, with its headers
 
 
 class FrameError(Exception):
-    """The bytes received are no frame of this protocol.
+    """The received bytes are not a valid frame.
 
     Attributes:
-        length: What the header gives as the length of the payload, in bytes.
+        length: Length of the payload according to the frame header, in bytes.
     """
 
     def __init__(self, length: int) -> None:
-        super().__init__(f"a frame of {length} bytes")
+        super().__init__(f"frame payload of {length} bytes exceeds the limit of {MAX_PAYLOAD_BYTES} bytes")
         self.length = length
 
 
 class FrameDecoder:
-    """An incremental parser: takes bytes as they arrive, returns complete frames."""
+    """Incremental parser of frames."""
 
     __slots__ = ("_buffer",)
 
@@ -29,10 +29,10 @@
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> list[tuple[int, bytes]]:
-        """Return the number and the payload of each frame that these bytes complete.
+        """Add received bytes, and return the number and the payload of each frame that they complete.
 
         Raises:
-            FrameError: A frame is longer than the protocol allows.
+            FrameError: A payload exceeds `MAX_PAYLOAD_BYTES`.
         """
         buffer = self._buffer
         buffer += data
@@ -53,5 +53,5 @@
 
 
 def encode_frame(number: int, payload: bytes) -> bytes:
-    """Return one frame, ready to be sent."""
+    """Return one frame: header and payload."""
     return HEADER.pack(len(payload), number) + payload
--- a/lilacsill/mesh/runtime/link.py
+++ b/lilacsill/mesh/runtime/link.py
@@ -1,4 +1,4 @@
-"""A connection between two processes of the mesh, which carries messages in frames."""
+"""A TCP connection between two processes of the mesh that carries framed messages."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from .messages import BadMessage, Message, decode, encode
 from .reactor import Reactor
 
-UNACKNOWLEDGED_TIMEOUT_MS = 1_500  # bytes that TCP sent and the peer has not acknowledged for so long end the link
+UNACKNOWLEDGED_TIMEOUT_MS = 1_500  # the link ends if the peer has not acknowledged sent bytes for this time
 
 
 class Link:
@@ -22,8 +22,8 @@
 
     Attributes:
         on_message: Called with the link, the number in the frame and the message.
-        on_closed: Called once, when the link has ended for whatever reason.
-        on_flushed: Called when the kernel has taken all bytes, after a time in which it had not.
+        on_closed: Called once, when the link has ended for any reason.
+        on_flushed: Called when the send buffer becomes empty.
         closed: Whether the link has ended.
     """
 
@@ -32,10 +32,10 @@
     def __init__(
         self, sock: socket.socket, on_message: Callable[[Link, int, Message], None], on_closed: Callable[[Link], None]
     ) -> None:
-        """Take over a connected socket that does not block.
+        """Take ownership of a connected non-blocking socket.
 
         Raises:
-            OSError: The socket cannot be watched; then it is still the caller's.
+            OSError: The event loop cannot watch the socket; the caller keeps ownership of it.
         """
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         self._frames = FrameDecoder()
@@ -46,7 +46,7 @@
         self.stream = Stream(sock, self)
 
     def send(self, message: Message, number: int = 0) -> int:
-        """Send a message, and return how many bytes the kernel has not taken yet."""
+        """Send a message, and return the number of bytes that remain in the send buffer."""
         self.stream.send(encode_frame(number, encode(message)))
         return self.stream.unsent
 
@@ -56,7 +56,7 @@
         return not self.closed and not self.stream.closing
 
     def close(self) -> None:
-        """End the link at once; bytes that the kernel has not taken are dropped."""
+        """Close the link at once, and drop the bytes in the send buffer."""
         self.stream.abort()
 
     # The interface that `lilacsill.net.stream.Stream` calls
@@ -66,26 +66,26 @@
         try:
             for number, payload in self._frames.feed(data):
                 if not self.is_open:
-                    return  # the link ended with an earlier message: the rest has no receiver
+                    return  # the handler of an earlier message closed the link: drop the rest
                 self.on_message(self, number, decode(payload))
         except (FrameError, BadMessage) as error:
-            log.warning("a peer sent an invalid message: %s", error)
+            log.warning("closing a link after an invalid message from its peer: %s", error)
             self.close()
 
     def eof_received(self) -> None:
-        """Handle the end of the peer's side."""
-        self._end()
+        """Handle that the peer has closed its sending side."""
+        self._notify_closed()
 
     def flushed(self) -> None:
-        """Handle that the kernel has taken all bytes."""
+        """Handle that the send buffer is empty."""
         if self.on_flushed is not None:
             self.on_flushed()
 
     def connection_lost(self) -> None:
-        """Handle the end of the stream."""
-        self._end()
+        """Handle that the connection is closed."""
+        self._notify_closed()
 
-    def _end(self) -> None:
+    def _notify_closed(self) -> None:
         if not self.closed:
             self.closed = True
             self.on_closed(self)
@@ -95,21 +95,21 @@
     """Accepts connections at one address.
 
     Attributes:
-        port: The port that is bound, also where the address leaves it to the kernel (port 0).
-        closed: Whether it has stopped listening.
+        port: The bound port, also if the kernel chose it (port 0 in the address).
+        closed: Whether the listener is closed.
     """
 
-    BACKLOG = 1024  # connections that the kernel holds until they are accepted
+    BACKLOG = 1024  # connections that the kernel queues until they are accepted
     MAX_ACCEPTS_PER_EVENT = 32  # so that a burst of connections does not delay other events for long
-    ACCEPT_RETRY_US = 50_000  # after a failure, such as a lack of descriptors
+    ACCEPT_RETRY_US = 50_000  # after a failed accept, for example without free file descriptors
 
     def __init__(self, reactor: Reactor, address: Address, on_accept: Callable[[socket.socket], None]) -> None:
-        """Listen.
+        """Bind the address and start listening.
 
         Args:
-            reactor: Watches the socket.
-            address: To bind.
-            on_accept: Takes over each connected socket; where it raises OSError the socket is closed.
+            reactor: Event loop of the process.
+            address: Address to bind.
+            on_accept: Takes ownership of each connected socket; if it raises OSError, the socket is closed.
 
         Raises:
             OSError: The address cannot be bound.
@@ -125,7 +125,7 @@
         reactor.add_reader(self._sock.fileno(), self._on_readable)
 
     def close(self) -> None:
-        """Stop listening. Connections that were accepted stay."""
+        """Stop listening; accepted connections stay open."""
         if not self.closed:
             self.closed = True
             self._reactor.remove_reader(self._sock.fileno())
@@ -140,9 +140,11 @@
             except (BlockingIOError, InterruptedError, ConnectionAbortedError):
                 return
             except OSError as error:
-                log.warning("cannot accept: %s", error)
+                log.warning(
+                    "accept on port %d failed, retrying in %d ms: %s", self.port, self.ACCEPT_RETRY_US // 1000, error
+                )
                 self._reactor.remove_reader(self._sock.fileno())
-                self._reactor.after(self.ACCEPT_RETRY_US, self._resume)
+                self._reactor.after(self.ACCEPT_RETRY_US, self._resume_accepting)
                 return
             self._set_up(sock)
 
@@ -152,10 +154,10 @@
         try:
             self._on_accept(sock)
         except OSError as error:
-            log.warning("cannot watch a connection: %s", error)
+            log.warning("closing a new connection on port %d: cannot set it up: %s", self.port, error)
             sock.close()
 
-    def _resume(self) -> None:
+    def _resume_accepting(self) -> None:
         if not self.closed:
             self._reactor.add_reader(self._sock.fileno(), self._on_readable)
 
@@ -167,9 +169,9 @@
     on_connected: Callable[[socket.socket], None],
     on_failed: Callable[[OSError], None],
 ) -> ConnectAttempt:
-    """Begin to connect.
+    """Start connecting.
 
-    One of the two callbacks is called once, perhaps before this function returns.
+    Exactly one of the two callbacks is called, once, possibly before this function returns.
 
     Returns:
         The attempt, which can be cancelled.
--- a/lilacsill/mesh/runtime/metrics_server.py
+++ b/lilacsill/mesh/runtime/metrics_server.py
@@ -1,9 +1,9 @@
-"""The address at which a process tells its own figures, in the text form of Prometheus.
+"""The metrics endpoint of a process, in the Prometheus text format.
 
-`metrics` in `deploy/system.toml` names port and path to the platform, which fetches them while somebody looks at an
-incident. The library that encodes them is loaded with the first fetch: it takes 14 MB and 0.1 s of processor time,
-which no process need have that nobody looks at. It is loaded in a thread, so that the event loop goes on meanwhile: a
-member of the store that does nothing for half a second loses its read lease.
+`metrics` in `deploy/system.toml` gives the port and the path to the platform, which fetches the metrics only during the
+investigation of an incident. The Prometheus client library takes 14 MB and 0.1 s of CPU time, so it is imported with
+the first fetch. The import runs in a thread to keep the event loop running: a store replica whose event loop is blocked
+for half a second loses its read lease.
 """
 
 from __future__ import annotations
@@ -24,29 +24,29 @@
 
 
 Encode = Callable[[], bytes]
-"""Returns the figures of this moment as text; called in the event loop."""
+"""Returns the current metrics as text; called in the event loop."""
 LoadEncoder = Callable[[], Encode]
-"""Imports what encodes the figures; called in a thread, so it must not touch the state of the process."""
+"""Imports the encoder of the metrics; called in a thread, so it must not access the state of the process."""
 
 
 class MetricsServer:
-    """Answers `GET /metrics`."""
+    """Serves `GET /metrics`."""
 
     def __init__(self, reactor: Reactor, address: Address, load_encoder: LoadEncoder) -> None:
-        """Listen; where the address cannot be had, the process does without.
+        """Listen on the address; if it cannot be bound, the process runs without metrics.
 
         Args:
             reactor: Event loop of the process.
-            address: Where to listen.
-            load_encoder: Called with the first fetch, and again with a later one if it failed.
+            address: Address to bind.
+            load_encoder: Called with the first fetch, and again with a later fetch if it failed.
         """
         self._reactor, self._load_encoder = reactor, load_encoder
         self._encode: Encode | None = None  # None: not loaded
-        self._waiting: list[Respond] = []  # fetches that wait for it
+        self._waiting: list[Respond] = []  # pending fetches that wait until the encoder is loaded
         try:
             ControlServer(reactor, address, self._handle, CONTENT_TYPE)
         except OSError as error:
-            log.warning("no metrics at %s: %s", address, error)
+            log.warning("cannot bind the metrics address %s, running without metrics: %s", address, error)
 
     def _handle(self, request: Request, respond: Respond) -> None:
         if request.target.partition(b"?")[0] != PATH:
@@ -61,24 +61,24 @@
                 Thread(target=self._load, daemon=True).start()
 
     def _load(self) -> None:
-        """Load the encoder, in a thread of its own."""
+        """Load the encoder; runs in a separate thread."""
         try:
             encode = self._load_encoder()
-        except Exception as error:  # whatever an import raises: the process goes on without metrics
+        except Exception as error:  # an import may raise anything; the process continues without metrics
             self._reactor.call_from_thread(self._on_load_failed, error)
         else:
             self._reactor.call_from_thread(self._on_loaded, encode)
 
     def _on_loaded(self, encode: Encode) -> None:
         self._encode = encode
-        for respond in self._take_waiting():
+        for respond in self._pop_waiting():
             respond(200, encode())
 
     def _on_load_failed(self, error: Exception) -> None:
-        log.warning("no metrics: %s: %s", type(error).__name__, error)
-        for respond in self._take_waiting():
+        log.warning("loading the metrics encoder failed, answering HTTP 500: %s: %s", type(error).__name__, error)
+        for respond in self._pop_waiting():
             respond(500, b"")
 
-    def _take_waiting(self) -> list[Respond]:
+    def _pop_waiting(self) -> list[Respond]:
         waiting, self._waiting = self._waiting, []
         return waiting
--- a/lilacsill/mesh/runtime/reactor.py
+++ b/lilacsill/mesh/runtime/reactor.py
@@ -1,6 +1,6 @@
-"""The event loop of a process: descriptors by epoll, timers by a timing wheel, signals.
+"""The event loop of a process: file descriptors with epoll, timers with a timing wheel, and signals.
 
-It takes the place of asyncio, which costs 7 MB in each process (`lilacsill.net.reactor`).
+It replaces asyncio, which takes 7 MB of memory in each process (`lilacsill.net.reactor`).
 """
 
 from __future__ import annotations
@@ -19,8 +19,8 @@
 
 from .log_ring import log
 
-MAX_EVENTS_PER_ITERATION = 256  # taken from epoll, so that timers are not late in a burst of events
-WAKE_UP_READ_BYTES = 4096  # one byte for each wake-up; what is left is read in the next iteration
+MAX_EVENTS_PER_ITERATION = 256  # limits the delay of timers in a burst of events
+WAKE_UP_READ_BYTES = 4096  # one byte per wake-up; remaining bytes are read in the next iteration
 READABLE, WRITABLE = select.EPOLLIN, select.EPOLLOUT
 BROKEN = select.EPOLLHUP | select.EPOLLERR
 
@@ -29,10 +29,10 @@
 
 
 class Reactor:
-    """The loop; there is one in each process. Times are integer microseconds of the monotonic clock.
+    """The event loop; each process has one. Times are integer microseconds of the monotonic clock.
 
     Attributes:
-        loop_delay_us: How long the last iteration took after its first event: the delay that this process itself adds.
+        loop_delay_us: Time for which the last iteration with events handled them: the delay added by this process.
     """
 
     def __init__(self) -> None:
@@ -53,51 +53,51 @@
         return time.monotonic_ns() // 1000
 
     def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> Timer:
-        """Call this once, after the delay; the timer can be cancelled."""
+        """Call `call` once after the delay, unless the timer is cancelled."""
         return self._wheel.add(time.monotonic_ns() // 1000 + delay_us, call, arguments)
 
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
-        """Call this at the end of this iteration or, from there, in the next one."""
+        """Call `callback` at the end of this iteration; from a callback that runs there, in the next iteration."""
         self._soon.append((callback, args))
 
     def call_from_thread(self, callback: Callable[..., Any], *args: Any) -> None:
-        """Have the loop call this; the only method that other threads may use."""
+        """Call `callback` in the event loop; the only method that other threads may call."""
         self._soon.append((callback, args))  # appending to a deque is atomic
-        with suppress(BlockingIOError):  # the pipe is full of wake-ups, and one is enough
+        with suppress(BlockingIOError):  # the pipe is full, and one byte in it is enough to wake the loop
             os.write(self._wake_up_out, b".")
 
     def on_signal(self, number: int, call: Callable[[], None]) -> None:
-        """Have the loop call this for each signal of that number."""
+        """Call `call` in the event loop for each signal with this number."""
         self._signals[number] = call
         signal.signal(number, self._on_signal)
 
     def stop(self) -> None:
-        """End `run` after this iteration."""
+        """Make `run` return after the current iteration."""
         self._stopped = True
 
     # Descriptors
 
     def add_reader(self, fd: int, callback: Callable[..., Any], *args: Any) -> None:
-        """Call this whenever the descriptor can be read, or is broken; it replaces an earlier callback."""
+        """Call `callback` whenever the descriptor is readable or in error; replaces an earlier callback."""
         registered = fd in self._readers or fd in self._writers
         self._readers[fd] = (callback, args)
         self._update_epoll(fd, registered)
 
     def remove_reader(self, fd: int) -> bool:
-        """Stop watching for reads, and return whether there was a callback."""
+        """Stop watching for readability, and return whether a callback was registered."""
         if self._readers.pop(fd, None) is None:
             return False
         self._update_epoll(fd, True)
         return True
 
     def add_writer(self, fd: int, callback: Callable[..., Any], *args: Any) -> None:
-        """Call this whenever the descriptor can be written, or is broken; it replaces an earlier callback."""
+        """Call `callback` whenever the descriptor is writable or in error; replaces an earlier callback."""
         registered = fd in self._readers or fd in self._writers
         self._writers[fd] = (callback, args)
         self._update_epoll(fd, registered)
 
     def remove_writer(self, fd: int) -> bool:
-        """Stop watching for writes, and return whether there was a callback."""
+        """Stop watching for writability, and return whether a callback was registered."""
         if self._writers.pop(fd, None) is None:
             return False
         self._update_epoll(fd, True)
@@ -120,13 +120,13 @@
             self.run_once()
 
     def close(self) -> None:
-        """Close the loop's own descriptors; those that it watched belong to their owners."""
+        """Close the loop's own descriptors; the watched descriptors are closed by their owners."""
         self._epoll.close()
         os.close(self._wake_up_in)
         os.close(self._wake_up_out)
 
     def run_once(self) -> None:
-        """Wait for the next event or timer, then call everything that is due."""
+        """Wait for the next event or timer, then run all callbacks that are due."""
         first_event_at = 0
         for fd, mask in self._epoll.poll(self._wait_s(), MAX_EVENTS_PER_ITERATION):
             first_event_at = first_event_at or self.now()
@@ -143,7 +143,7 @@
             self._call(*self._soon.popleft())
 
     def _wait_s(self) -> float:
-        """Return how long to wait for events, in seconds; -1: without end."""
+        """Return the time-out for the next wait for events, in seconds; -1: no time-out."""
         if self._soon:
             return 0.0
         due_at = self._wheel.next_due_us
@@ -154,15 +154,15 @@
     def _call(self, callback: Callable[..., Any], args: tuple[Any, ...]) -> None:
         """Run one callback.
 
-        A failed assertion stops the process; any other exception is logged and concerns its callback alone.
+        A failed assertion stops the process. Any other exception is logged and ends only this callback.
         """
         try:
             callback(*args)
         except AssertionError:
-            log.exception("an invariant is broken")
+            log.exception("assertion failed in an event loop callback, stopping the process")
             raise
         except Exception:
-            log.exception("a callback failed")
+            log.exception("unhandled exception in an event loop callback")
 
     def _on_wake_up(self) -> None:
         os.read(self._wake_up_in, WAKE_UP_READ_BYTES)
--- a/lilacsill/mesh/runtime/reactor_environment.py
+++ b/lilacsill/mesh/runtime/reactor_environment.py
@@ -1,4 +1,4 @@
-"""The environment of decisions in a real process: its event loop, and links to other processes."""
+"""The environment of protocol code in a real process: its event loop, and links to other processes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from lilacsill.address import parse_address
 from lilacsill.timers import Timer
 
-from .environment import Answered
+from .environment import OnReply
 from .messages import Message
 from .reactor import Reactor
 from .rpc import RpcClientPool
@@ -18,7 +18,7 @@
     """An `Environment` over an event loop."""
 
     def __init__(self, reactor: Reactor, rpc_clients: RpcClientPool | None = None) -> None:
-        """Wrap a reactor; `rpc_clients` are the links, None: own ones."""
+        """Wrap a reactor; without `rpc_clients`, the environment creates its own pool."""
         self._reactor = reactor
         self._rpc_clients = RpcClientPool(reactor) if rpc_clients is None else rpc_clients
 
@@ -27,13 +27,13 @@
         return self._reactor.now()
 
     def after(self, delay_us: int, call: Callable[..., None], *arguments: Any) -> Timer:
-        """Call once after the delay, unless the timer is cancelled."""
+        """Call `call` once after the delay, unless the timer is cancelled."""
         return self._reactor.after(delay_us, call, *arguments)
 
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
-        """Call once, after the present callback has returned."""
+        """Call `callback` once, after the current callback has returned."""
         self._reactor.call_soon(callback, *args)
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
-        """Send a request; `answered` is called once, with None if there was no answer in time."""
-        self._rpc_clients.client(parse_address(address)).request(message, timeout_us, answered)
+    def ask(self, address: str, message: Message, timeout_us: int, on_reply: OnReply) -> None:
+        """Send a request; `on_reply` is called once, with None if there was no reply in time."""
+        self._rpc_clients.client(parse_address(address)).request(message, timeout_us, on_reply)
--- a/lilacsill/mesh/runtime/rpc.py
+++ b/lilacsill/mesh/runtime/rpc.py
@@ -1,4 +1,4 @@
-"""Requests and replies between processes: one link to each peer, a number for each request, a bound on each wait."""
+"""Requests and replies between processes: one link per peer, a number per request, and a time-out for each request."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 CONNECT_TIMEOUT_US = 500_000
 
 OnReply = Callable[[Message | None], None]
-"""Takes the reply to a request. None: there was no reply, and it is not known whether the request arrived."""
+"""Receives the reply to a request. None: there was no reply, and the request may or may not have arrived."""
 SendReply = Callable[[Message], None]
 """Sends the reply to a request."""
 RequestHandler = Callable[[Any, SendReply], None]
-"""Takes a request, of the type under which the handler is registered, and replies at once or later."""
+"""Handles a request of the type for which the handler is registered, and replies at once or later."""
 
 
 class PendingRequest:
-    """A request that waits for its reply. The reply counts only on the link on which the request was sent.
+    """A request without a reply yet. A reply is accepted only on the link on which the request was sent.
 
     Attributes:
         on_reply: Called once, with the reply or None.
-        timer: Ends the wait.
-        link: On which the request was sent; None while it waits for a link.
+        timer: Time-out of the request.
+        link: Link on which the request was sent; None while the request waits for a connection.
     """
 
     __slots__ = ("on_reply", "timer", "link")
@@ -42,10 +42,10 @@
 
 
 class RpcClient:
-    """Sends requests to one process. It connects with the first request, and reconnects after a link is lost.
+    """Sends requests to one process. Connects with the first request, and reconnects after the link is lost.
 
-    A request is sent once at most. What was sent on a link that is lost is not sent on the next one: its sender gets
-    None for a reply.
+    Each request is sent at most once. Requests in flight on a lost link are not resent; their `on_reply` is called
+    with None.
     """
 
     def __init__(self, reactor: Reactor, address: Address) -> None:
@@ -54,11 +54,11 @@
         self._link: Link | None = None
         self._connecting: ConnectAttempt | None = None
         self._pending: dict[int, PendingRequest] = {}
-        self._unsent: list[tuple[int, Message]] = []  # requests that wait for a link, by number
+        self._unsent: list[tuple[int, Message]] = []  # number and message of the requests that wait for a link
         self._last_number = 0
 
     def request(self, message: Message, timeout_us: int, on_reply: OnReply) -> None:
-        """Send a request. `on_reply` is called once, never from inside this call."""
+        """Send a request. `on_reply` is called once, never before this method returns."""
         self._last_number += 1
         number = self._last_number
         timer = self._reactor.after(timeout_us, self._complete, number, None)
@@ -69,7 +69,7 @@
             return
         self._unsent.append((number, message))
         if self._connecting is None:
-            # Not at once: an attempt that is refused may fail before it returns.
+            # Deferred, because a refused attempt may call its failure callback before this method returns.
             self._reactor.call_soon(self._connect)
 
     def close(self) -> None:
@@ -132,33 +132,33 @@
         self._clients: dict[Address, RpcClient] = {}
 
     def client(self, address: Address) -> RpcClient:
-        """Return the client for an address; the first call makes it."""
+        """Return the client for an address, creating it if needed."""
         client = self._clients.get(address)
         if client is None:
             client = self._clients[address] = RpcClient(self._reactor, address)
         return client
 
     def retain(self, addresses: set[Address]) -> None:
-        """Close and forget the clients for all other addresses."""
+        """Close and remove the clients for all other addresses."""
         for address in self._clients.keys() - addresses:
             self._clients.pop(address).close()
 
 
 class RpcServer:
-    """Takes the requests of other processes, and sends the replies.
+    """Accepts links from other processes, passes their requests to handlers, and sends the replies.
 
     Attributes:
-        links: Those that are open.
-        listener: Accepts them.
+        links: The open links.
+        listener: Accepts the links.
     """
 
     def __init__(self, reactor: Reactor, address: Address, handlers: dict[type, RequestHandler]) -> None:
         """Listen on the address.
 
         Args:
-            reactor: Watches the sockets.
-            address: To bind.
-            handlers: By type of request. A peer that sends a message of another type is disconnected.
+            reactor: Event loop of the process.
+            address: Address to bind.
+            handlers: By type of request. A peer that sends a message of any other type is disconnected.
 
         Raises:
             OSError: The address cannot be bound.
--- a/lilacsill/mesh/runtime/settings.py
+++ b/lilacsill/mesh/runtime/settings.py
@@ -1,4 +1,4 @@
-"""The settings file that the platform writes for each process (TOML), as far as the mesh reads it."""
+"""The TOML settings file that the platform writes for each process; keys that the mesh does not use are ignored."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 ENVIRONMENT_VARIABLE = "LILACSILL_SETTINGS"
 MAX_PORT = 65535
-STORE_PORT_INDEX = 1  # of the ports between processes of the mesh; proxies and registries have the first one
+STORE_PORT_INDEX = 1  # offset of the store's port in the internal ports; proxies and registries use the first one
 US_PER_MS, US_PER_S = 1_000, 1_000_000
 
 
 class SettingsError(Exception):
-    """The settings file cannot be used.
+    """The settings file is missing or invalid.
 
     Attributes:
-        path: Of the file; empty if none is named.
-        key: Of the setting; empty if the file as a whole cannot be used.
-        problem: What is wrong with it, and which values are allowed.
+        path: Path of the file; empty if no file was given.
+        key: Key of the invalid setting; empty if the file as a whole cannot be used.
+        problem: What is wrong, and which values are allowed.
     """
 
     def __init__(self, path: str, key: str, problem: str) -> None:
@@ -34,58 +34,58 @@
 
 
 class TimingBounds(msgspec.Struct, frozen=True):
-    """The values of the key TimingBounds that the mesh uses, with the defaults for those that are not given."""
+    """The values of the key TimingBounds that the mesh uses, with their defaults."""
 
-    drain_us: int = 2_000_000  # DrainWithinMs: a backend that drains ends within this time
+    drain_us: int = 2_000_000  # DrainWithinMs: time within which a draining backend terminates
     grace_period_us: int = 6_000_000  # GracePeriodS: from SIGTERM until the platform kills a process
-    retry_window_us: int = 10_000_000  # RetryWindowS: over which retries and requests are compared
-    retry_ratio: float = 0.2  # RetryRatio: retries that are allowed for each request
-    retry_slack: float = 0.0  # RetrySlack: retries that are allowed beyond that in a window
-    key_window_us: int = 60_000_000  # KeyWindowS: for which an operation is remembered after it was sent
-    quota_window_us: int = 5_000_000  # QuotaWindowS: over which the requests of a tenant are counted
-    quota_over: float = 0.1  # QuotaOver: share of its quota that a tenant may be given beyond it
-    quota_slack: float = 20.0  # QuotaSlack: requests that a tenant may be given beyond that in a window
+    retry_window_us: int = 10_000_000  # RetryWindowS: window over which retries are compared with requests
+    retry_ratio: float = 0.2  # RetryRatio: allowed retries per request
+    retry_slack: float = 0.0  # RetrySlack: additional retries allowed in a window
+    key_window_us: int = 60_000_000  # KeyWindowS: time for which an operation is remembered after it was sent
+    quota_window_us: int = 5_000_000  # QuotaWindowS: window over which the requests of a tenant are counted
+    quota_over: float = 0.1  # QuotaOver: share by which a tenant may exceed its quota
+    quota_slack: float = 20.0  # QuotaSlack: additional requests that a tenant may be granted in a window
 
 
 class Settings(msgspec.Struct, frozen=True):
     """The settings of one process."""
 
-    path: str  # of the settings file
+    path: str  # path of the settings file
     node_name: str
     zone: str
     ip: str
-    internal_ports: tuple[int, int]  # first and last of those between processes of the mesh
-    seeds: tuple[Address, ...]  # control addresses of core machines that are there at the start
+    internal_ports: tuple[int, int]  # first and last port for traffic between processes of the mesh
+    seeds: tuple[Address, ...]  # control addresses of the initial core machines
     fresh_start: bool  # all machines of the site start for the first time
     loss_counts: bool
-    max_lost_machines: int  # that may fail at once
-    max_lost_zones: int  # zones or regions that may fail at once
-    data_dir: str  # folder on disk; empty: none
+    max_lost_machines: int  # machines that may fail at the same time
+    max_lost_zones: int  # zones or regions that may fail at the same time
+    data_dir: str  # directory on disk; empty: none
     heartbeat_interval_us: int
     timing: TimingBounds
     listen: dict[str, Address]  # by purpose: ControlPort, Outgoing, ReadyCheck
-    backend_address: Address | None  # of the backend beside a proxy
-    service: str  # of that backend; empty: it names its service itself
+    backend_address: Address | None  # of the proxy's backend
+    service: str  # of that backend; empty: the backend announces its service
     max_memory_mb: int
     max_open_files: int
     link_mbps: float
-    disk_mb: int  # size of the disk; 0: not limited
+    disk_mb: int  # size of the disk; 0: unlimited
 
     @property
     def store_port(self) -> int:
-        """The port at which members of the store answer; it is the same on all core machines."""
+        """The port of the store, which is the same on all core machines."""
         return self.internal_ports[0] + STORE_PORT_INDEX
 
 
 def load_settings(path: str | None = None) -> Settings:
-    """Read the file that `path` or else the environment names.
+    """Read the settings file at `path`, or at the path in the environment variable `LILACSILL_SETTINGS`.
 
     Raises:
-        SettingsError: The file is missing, is no TOML, or holds a value that cannot be used.
+        SettingsError: The file cannot be read, is not valid TOML, or contains an invalid value.
     """
     path = path or os.environ.get(ENVIRONMENT_VARIABLE, "")
     if not path:
-        raise SettingsError("", "", f"{ENVIRONMENT_VARIABLE} names no settings file")
+        raise SettingsError("", "", f"no settings file given: {ENVIRONMENT_VARIABLE} is not set")
     try:
         with open(path, "rb") as file:
             return parse_settings(path, tomllib.load(file))
@@ -96,14 +96,14 @@
 
 
 def parse_settings(path: str, raw: dict[str, Any]) -> Settings:
-    """Check the values of a settings file. Keys that are not known are ignored.
+    """Validate the values of a settings file. Unknown keys are ignored.
 
     Args:
-        path: Of the file, for errors.
-        raw: The file's values by key.
+        path: Path of the file, for error messages.
+        raw: The values of the file by key.
 
     Raises:
-        SettingsError: A required value is missing, or a value cannot be used.
+        SettingsError: A required value is missing, or a value is invalid.
     """
     fields = _Fields(path, raw)
     limits, survive = raw.get("Limits", {}), raw.get("Survive", {})
@@ -133,7 +133,7 @@
 
 
 class _Fields:
-    """The values of a settings file, read with their types checked."""
+    """The values of a settings file, with type checks."""
 
     def __init__(self, path: str, raw: dict[str, Any]) -> None:
         self._path = path
@@ -149,21 +149,21 @@
         try:
             return parse_address(text)
         except (ValueError, AttributeError):
-            raise SettingsError(self._path, key, f"no address: {text!r}") from None
+            raise SettingsError(self._path, key, f"must be an address HOST:PORT, is {text!r}") from None
 
     def port_range(self, key: str) -> tuple[int, int]:
         ports = self.required(key, list)
         valid = len(ports) == 2 and all(isinstance(port, int) and 0 < port <= MAX_PORT for port in ports)
         if not valid or ports[0] > ports[1]:
-            raise SettingsError(self._path, key, f"must be two ports in order, is {ports!r}")
+            raise SettingsError(self._path, key, f"must be two ports in ascending order, is {ports!r}")
         return ports[0], ports[1]
 
 
 def parse_timing_bounds(path: str, texts: Any) -> TimingBounds:
-    """Read the value of the key TimingBounds: `name=value` texts, in a list or separated by commas.
+    """Parse the value of the key TimingBounds: `name=value` strings, in a list or separated by commas.
 
     Raises:
-        SettingsError: The value is neither a list nor a text.
+        SettingsError: The value is neither a list nor a string.
     """
     values = parse_timing_values(path, texts)
     defaults = TimingBounds()
@@ -181,15 +181,17 @@
 
 
 def parse_timing_values(path: str, texts: Any) -> dict[str, float]:
-    """Return the values of the key TimingBounds by name; true and false are 1 and 0, other texts are left out.
+    """Return the values of the key TimingBounds by name.
+
+    The values `true` and `false` become 1 and 0; other values that are not numbers are ignored.
 
     Raises:
-        SettingsError: The value is neither a list nor a text.
+        SettingsError: The value is neither a list nor a string.
     """
     if isinstance(texts, str):
         texts = texts.split(",")
     if not isinstance(texts, list):
-        raise SettingsError(path, "TimingBounds", "must be a list of name=value")
+        raise SettingsError(path, "TimingBounds", f"must be a list of name=value strings, is {texts!r}")
     values: dict[str, float] = {}
     for text in texts:
         name, _, value = str(text).partition("=")
@@ -202,7 +204,7 @@
 
 
 def _duration_us(values: dict[str, float], name: str, default_us: int) -> int:
-    """Return a duration; the end of its name says whether the value is in seconds (S) or milliseconds (Ms)."""
+    """Return a duration; its unit follows from the suffix of the name: S for seconds, Ms for milliseconds."""
     value = values.get(name)
     if value is None or not isfinite(value):
         return default_us
--- a/lilacsill/mesh/runtime/start.py
+++ b/lilacsill/mesh/runtime/start.py
@@ -1,4 +1,4 @@
-"""Start and end of a process: settings, event loop, exit status."""
+"""Start and exit of a process: settings, event loop, exit status."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 
 def run_process(name: str, process: Callable[[Settings, Reactor], Any]) -> int:
-    """Run a program until it stops its loop; then the process exits with status 0 and this function does not return.
+    """Run a program until it stops its event loop; then exit with status 0, without returning.
 
     Args:
-        name: Of the program, for messages on standard error.
-        process: Makes the program's main object, which registers itself with the loop.
+        name: Name of the program, for messages on standard error.
+        process: Creates the program's main object, which registers its callbacks with the event loop.
 
     Returns:
-        The exit status of a program that cannot start. 2: the settings cannot be used; 1: an address cannot be bound.
+        The exit status if the program cannot start. 2: the settings are invalid; 1: an address cannot be bound.
     """
     try:
         settings = load_settings()
@@ -37,13 +37,13 @@
         print(f"{name}: {error}", file=sys.stderr, flush=True)
         return EXIT_CANNOT_BIND
     gc.collect()
-    gc.freeze()  # modules and tables stay for good; later collections need not visit them
+    gc.freeze()  # excludes modules and tables, which live until the exit, from later collections
     try:
         reactor.run()
     except AssertionError:
         log.flush()
         raise
     del running
-    # What must last is on disk already. Closing files in order would wait for a slow disk, beyond the grace period.
+    # All durable data is on disk. A regular exit would close files, which can exceed the grace period on a slow disk.
     sys.stderr.flush()
     os._exit(0)
--- a/lilacsill/mesh/simulation/network.py
+++ b/lilacsill/mesh/simulation/network.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from lilacsill.mesh.runtime.callbacks import once
-from lilacsill.mesh.runtime.environment import Answered
+from lilacsill.mesh.runtime.environment import OnReply
 from lilacsill.mesh.runtime.messages import Item, Message, decode, encode
 from lilacsill.mesh.store.digests import range_of
 from lilacsill.mesh.store.environment import Done, Save
@@ -192,7 +192,7 @@
         """Call something in this run of the process, without a delay."""
         self.net.time.after(0, self.here(callback), *args)
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
         """Send a request to a machine; `answered` is called once, with None after the time-out."""
         answer_once = once(answered)
         self.net.time.after(self._real_us(timeout_us), self.here(answer_once), None)
--- a/lilacsill/mesh/store/local_environment.py
+++ b/lilacsill/mesh/store/local_environment.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from lilacsill.mesh.runtime.environment import Answered
+from lilacsill.mesh.runtime.environment import OnReply
 from lilacsill.mesh.runtime.messages import Message
 from lilacsill.mesh.runtime.reactor import Reactor
 from lilacsill.mesh.runtime.reactor_environment import ReactorEnvironment
@@ -25,14 +25,14 @@
         self._disk, self._address = disk, address
         self.handlers: dict[type, RequestHandler] = {}
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
         """Send a request. `answered` is called exactly once, never before this method returns."""
         if address == self._address:
             self._ask_self(message, timeout_us, answered)
         else:
             super().ask(address, message, timeout_us, answered)
 
-    def _ask_self(self, message: Message, timeout_us: int, answered: Answered) -> None:
+    def _ask_self(self, message: Message, timeout_us: int, answered: OnReply) -> None:
         """Handle a request to this process like a request to another machine: with a timeout and a deferred reply."""
         is_answered = False
 
--- a/lilacsill/mesh/store/successor.py
+++ b/lilacsill/mesh/store/successor.py
@@ -15,7 +15,7 @@
 from functools import partial
 from typing import Protocol
 
-from lilacsill.mesh.runtime.environment import Answered
+from lilacsill.mesh.runtime.environment import OnReply
 from lilacsill.mesh.runtime.log_ring import log
 from lilacsill.mesh.runtime.messages import Item, Member, Message, Replicate, ReplicateReply, Summary, SummaryRequest
 
@@ -133,7 +133,7 @@
         self._state = LinkState.SUMMARISING
         self._ask_for_summary(successor, partial(self._on_summary, self._epoch))
 
-    def _ask_for_summary(self, successor: Member, answered: Answered) -> None:
+    def _ask_for_summary(self, successor: Member, answered: OnReply) -> None:
         request = SummaryRequest(self._replica.view.number, self._replica.is_tail)
         self._environment.ask(successor.address, request, SUMMARY_TIMEOUT_US, answered)
 
@@ -280,7 +280,7 @@
             return
         self.advance()
 
-    def _send(self, message: Replicate, answered: Answered) -> None:
+    def _send(self, message: Replicate, answered: OnReply) -> None:
         successor = self._replica.successor
         assert successor is not None
         timeout_us = REPLICATE_TIMEOUT_US + TRANSFER_US_PER_BYTE * sum(map(size_of, message.items))
--- a/tests/mesh/test_quota.py
+++ b/tests/mesh/test_quota.py
@@ -198,7 +198,7 @@
             machine.handlers = {TokenRequest: partial(self._handle, address)}
         members = CoreMembers(lambda: ADDRESSES)
         if knows_view:
-            members.learn(3, ADDRESSES)
+            members.update_view(3, ADDRESSES)
         self.client = QuotaClient(self.proxy, members)
         self.decisions: list[QuotaDecision] = []
 
--- a/tests/mesh/test_quota_schedules.py
+++ b/tests/mesh/test_quota_schedules.py
@@ -53,7 +53,7 @@
 
 def every_member_grants_for_every_tenant(patch: Patch) -> None:
     patch.setattr(QuotaOwner, "_owns", lambda self, tenant: True)
-    patch.setattr(CoreMembers, "owner_of", lambda self, key: self.any_candidate() if self.addresses else None)
+    patch.setattr(CoreMembers, "owner_of", lambda self, key: self.next_candidate() if self.addresses else None)
 
 
 def an_owner_without_leases_grants(patch: Patch) -> None:
--- a/tests/mesh/test_settings.py
+++ b/tests/mesh/test_settings.py
@@ -65,9 +65,17 @@
     ("line", "wrong", "problem"),
     [
         ('NodeName = "sidecar-1"', "NodeName = 7", "NodeName: must be a str, is 7"),
-        ("InternalPorts = [7660,7675]", "InternalPorts = [7675,7660]", "InternalPorts: must be two ports in order"),
-        ('SeedNodes = ["10.1.0.40:8146"]', 'SeedNodes = ["nowhere"]', "SeedNodes: no address: 'nowhere'"),
-        ('AppAddress = "10.1.0.35:8147"', "AppAddress = 3", "AppAddress: no address: 3"),
+        (
+            "InternalPorts = [7660,7675]",
+            "InternalPorts = [7675,7660]",
+            "InternalPorts: must be two ports in ascending order",
+        ),
+        (
+            'SeedNodes = ["10.1.0.40:8146"]',
+            'SeedNodes = ["nowhere"]',
+            "SeedNodes: must be an address HOST:PORT, is 'nowhere'",
+        ),
+        ('AppAddress = "10.1.0.35:8147"', "AppAddress = 3", "AppAddress: must be an address HOST:PORT, is 3"),
         ('ZoneName = "z"', "", "ZoneName: must be a str, is None"),
         ('ZoneName = "z"', "ZoneName =", "Invalid value"),
     ],
--- a/tests/mesh/test_successor.py
+++ b/tests/mesh/test_successor.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from lilacsill.mesh.runtime.environment import Answered
+from lilacsill.mesh.runtime.environment import OnReply
 from lilacsill.mesh.runtime.messages import (
     Item,
     Member,
@@ -36,7 +36,7 @@
     """An environment that keeps requests and timers until the test answers or fires them."""
 
     def __init__(self) -> None:
-        self.requests: list[tuple[Message, Answered]] = []
+        self.requests: list[tuple[Message, OnReply]] = []
         self.timers: list[tuple[int, Callable[..., None], tuple[Any, ...]]] = []
         self.saves: list[Save] = []
 
@@ -50,7 +50,7 @@
     def call_soon(self, callback: Callable[..., Any], *args: Any) -> None:
         raise AssertionError("not used by a link")
 
-    def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
+    def ask(self, address: str, message: Message, timeout_us: int, answered: OnReply) -> None:
         assert address == TAIL.address
         self.requests.append((message, answered))
 
--- a/tests/operations/test_operations.py
+++ b/tests/operations/test_operations.py
@@ -164,7 +164,7 @@
 def test_the_head_is_found_through_another_member() -> None:
     world = World()
     one = world.proxy(ONE)
-    one.claims.members.learn(0, [OTHER, HEAD])
+    one.claims.members.update_view(0, [OTHER, HEAD])
     may_run(world.request(one))
     assert one.claims.members.head() == HEAD
 
--- a/tests/relaying/defects.py
+++ b/tests/relaying/defects.py
@@ -53,7 +53,7 @@
 
 
 def a_relay_tries_although_it_is_cut_off(patch: Patch) -> None:
-    patch.setattr(RelayServer, "_may_send", lambda self, address: self._members.knows(address))
+    patch.setattr(RelayServer, "_may_send", lambda self, address: self._members.is_core_address(address))
 
 
 def no_relay_is_kept(patch: Patch) -> None:
