--- a/lilacsill/agent/admission/__init__.py
+++ b/lilacsill/agent/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Admission of downstream connections: the account of descriptors, the table of addresses and the policy. No I/O."""
+"""Admission of downstream connections: descriptor accounting, the client address table and the policy. No I/O."""
--- a/lilacsill/agent/admission/connections.py
+++ b/lilacsill/agent/admission/connections.py
@@ -1,4 +1,4 @@
-"""Downstream connections by state, so that candidates for eviction are found without a search of all of them."""
+"""Downstream connections indexed by state, so that eviction candidates are found without a full scan."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from .policy import ConnectionState, ConnectionView, EvictionRank, eviction_rank
 from .settings import ConnectionTimeouts
 
-MAX_GROUP_CANDIDATES = 32  # offered from a group over its share, some of which have a request in flight
-MAX_STATE_CANDIDATES = 8  # offered from each state, known and not; the server may find some of them busy
+MAX_GROUP_CANDIDATES = 32  # from a group over its share; some of its connections may have a request in flight
+MAX_STATE_CANDIDATES = 8  # from each state, known and unknown each; the server may find some not evictable
 
 
 class ConnectionRecord:
@@ -21,9 +21,9 @@
         self.address, self.known = address, known
         self.state = ConnectionState.SILENT
         self.state_since = self.opened_at = now
-        self.closing = False  # no longer counted as open
-        self.received = 0  # bytes of the body that is being received
-        self.group = 0  # the group that pays for it (groups.py)
+        self.closing = False  # the server closes it; no longer counted as open
+        self.received = 0  # bytes received of the current request body
+        self.group = 0  # the group that it counts towards (groups.py)
 
 
 class ConnectionTable:
@@ -40,17 +40,17 @@
         return sum(len(self._by_state[state, known]) for state in states for known in (False, True))
 
     def add(self, record: ConnectionRecord) -> None:
-        """Add a connection."""
+        """Add a connection under its current state."""
         self._by_state[record.state, record.known][record] = None
 
     def remove(self, record: ConnectionRecord) -> None:
-        """Remove a connection, if it is there."""
+        """Remove a connection, if it is in the table."""
         self._by_state[record.state, record.known].pop(record, None)
 
     def set_state(self, record: ConnectionRecord, state: ConnectionState, now: int) -> None:
         """Move a connection to a state."""
         self.remove(record)
-        # A first request that never ends is timed from the start of its connection.
+        # The time-out of an incomplete first request counts from the opening of the connection.
         is_first_request = (record.state, state) == (ConnectionState.SILENT, ConnectionState.READING)
         record.state_since = record.opened_at if is_first_request else now
         record.state = state
@@ -68,7 +68,7 @@
             yield from records
 
     def view(self, record: ConnectionRecord, now: int, over_share: bool = False) -> ConnectionView:
-        """Return what the policy needs to rank a connection.
+        """Return the properties by which the policy ranks a connection for eviction.
 
         Args:
             record: The connection.
@@ -85,15 +85,15 @@
     def eviction_candidates(
         self, for_known: bool, now: int, over_share: Iterable[ConnectionRecord] = ()
     ) -> list[tuple[EvictionRank, ConnectionRecord]]:
-        """Return connections that may be evicted, in the order in which they should be.
+        """Return eviction candidates, in the order in which they should be evicted.
 
-        The list is bounded: the oldest few of a group over its share, the oldest few of each state, and those of
-        addresses over their cap.
+        They are the `MAX_GROUP_CANDIDATES` oldest of a group over its share, the `MAX_STATE_CANDIDATES` oldest of each
+        state, and all connections of addresses over their cap.
 
         Args:
-            for_known: Whether a known client needs the room.
+            for_known: Whether the connection to be admitted is from a known client.
             now: The time in microseconds.
-            over_share: The connections of a group that exceeds its share, longest in it first.
+            over_share: The connections of a group that exceeds its share, in the order in which they joined it.
         """
         found: list[tuple[EvictionRank, int, ConnectionRecord]] = []
         for record, _ in zip(over_share, range(MAX_GROUP_CANDIDATES), strict=False):
@@ -122,7 +122,7 @@
         ]
 
     def expired(self, now: int) -> list[ConnectionRecord]:
-        """Return the connections that have stayed in their state for longer than its time-out."""
+        """Return the connections that have exceeded the time-out of their state."""
         timeouts = self._timeouts
         allowed_us = {
             ConnectionState.SILENT: timeouts.silent_us,
--- a/lilacsill/agent/admission/controller.py
+++ b/lilacsill/agent/admission/controller.py
@@ -1,6 +1,6 @@
-"""The admission controller: the server reports each event of a downstream connection to it and does what it decides.
+"""The admission controller: the server reports downstream connection events to it and carries out its decisions.
 
-No I/O; the caller passes the time in.
+It does no I/O; the caller passes the current time.
 """
 
 from __future__ import annotations
@@ -14,34 +14,34 @@
 from .descriptor_account import DescriptorAccount, Side
 from .episode import Episode
 from .groups import ConnectionGroups
-from .policy import Arrival, ConnectionState, EvictionRank, RefusalReason, Verdict, decide, keeps_alive
+from .policy import ConnectionState, EvictionRank, NewConnection, RefusalReason, Verdict, decide, keeps_alive
 from .settings import AdmissionSettings, ConnectionTimeouts, client_identity
 
-SHORTAGE_REST_US = 500_000  # after the kernel had no descriptor, before the limit is raised again
-LAG_GAIN = 0.3  # weight of a new figure in the smoothed lag
-LAG_STALE_US = 100_000  # a lag measured longer ago does not count
-KEEP_ALIVE_SHARE = 2 / 9  # of all descriptors: clients may use a third for requests, and some must stay free
+LIMIT_RAISE_DELAY_US = 500_000  # from the last descriptor shortage until the lowered limit is raised
+LAG_SMOOTHING_WEIGHT = 0.3  # weight of a new sample in the moving average of the lag
+MAX_LAG_AGE_US = 100_000  # an older measurement of the lag is ignored
+KEEP_ALIVE_SHARE = 2 / 9  # of the descriptor limit: clients may use a third for requests, some of it stays free
 
 
 @dataclass(slots=True, frozen=True)
 class Admitted:
-    """The decision to admit a connection, and which other one to close for it."""
+    """The decision to admit a connection, and which other connection to close for it."""
 
     record: ConnectionRecord
-    evicted: ConnectionRecord | None = None  # the server closes it now
+    evicted: ConnectionRecord | None = None  # the downstream connection that the server closes now
     closes_idle_upstream: bool = False  # the server closes an idle connection to a backend now
 
 
 @dataclass(slots=True, frozen=True)
 class Refused:
-    """The decision to refuse a connection, and the Retry-After to give."""
+    """The decision to refuse a connection, and the Retry-After of the response."""
 
     reason: RefusalReason
     retry_after_s: float
 
 
 class AdmissionController:
-    """Decides which connections are admitted, evicted and refused. One per process; `log` takes the few lines."""
+    """Decides which connections are admitted, evicted and refused. One per process; `log` writes a log line."""
 
     def __init__(
         self,
@@ -58,14 +58,14 @@
         self.groups = ConnectionGroups()
         self._rng = Random(seed)
         self._log = log
-        self._lag_us = 0.0  # how far the event loop is behind, smoothed
+        self._lag_us = 0.0  # delay of the event loop, moving average
         self._lag_at = 0
         self._storm = Episode("connection storm")
         self._shortage = Episode("shortage of descriptors")
         descriptors.reserve = settings.reserve
 
     def apply_settings(self, settings: AdmissionSettings) -> None:
-        """Use new settings from now on; open connections stay until they are evicted by these."""
+        """Apply new settings; open connections stay until they are evicted under them."""
         self._settings = settings
         self.descriptors.reserve = settings.reserve
         self._addresses.apply_settings(settings)
@@ -74,7 +74,7 @@
             if known != record.known:
                 self._set_known(record, known)
 
-    # Arrivals
+    # New connections
 
     def admit(
         self,
@@ -83,13 +83,15 @@
         can_evict: Callable[[ConnectionRecord], bool],
         has_idle_upstream: Callable[[], bool],
     ) -> Admitted | Refused:
-        """Decide on a connection that was accepted.
+        """Decide on an accepted connection.
 
         Args:
             host: The address of the client.
             now: The time in microseconds.
-            can_evict: Tells whether another connection can be closed without harm; asked only where it matters.
-            has_idle_upstream: Tells whether there is an idle connection to a backend; asked only where it matters.
+            can_evict: Returns whether another connection can be closed without losing a request or response; called
+                only when a descriptor must be freed.
+            has_idle_upstream: Returns whether there is an idle connection to a backend; called only when a descriptor
+                must be freed.
         """
         address = self._addresses.entry_for(client_identity(host), now)
         known = self._addresses.is_known(address, now)
@@ -100,13 +102,13 @@
         is_full = descriptors.open_count(Side.DOWNSTREAM) >= capacity - (0 if known else unused_reserve)
         rank: EvictionRank | None = None
         victim: ConnectionRecord | None = None
-        upstream_lends = False
+        can_close_idle_upstream = False
         busy = not known and self.is_busy(now)
         if is_full and below_cap and (known or (within_rate and not busy)) and descriptors.may_close:
             rank, victim = self._find_victim(known, now, can_evict)
-            upstream_lends = descriptors.can_lend(Side.UPSTREAM) and has_idle_upstream()
+            can_close_idle_upstream = descriptors.exceeds_floor(Side.UPSTREAM) and has_idle_upstream()
         verdict, reason = decide(
-            Arrival(
+            NewConnection(
                 known=known,
                 below_cap=below_cap,
                 within_rate=within_rate,
@@ -115,16 +117,16 @@
                 unused_reserve=unused_reserve,
                 victim=rank,
                 may_close=descriptors.may_close,
-                upstream_lends=upstream_lends,
+                can_close_idle_upstream=can_close_idle_upstream,
                 busy=busy,
             )
         )
         if reason is not None:
-            self._record_storm(now, f"refused because {reason.value}")
+            self._record_storm(now, f"connection refused because {reason.value}")
             return Refused(reason, self._rng.uniform(*self._settings.retry_after_s))
         if verdict is Verdict.REPLACE:
             assert victim is not None and rank is not None
-            self._record_storm(now, f"{_label(rank)} made way")
+            self._record_storm(now, f"{_label(rank)} connection evicted")
             self.start_closing(victim)
         record = ConnectionRecord(address, known, now)
         self.connections.add(record)
@@ -133,18 +135,18 @@
         return Admitted(record, victim if verdict is Verdict.REPLACE else None, verdict is Verdict.BORROW)
 
     def record_lag(self, now: int, lag_us: int) -> None:
-        """Note how late the event loop called something that was due."""
-        self._lag_us += (lag_us - self._lag_us) * LAG_GAIN
+        """Record by how much the event loop delayed a timer."""
+        self._lag_us += (lag_us - self._lag_us) * LAG_SMOOTHING_WEIGHT
         self._lag_at = now
 
     @property
     def watches_lag(self) -> bool:
-        """Whether the lag of the event loop has to be measured."""
+        """Whether the settings limit the event loop lag, so that it has to be measured."""
         return self._settings.busy_ms > 0
 
     def is_busy(self, now: int) -> bool:
-        """Return whether the event loop is too far behind to serve strangers; an old measurement does not count."""
-        return self.watches_lag and now - self._lag_at < LAG_STALE_US and self._lag_us > self._settings.busy_ms * 1000
+        """Return whether the event loop lag is too high to serve unknown clients; an old measurement is ignored."""
+        return self.watches_lag and now - self._lag_at < MAX_LAG_AGE_US and self._lag_us > self._settings.busy_ms * 1000
 
     def _find_victim(
         self, for_known: bool, now: int, can_evict: Callable[[ConnectionRecord], bool]
@@ -156,30 +158,30 @@
         return None, None
 
     def evict_for_upstream(self, now: int, can_evict: Callable[[ConnectionRecord], bool]) -> ConnectionRecord | None:
-        """Return a downstream connection to close now, so that one to a backend can be opened; None: there is none."""
-        if not self.descriptors.can_lend(Side.DOWNSTREAM) or not self.descriptors.may_close:
+        """Return a downstream connection to close now for a new connection to a backend; None: none can be closed."""
+        if not self.descriptors.exceeds_floor(Side.DOWNSTREAM) or not self.descriptors.may_close:
             return None
         rank, victim = self._find_victim(False, now, can_evict)
         if victim is not None:
             assert rank is not None
-            self._record_storm(now, f"{_label(rank)} made way for a backend")
+            self._record_storm(now, f"{_label(rank)} connection evicted for a connection to a backend")
             self.start_closing(victim)
         return victim
 
     def evict_over_limit(self, now: int, can_evict: Callable[[ConnectionRecord], bool]) -> ConnectionRecord | None:
-        """Return the next connection to close because the limit is below what is open; None: there is none."""
+        """Return the next connection to close while more are open than the limit allows; None: none is to be closed."""
         if not self.descriptors.excess or not self.descriptors.may_close:
             return None
         _, victim = self._find_victim(True, now, can_evict)
         if victim is not None:
-            self._record_shortage(now, "connections closed")
+            self._record_shortage(now, "connection closed above the limit")
             self.start_closing(victim)
         return victim
 
-    # Events of a connection
+    # Connection events
 
     def state_changed(self, record: ConnectionRecord, state: ConnectionState, now: int) -> None:
-        """Note the state of a connection."""
+        """Record the new state of a connection."""
         if record.closing or record.state is state:
             return
         if state is ConnectionState.IN_FLIGHT:
@@ -189,19 +191,19 @@
         self.connections.set_state(record, state, now)
 
     def assign_group(self, record: ConnectionRecord, group: int, weight: float) -> None:
-        """Note the group that pays for a connection, now that its client has shown credentials."""
+        """Record the group that a connection counts towards, once its client has presented credentials."""
         if not record.closing:
             self.groups.assign(record, group, weight)
 
     def request_served(self, record: ConnectionRecord, now: int) -> None:
-        """Note that a good answer goes out on a connection."""
+        """Record that a successful response is sent on a connection."""
         self._addresses.request_served(record.address, now, self._storm.is_active)
         known = self._addresses.is_known(record.address, now)
         if known and not record.known and not record.closing:
             self._set_known(record, True)
 
     def keeps_alive(self, record: ConnectionRecord) -> bool:
-        """Return whether the answer that goes out now leaves the connection open."""
+        """Return whether the connection stays open after the response that is sent now."""
         max_kept = self._settings.keep_alive or max(1, int(KEEP_ALIVE_SHARE * self.descriptors.limit))
         with_requests = self.connections.count(
             ConnectionState.IDLE, ConnectionState.IN_FLIGHT, ConnectionState.READING, ConnectionState.BODY
@@ -209,7 +211,7 @@
         return keeps_alive(record.known, with_requests, max_kept)
 
     def start_closing(self, record: ConnectionRecord) -> None:
-        """Note that the server closes a connection to free its descriptor, which the kernel does an iteration later."""
+        """Record that the server closes a connection; its descriptor is free in the next event loop iteration."""
         assert record.state is not ConnectionState.IN_FLIGHT and not record.closing
         record.closing = True
         self.connections.remove(record)
@@ -218,7 +220,7 @@
         self.descriptors.start_closing(Side.DOWNSTREAM, record.known)
 
     def connection_closed(self, record: ConnectionRecord) -> None:
-        """Note that the descriptor of a connection is free."""
+        """Record that a connection is closed and its descriptor is free."""
         if record.closing:
             self.descriptors.finish_closing()
             return
@@ -229,23 +231,23 @@
         self._addresses.connection_closed(record.address)
         self.descriptors.release(Side.DOWNSTREAM, record.known)
 
-    # The descriptors of the process
+    # Descriptors of the process
 
     def descriptors_exhausted(self, now: int, what: str, needs: int = 0) -> None:
-        """Note that the kernel had no descriptor.
+        """Lower the limit after the kernel failed to provide a descriptor.
 
         Args:
             now: The time in microseconds.
-            what: What the descriptor was for, in words for the log.
-            needs: How many descriptors are to be freed for it.
+            what: The purpose of the descriptor, for the log.
+            needs: The number of descriptors to free for this purpose.
         """
         self.descriptors.lower_limit(needs)
         self._record_shortage(now, what)
 
     def poll(self, now: int, limit: int) -> None:
-        """Take over the current limit of descriptors and log the end of episodes. Called regularly."""
+        """Apply the current descriptor limit and log the end of overload episodes. Called periodically."""
         self.descriptors.set_limit(limit)
-        if now - self._shortage.last_seen_us >= SHORTAGE_REST_US:
+        if now - self._shortage.last_seen_us >= LIMIT_RAISE_DELAY_US:
             self.descriptors.raise_limit()
         for episode in (self._storm, self._shortage):
             line = episode.poll(now)
--- a/lilacsill/agent/admission/episode.py
+++ b/lilacsill/agent/admission/episode.py
@@ -1,29 +1,29 @@
-"""Overload episodes: one line in the log when one begins and one when it ends, however many connections it touches."""
+"""Overload episodes: logged once at the beginning and once at the end, however many connections are affected."""
 
 from __future__ import annotations
 
 from collections import Counter
 
-SECOND = 1_000_000
-CALM_US = 3 * SECOND  # an episode ends when nothing of it has been seen for this long
+US_PER_S = 1_000_000
+EPISODE_QUIET_US = 3 * US_PER_S  # an episode ends after this time without a further event
 
 
 class Episode:
-    """One kind of overload. The caller passes events and times in and logs the lines that come back."""
+    """Episodes of one kind of overload. The caller passes events and times and logs the returned lines."""
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._since: int | None = None
-        self.last_seen_us = -CALM_US
+        self.last_seen_us = -EPISODE_QUIET_US
         self._counts: Counter[str] = Counter()
 
     @property
     def is_active(self) -> bool:
-        """Whether the episode has begun and not ended."""
+        """Whether an episode is in progress."""
         return self._since is not None
 
     def record(self, now: int, what: str) -> str | None:
-        """Count an event of this kind; return the line that reports the beginning, if this is one."""
+        """Count an event; return the log line if it begins an episode."""
         self._counts[what] += 1
         self.last_seen_us = now
         if self._since is not None:
@@ -32,10 +32,10 @@
         return f"{self._name} begins: {what}"
 
     def poll(self, now: int) -> str | None:
-        """Return the line that reports the end, if the episode has just ended."""
-        if self._since is None or now - self.last_seen_us < CALM_US:
+        """Return the log line with the duration and event counts if the episode has just ended."""
+        if self._since is None or now - self.last_seen_us < EPISODE_QUIET_US:
             return None
-        took_s = (self.last_seen_us - self._since) / SECOND
+        took_s = (self.last_seen_us - self._since) / US_PER_S
         counts = ", ".join(f"{count} × {what}" for what, count in sorted(self._counts.items()))
         self._since = None
         self._counts.clear()
--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -93,7 +93,7 @@
 
     def knows_backend(self, backend: balancing.BackendId) -> bool:
         """Return whether the list names a backend."""
-        return self._backends.knows(backend)
+        return self._backends.is_listed(backend)
 
     def set_maintenance(self, backend: balancing.BackendId, in_maintenance: bool) -> None:
         """Take a backend out for an operator, or let it serve again; in force on return."""
--- a/lilacsill/agent/inbound/__init__.py
+++ b/lilacsill/agent/inbound/__init__.py
@@ -1,1 +1,1 @@
-"""The application's side: the listener, downstream connections and the validation of requests."""
+"""The side of the application: the listener, downstream connections and the validation of requests."""
--- a/lilacsill/agent/inbound/accept.py
+++ b/lilacsill/agent/inbound/accept.py
@@ -1,4 +1,4 @@
-"""The accept loop: accepts queued connections, a bounded number at once, also when descriptors run out."""
+"""The accept loop: accepts a bounded number of queued connections at once, even if no descriptor is free."""
 
 from __future__ import annotations
 
@@ -13,9 +13,10 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-MAX_ACCEPTS = 16  # in one iteration of the event loop, so that open connections are served
-PAUSE_S = 0.02  # where not even the spare descriptor is left; asyncio's own server pauses for a second
-# Errors of the connection that was to be accepted, not of the listener (accept(2)).
+MAX_ACCEPTS = 16  # per event loop iteration, so that open connections are served
+# Without even a spare descriptor, or after an unexpected error of accept. asyncio's own server pauses for 1 s.
+ACCEPT_PAUSE_S = 0.02
+# Errors of the connection to be accepted, not of the listener (accept(2)).
 TRANSIENT_ERRORS = frozenset(
     (
         errno.ECONNABORTED,
@@ -36,12 +37,12 @@
     """Accepts connections on a non-blocking listening socket.
 
     Args:
-        sock: The listening socket, which the loop owns.
-        spare: The spare descriptor, to accept with where there is no other.
-        on_accepted: Called with the connection, which it owns, the peer's host, and whether the connection was
-            accepted on the spare descriptor, which comes back only when one is closed.
-        on_exhausted: Called with what a descriptor was needed for, where there was none.
-        may_accept_more: Tells whether another connection may be accepted in this iteration of the event loop.
+        sock: The listening socket; this object closes it.
+        spare: The spare descriptor, released to accept a connection when no other descriptor is free.
+        on_accepted: Called with the connection, which it must close, the peer's host, and whether the connection uses
+            the spare descriptor, which can be reacquired only when a descriptor is closed.
+        on_exhausted: Called with the purpose of a descriptor when none was available.
+        may_accept_more: Returns whether another connection may be accepted in this event loop iteration.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         self._is_open = True
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Start to accept connections."""
         self._loop.add_reader(self._sock.fileno(), self._on_readable)
 
     def stop(self) -> None:
@@ -80,46 +81,46 @@
             except (BlockingIOError, InterruptedError):
                 return
             except OSError as error:
-                if self._can_go_on(error):
+                if self._can_continue(error):
                     continue
                 self._pause()
                 return
-            self._hand_over(connection, peer[0], on_spare)
+            self._dispatch(connection, peer[0], on_spare)
             if not self._may_accept_more():
                 return
 
-    def _can_go_on(self, error: OSError) -> bool:
+    def _can_continue(self, error: OSError) -> bool:
         """Handle an error of accept; return whether the next connection may be accepted at once."""
         if error.errno in TRANSIENT_ERRORS:
             return True
         if error.errno in EXHAUSTED:
             self._on_exhausted("a new connection")
             return self._accept_on_spare()
-        log.error("cannot accept: %s", error)
+        log.error("cannot accept a connection on the listener: %s", error)
         return False
 
     def _accept_on_spare(self) -> bool:
-        """Accept on the spare descriptor, so that nobody waits in the kernel's queue without an answer."""
+        """Accept on the spare descriptor, so that the client is refused rather than left in the kernel's queue."""
         if not self._spare.release():
             return False
         try:
             connection, peer = self._sock.accept()
         except OSError as error:
-            return error.errno not in EXHAUSTED  # if exhausted, another program took the descriptor
-        self._hand_over(connection, peer[0], True)
+            return error.errno not in EXHAUSTED  # if exhausted, another program has taken the released descriptor
+        self._dispatch(connection, peer[0], True)
         return True
 
-    def _hand_over(self, connection: socket.socket, host: str, on_spare: bool) -> None:
+    def _dispatch(self, connection: socket.socket, host: str, on_spare: bool) -> None:
         try:
             self._on_accepted(connection, host, on_spare)
-        except Exception:  # one connection's fault must not affect the others
-            log.exception("connection failed")
+        except Exception:  # a fault of one connection must not affect the others
+            log.exception("connection failed: cannot set up accepted connection from %s", host)
             connection.close()
 
     def _pause(self) -> None:
-        # The listener stays readable: without a pause the event loop would spin.
+        # The listener stays readable: without a pause the event loop would run in a busy loop.
         self._loop.remove_reader(self._sock.fileno())
-        self._resumption = self._loop.call_later(PAUSE_S, self._resume)
+        self._resumption = self._loop.call_later(ACCEPT_PAUSE_S, self._resume)
 
     def _resume(self) -> None:
         self._resumption = None
@@ -128,17 +129,17 @@
 
 
 def adopt_listener(descriptor: int) -> socket.socket:
-    """Return an inherited listening socket, which other processes use, too.
+    """Return an inherited listening socket, which other processes use as well.
 
-    All of them share its flags, and each needs it non-blocking. It must never be shut down: that would end it for all.
+    They share its flags, and each needs it non-blocking. It must never be shut down, because that stops it for all.
 
     Raises:
-        OSError: The descriptor is no listening socket.
+        OSError: The descriptor is not a listening socket.
     """
     sock = socket.socket(fileno=descriptor)
     try:
         if not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise OSError(errno.EINVAL, f"descriptor {descriptor} is no listening socket")
+            raise OSError(errno.EINVAL, f"descriptor {descriptor} is not a listening socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         sock.set_inheritable(False)
         sock.setblocking(False)
@@ -154,10 +155,11 @@
     Args:
         host: The address to listen on; `::` accepts IPv4 too.
         port: The port; 0: any free one.
-        shared: Whether the kernel spreads connections over all processes that listen there (SO_REUSEPORT, socket(7)).
+        shared: Whether the kernel distributes connections over all processes that listen there (SO_REUSEPORT, see
+                socket(7)).
 
     Raises:
-        OSError: The address cannot be listened on.
+        OSError: The address cannot be bound.
     """
     sock = socket.socket(socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -166,7 +168,7 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         if ":" in host:
             sock.setsockopt(socket.IPPROTO_IPV6, socket.IPV6_V6ONLY, 0 if host == "::" else 1)
-        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # accepted connections inherit it
+        sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)  # inherited by accepted connections
         sock.bind((host, port))
         sock.listen(BACKLOG)
         sock.setblocking(False)
--- a/lilacsill/agent/inbound/downstream.py
+++ b/lilacsill/agent/inbound/downstream.py
@@ -1,4 +1,4 @@
-"""One connection of the application: requests are read from it one at a time, and answered on it."""
+"""A connection from the application, on which requests are received and answered one at a time."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 API_PATH, HEALTH_PATH = b"/api", b"/_health"
 BODY_LIMIT = 40 * 1024 * 1024  # bytes; bodies of 32 MB occur
-SMALL_BODY_BYTES = 64 * 1024  # a body up to this size is kept complete without a reservation
-# The time for a streamed body to arrive, in microseconds, and what is added for each byte of it.
+SMALL_BODY_BYTES = 64 * 1024  # a body up to this size is buffered without a memory reservation
+# Time-out for receiving a streamed body, in microseconds: a fixed part and a part per byte.
 BODY_TIMEOUT_US, BODY_TIMEOUT_BYTE_US = 1_000_000, 20
 
 
@@ -29,10 +29,10 @@
     """Handles validated requests."""
 
     def handle(self, call: DownstreamRequest) -> None:
-        """Take over a request; `call.respond` or `call.begin_response` answers it."""
+        """Handle a request and answer it with `call.respond` or `call.begin_response`."""
 
     def client_gone(self, call: DownstreamRequest) -> None:
-        """Note that the client of a request has gone."""
+        """Handle that the client of a request has closed its connection."""
 
     def fail_all(self) -> None:
         """Answer all requests in flight at once."""
@@ -42,7 +42,7 @@
     """Validates requests."""
 
     def validate(self, request: Message, respond: Respond) -> DownstreamRequest:
-        """Return the request in the handler's form.
+        """Return the validated request.
 
         Raises:
             InvalidMessageError: The request is not accepted.
@@ -51,7 +51,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of its server."""
+    """The interface of the server to its connections."""
 
     handler: RequestHandler
     validator: Validator
@@ -60,27 +60,27 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether answers close their connection."""
+        """Whether connections are closed after their response."""
 
     @property
     def is_healthy(self) -> bool:
-        """Whether the health check succeeds."""
+        """Whether the health check of the agent succeeds."""
 
     def state_changed(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        """Note the new state of a connection."""
+        """Record the new state of a connection."""
 
     def keeps_alive(self, connection: DownstreamConnection) -> bool:
-        """Return whether the answer that goes out now leaves the connection open."""
+        """Return whether the connection stays open after the response that is sent now."""
 
     def request_served(self, connection: DownstreamConnection) -> None:
-        """Note that a good answer goes out."""
+        """Record that a successful response is sent."""
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
-        """Note that the descriptor of a connection is free."""
+        """Record that a connection is closed and its descriptor is free."""
 
 
 class DownstreamConnection(Connection):
-    """A connection of the application, with one request at a time."""
+    """A connection from the application, with one request at a time."""
 
     def __init__(self, owner: ConnectionOwner, record: ConnectionRecord) -> None:
         super().__init__()
@@ -89,23 +89,23 @@
         self._reader = Reader(HttpRequestParser, BODY_LIMIT)
         self._message: Message | None = None  # the request in flight, as received
         self._call: DownstreamRequest | None = None  # the request in flight, validated
-        self._has_extra_bytes = False  # bytes of a further request came while one was in flight
-        self._closes_after_response = False  # the streamed response is the last answer on this connection
-        self._continued: Message | None = None  # the request that was answered with 100 Continue
+        self._has_extra_bytes = False  # bytes of another request arrived while one was in flight
+        self._closes_after_response = False  # the connection closes after the streamed response
+        self._continued: Message | None = None  # the request for which 100 Continue was sent
         self._response: ResponseStream | None = None  # the response that is being streamed
         self._upload: Upload | None = None  # the request body that is being streamed
-        self._reserved_bytes = 0  # memory that was reserved to keep the request's body complete
+        self._reserved_bytes = 0  # memory reserved to buffer the request body
 
     # State
 
     @property
     def has_request(self) -> bool:
-        """Whether a request on it has no final answer yet."""
+        """Whether a request on this connection is not answered yet."""
         return self._call is not None
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing of a request has come, as far as the kernel knows, and no answer is still going out."""
+        """Whether no byte of a request has arrived, even in the kernel's buffer, and all responses are written."""
         return (
             self._call is None
             and self._reader.current is None
@@ -116,7 +116,7 @@
 
     @property
     def can_evict(self) -> bool:
-        """Whether it can be closed now without losing an accepted request or truncating an answer."""
+        """Whether the connection can be closed now without losing a request or truncating a response."""
         if not self.open:
             return False
         if self.record.state is ConnectionState.LINGERING:
@@ -124,15 +124,15 @@
         return self._call is None and self.written and self.nothing_to_read()
 
     def expire(self) -> None:
-        """Act on the time-out of its state."""
+        """Handle the time-out of the state of the connection."""
         if self.record.state is ConnectionState.LINGERING or self.discarding:
             self.drop()
         elif self._upload is not None and self.stream is not None and self.stream.paused:
-            pass  # the backend has not taken what came, and the client has to wait for it
+            pass  # reading is paused until the backend has taken the received bytes; the client is not at fault
         elif self._reader.current is not None:
             self._abandon_request()
             self._reject(InvalidMessageError(408, "request not complete in time"))
-        elif not self.written:  # the client does not read its answer, and `close` would wait for that
+        elif not self.written:  # the client does not read its response, and `close` would wait until it has
             self.drop()
         elif self.nothing_to_read():
             self.close()
@@ -140,18 +140,18 @@
     # Reading
 
     def connection_lost(self) -> None:
-        """Release the reader and report the end to the server."""
+        """Release the parser and report the closed connection to the server."""
         super().connection_lost()
         self._reader.end()
         self._owner.connection_closed(self)
 
     def on_data(self, data: bytes) -> None:
-        """Read requests, or the rest of a streamed body."""
+        """Parse received bytes of a request or of a streamed body."""
         if self._upload is not None and not self._upload.is_complete:
             self._on_streamed_body(data, self._upload)
             return
         if self._call is not None:
-            # Nothing after a request in flight is parsed; line breaks between messages mean nothing.
+            # Bytes after a request in flight are not parsed; line breaks between messages have no meaning.
             self._has_extra_bytes = self.discarding = bool(data.strip(b"\r\n"))
             return
         complete = self._reader.feed(data)
@@ -168,19 +168,19 @@
             self._on_incomplete_request(current, len(data))
 
     def _on_incomplete_request(self, request: Message, nbytes: int) -> None:
-        # Bytes on the wire count, framing too: with small chunks it is most of a body.
+        # All received bytes count, including framing, which is most of a body with small chunks.
         is_first = self.record.state is not ConnectionState.BODY
         self.record.received = request.received if is_first else self.record.received + nbytes
         self._owner.state_changed(self, ConnectionState.BODY if self._reader.in_body else ConnectionState.READING)
         self._send_continue(request)
-        if self._reader.in_body and not self._keeps_body(request):
+        if self._reader.in_body and not self._can_buffer_body(request):
             max_bytes = BODY_LIMIT if request.length is None else request.length
             self._accept_request(request, BODY_TIMEOUT_US + BODY_TIMEOUT_BYTE_US * max_bytes)
 
-    def _keeps_body(self, request: Message) -> bool:
-        """Return whether the body can be kept complete.
+    def _can_buffer_body(self, request: Message) -> bool:
+        """Return whether the whole body can be buffered.
 
-        The request is then accepted once its last byte is here, and may be sent more than once.
+        The request is then accepted once its last byte has arrived, and can be sent to backends more than once.
         """
         size = request.received if request.length is None else request.length
         unreserved = size - self._reserved_bytes
@@ -209,12 +209,12 @@
             upload.finish()
 
     def pause_body(self) -> None:
-        """Read nothing until `resume_body`."""
+        """Pause reading until `resume_body`."""
         if self.stream is not None:
             self.stream.pause()
 
     def resume_body(self) -> None:
-        """Read again."""
+        """Resume reading."""
         if self.stream is not None:
             self.stream.resume()
 
@@ -224,13 +224,13 @@
             self.stream.read_limit = limit
 
     def on_fault(self) -> None:
-        """Give the request up and answer with 500."""
+        """Abandon the request and respond with 500."""
         self._abandon_request()
         if self.open:
             self._reject(InvalidMessageError(500, "internal error"))
 
     def on_end(self) -> None:
-        """Give the request up: its client has gone."""
+        """Abandon the request, because its client has closed the connection."""
         self._abandon_request()
 
     def _abandon_request(self) -> None:
@@ -243,7 +243,7 @@
             self._owner.handler.client_gone(call)
 
     def flushed(self) -> None:
-        """Tell the streamed response, if there is one, that all is written."""
+        """Notify the streamed response, if there is one, that all bytes are written."""
         super().flushed()
         if self._response is not None:
             self._response.flushed()
@@ -269,11 +269,11 @@
             self.send(b"HTTP/1.1 100 Continue\r\n\r\n")
 
     def _accept_request(self, request: Message, body_timeout_us: int = 0) -> None:
-        """Validate a request and pass it to the handler, or answer it.
+        """Validate a request and pass it to the handler, or respond at once to a health check or an invalid request.
 
         Args:
             request: The request.
-            body_timeout_us: How long its body may still take; 0: the body is complete.
+            body_timeout_us: Time-out for the rest of the body; 0: the body is complete.
         """
         self._message = request
         try:
@@ -302,7 +302,7 @@
             self._owner.state_changed(self, ConnectionState.IN_FLIGHT)
         self._owner.handler.handle(call)
 
-    # Answering
+    # Responding
 
     def _answer(self, call: DownstreamRequest, status: int, headers: Headers, body: bytes) -> None:
         if self._call is not call:
@@ -320,7 +320,7 @@
         assert self._message is not None
         self._owner.request_served(self)
         self._closes_after_response = (
-            self._closes_after(self._message)
+            self._must_close_after(self._message)
             or self._reader.current is self._message
             or (length is None and self._message.version != "1.1")
         )
@@ -330,7 +330,7 @@
         return self._response
 
     def response_sent(self) -> None:
-        """Note that the streamed response is complete."""
+        """Record that the streamed response is complete."""
         self._response = self._message = None
         self._release_request()
         self._owner.state_changed(self, ConnectionState.IDLE)
@@ -339,19 +339,19 @@
         elif self._has_extra_bytes:
             self._reject_pipelining()
 
-    def _closes_after(self, request: Message) -> bool:
+    def _must_close_after(self, request: Message) -> bool:
         return self._owner.is_draining or not request.keep_alive or not self._owner.keeps_alive(self)
 
     def _respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Answer the request in flight."""
+        """Respond to the request in flight."""
         if not self.open:
             return
         request, self._message = self._message, None
         assert request is not None
-        if self._reader.current is request:  # its body is still coming, and what follows cannot be told from it
+        if self._reader.current is request:  # its body is incomplete, so that the start of a next request is unknown
             self._send_last_response(status, headers, body)
             return
-        closes = self._closes_after(request)
+        closes = self._must_close_after(request)
         if closes:
             headers = [*headers, ("Connection", "close")]
         self.send(encode_response(status, headers, body, request.method == b"HEAD"))
@@ -363,14 +363,14 @@
         self._reject(InvalidMessageError(400, "one request at a time"))
 
     def _reject(self, error: InvalidMessageError, headers: Headers | None = None) -> None:
-        """Answer bytes that are no request, or not a complete one."""
+        """Respond to an invalid, incomplete or pipelined request, and close the connection."""
         self._send_last_response(error.status, headers or [], f"{error}\n".encode())
 
     def _send_last_response(self, status: int, headers: Headers, body: bytes) -> None:
         if not self.open:
             return
         self.send(encode_response(status, [("Connection", "close"), *headers], body))
-        # What still comes is read and dropped: closing a socket with unread bytes would reset the answer away.
+        # Further bytes are read and discarded: closing a socket with unread bytes resets it, and the response is lost.
         self.discarding = True
         self._owner.state_changed(self, ConnectionState.LINGERING)
         assert self.stream is not None
--- a/lilacsill/agent/inbound/draining.py
+++ b/lilacsill/agent/inbound/draining.py
@@ -1,4 +1,4 @@
-"""Draining of client connections: one mechanism for an operator's drain and for the stop of the process."""
+"""Draining of client connections, both at an operator's request and before the process stops."""
 
 from __future__ import annotations
 
@@ -6,23 +6,23 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-POLL_S = 0.01  # interval at which idle connections are looked for
+POLL_S = 0.01  # interval at which idle connections are closed
 
 
 @dataclass(slots=True, frozen=True)
 class DrainTimes:
-    """The stages of a stop, in seconds from its start."""
+    """The stages of a graceful shutdown, in seconds from its start."""
 
-    idle_s: float  # when the closing of idle connections begins
-    serve_s: float  # until when new connections are served
-    end_s: float  # when all requests in flight fail
+    idle_s: float  # from when idle connections are closed
+    serve_s: float  # until when new connections are accepted in any case
+    end_s: float  # when all remaining requests in flight fail
 
 
 class Drain:
-    """While a drain is active, answers close their connection and idle connections are closed.
+    """While a drain is active, connections are closed after their response, and idle connections are closed.
 
-    A request can cross the close of an idle connection, and none can cross an answer that announces the close: the
-    longer `idle_s`, the more connections end by their answer.
+    A request can be in transit when an idle connection is closed, but not when a response announces the close. The
+    longer `idle_s`, the more connections are closed by a response.
     """
 
     def __init__(self, close_idle: Callable[[], None]) -> None:
@@ -37,11 +37,11 @@
         return self._next is not None
 
     def begin(self, idle_s: float, final: bool = False) -> None:
-        """Start to drain, or do nothing where a drain is active and this is not the final one.
+        """Start to drain. Does nothing if a drain is active and this is not the final one.
 
         Args:
-            idle_s: After how many seconds the closing of idle connections begins.
-            final: Whether the process is about to end: the drain restarts with these times, and `cancel` has no effect.
+            idle_s: Delay in seconds before idle connections are closed.
+            final: Whether the process is about to stop: the drain restarts with this delay and cannot be cancelled.
         """
         if self.is_active and not final:
             return
@@ -50,12 +50,12 @@
         self._next = self._loop.call_later(idle_s, self._poll)
 
     def cancel(self) -> None:
-        """End the drain, so that clients may stay; has no effect on the final one."""
+        """End the drain, so that connections stay open; has no effect on the final drain."""
         if not self._is_final:
             self.stop()
 
     def stop(self) -> None:
-        """End the drain, whichever it is."""
+        """End the drain, even the final one."""
         if self._next is not None:
             self._next.cancel()
             self._next = None
--- a/lilacsill/agent/inbound/refused_connections.py
+++ b/lilacsill/agent/inbound/refused_connections.py
@@ -1,26 +1,26 @@
-"""Refused connections: answered with 503 where a request has come, closed where none has."""
+"""Refused connections: a request is answered with 503; a connection without a request is closed."""
 
 from __future__ import annotations
 
 import asyncio
 import socket
 
-WAIT_S = 0.25  # for a request to come, so that it gets its 503
+REQUEST_WAIT_S = 0.25  # time to wait for the request, which is then answered with 503
 READ_BYTES = 64 * 1024
-BODY = b"refused: no room for this connection\n"
-HEAD = b"HTTP/1.1 503 Service Unavailable\r\n%sConnection: close\r\nContent-Length: %d\r\n\r\n"
+RESPONSE_BODY = b"refused: no room for this connection\n"
+RESPONSE_HEAD = b"HTTP/1.1 503 Service Unavailable\r\n%sConnection: close\r\nContent-Length: %d\r\n\r\n"
 
 
 class RefusedConnections:
-    """Keeps at most `max_waiting` refused connections, each for a moment; beyond that the oldest is closed.
+    """Waits for requests on at most `max_waiting` refused connections; beyond that the oldest is closed.
 
-    A connection storm consists of these, so there is one timer for all and no stream for each.
+    A connection storm causes many of them. To keep them cheap, all share one timer and none has a stream.
     """
 
     def __init__(self, max_waiting: int) -> None:
         self._max_waiting = max_waiting
         self._loop = asyncio.get_running_loop()
-        self._waiting: dict[socket.socket, tuple[float, float]] = {}  # Retry-After, deadline in s; oldest first
+        self._waiting: dict[socket.socket, tuple[float, float]] = {}  # Retry-After and deadline in s; oldest first
         self._timer: asyncio.TimerHandle | None = None
 
     def __len__(self) -> int:
@@ -30,22 +30,22 @@
         """Refuse a connection and close it.
 
         Args:
-            sock: The connection, which this object owns from now on.
-            retry_after_s: The Retry-After of the answer; 0: none.
-            may_wait: Whether to wait for a request where none has come.
+            sock: The connection, which this object closes.
+            retry_after_s: The Retry-After of the response in seconds; 0: none.
+            may_wait: Whether to wait for a request if none has arrived.
         """
         if self._respond(sock, retry_after_s) or not may_wait or not self._max_waiting:
             sock.close()
             return
         if len(self._waiting) >= self._max_waiting:
             self._close(next(iter(self._waiting)))
-        self._waiting[sock] = (retry_after_s, self._loop.time() + WAIT_S)
+        self._waiting[sock] = (retry_after_s, self._loop.time() + REQUEST_WAIT_S)
         self._loop.add_reader(sock.fileno(), self._on_readable, sock)
         if self._timer is None:
-            self._timer = self._loop.call_later(WAIT_S, self._expire)
+            self._timer = self._loop.call_later(REQUEST_WAIT_S, self._expire)
 
     def close(self) -> None:
-        """Close all connections that wait."""
+        """Close all waiting connections."""
         for sock in list(self._waiting):
             self._close(sock)
         if self._timer is not None:
@@ -71,12 +71,12 @@
 
     @staticmethod
     def _respond(sock: socket.socket, retry_after_s: float) -> bool:
-        """Answer a request that has come; return whether there is nothing more to wait for."""
+        """Respond if a request has arrived; return whether the connection can be closed."""
         try:
-            # Read, too: closing a socket with unread bytes resets the connection, and the answer is lost.
+            # Read the request: closing a socket with unread bytes resets the connection, and the response is lost.
             if sock.recv(READ_BYTES, socket.MSG_DONTWAIT):
-                advice = b"Retry-After: %.3f\r\n" % retry_after_s if retry_after_s else b""
-                sock.send(HEAD % (advice, len(BODY)) + BODY, socket.MSG_DONTWAIT)
+                retry_after = b"Retry-After: %.3f\r\n" % retry_after_s if retry_after_s else b""
+                sock.send(RESPONSE_HEAD % (retry_after, len(RESPONSE_BODY)) + RESPONSE_BODY, socket.MSG_DONTWAIT)
         except BlockingIOError:
             return False
         except OSError:
--- a/lilacsill/agent/inbound/response_stream.py
+++ b/lilacsill/agent/inbound/response_stream.py
@@ -1,4 +1,4 @@
-"""A response that is passed on to the client while it is being received from the backend."""
+"""A response that is forwarded to the client while it is being received from the backend."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class ResponseConnection(Protocol):
-    """The client's connection, on which the response goes out."""
+    """The client connection on which the response is sent."""
 
     @property
     def unsent(self) -> int:
@@ -21,16 +21,17 @@
         """Send bytes."""
 
     def close(self) -> None:
-        """Close when all is written."""
+        """Close the connection when all bytes are written."""
 
     def response_sent(self) -> None:
-        """Note that the response is complete, and the next request may be read."""
+        """Record that the response is complete, so that the next request may be read."""
 
 
 class ResponseStream:
-    """A streamed response, framed as the request's version allows.
+    """A streamed response.
 
-    The framing is by Content-Length where the length is known, else by chunks, else by the end of the connection.
+    It is framed by Content-Length if the length is known, otherwise by chunks if the client speaks HTTP/1.1, otherwise
+    by the end of the connection.
     """
 
     def __init__(
@@ -54,13 +55,13 @@
         connection.send(encode_response_head(200, headers))
 
     def write(self, data: bytes) -> bool:
-        """Pass bytes on; return whether the reading side has to wait until `on_drained`."""
+        """Send bytes; return whether reading from the backend must pause until `on_drained`."""
         if data:
             self._connection.send(encode_chunk(data) if self._chunked else data)
         return self._share.set_buffered(self._connection.unsent)
 
     def flushed(self) -> None:
-        """Note that the kernel has accepted all bytes written so far."""
+        """Handle that the kernel has accepted all bytes written so far."""
         self._share.set_buffered(0)
         self.on_drained()
 
@@ -72,10 +73,10 @@
             self._connection.response_sent()
 
     def abort(self) -> None:
-        """End a response whose rest will never come; the client can tell, since its end is missing."""
+        """End an incomplete response; the missing end of the body shows the client that it is truncated."""
         if self.end():
             self._connection.close()
 
     def end(self) -> bool:
-        """Send nothing more; return whether the response was still going out."""
+        """Stop sending; return whether the response had not ended before."""
         return self._share.close()
--- a/lilacsill/agent/inbound/server.py
+++ b/lilacsill/agent/inbound/server.py
@@ -1,4 +1,4 @@
-"""The listener for the application: it does what admission decides, and drains the clients before a stop."""
+"""The server for the application: carries out admission decisions, and drains connections before a stop."""
 
 from __future__ import annotations
 
@@ -23,14 +23,15 @@
 
 SWEEP_S = 0.25  # interval at which the time-outs of all connections are checked
 LAG_PROBE_S = 0.002  # delay of the timer that measures the lag of the event loop
-MIN_IDLE_US = 100_000  # idle for this long before a drain closes it: one just accepted or answered is about to ask
+# Idle time before a drain closes a connection: a client that just connected or got a response may send a request.
+MIN_IDLE_US = 100_000
 
 
 class IdleUpstreams(Protocol):
-    """The idle connections to backends, one of which may be closed for a client."""
+    """The idle connections to backends, one of which may be closed for a client connection."""
 
     def has_idle(self) -> bool:
-        """Return whether there is an idle connection."""
+        """Return whether there is an idle connection to a backend."""
 
     def close_longest_idle(self) -> None:
         """Close the connection that has been idle for longest."""
@@ -65,11 +66,11 @@
         self.watermarks = watermarks
         self._next_sweep: asyncio.TimerHandle | None = None
         self._is_measuring_lag = False
-        self._max_retry_after_s = max_retry_after_s  # of a refusal; 0: it has no Retry-After
+        self._max_retry_after_s = max_retry_after_s  # upper limit for refusals; 0: refusals have no Retry-After
         self.connections: dict[ConnectionRecord, DownstreamConnection] = {}
-        self.open_request_ids: set[bytes] = set()  # of the requests in flight
+        self.open_request_ids: set[bytes] = set()  # Request-Ids of the requests in flight
         self._drain = Drain(self._close_idle)
-        self.has_successor = False  # another process of the agent accepts, and this one no longer does
+        self.has_successor = False  # another process of the agent accepts connections instead of this one
         self.refused = RefusedConnections(max_refusals)
         self._accept_loop: AcceptLoop | None = None
 
@@ -78,15 +79,15 @@
         return DownstreamConnection(self, record)
 
     def listen(self, address: Address, shared: bool = False, descriptor: int | None = None) -> int:
-        """Listen, and return the port.
+        """Start to listen, and return the port.
 
         Args:
-            address: Where to listen; port 0: any free one.
-            shared: Whether other processes listen there, too.
-            descriptor: An inherited listener, used in place of the address.
+            address: The address to listen on; port 0: any free port.
+            shared: Whether other processes listen on the same address.
+            descriptor: The descriptor of an inherited listener, used instead of the address.
 
         Raises:
-            OSError: The address cannot be listened on, or the descriptor is no listener.
+            OSError: The address cannot be bound, or the descriptor is not a listening socket.
         """
         sock = create_listener(address.host, address.port, shared) if descriptor is None else adopt_listener(descriptor)
         port = int(sock.getsockname()[1])
@@ -99,22 +100,22 @@
 
     @property
     def is_draining(self) -> bool:
-        """Whether answers ask the client to close."""
+        """Whether responses announce the close of the connection."""
         return self._drain.is_active
 
     @property
     def is_healthy(self) -> bool:
-        """Whether the agent serves: while this process drains, its successor does, where there is one."""
+        """Whether the agent serves requests: this process does not drain, or a successor process accepts instead."""
         return self.has_successor or not self._drain.is_active
 
-    # Arrivals
+    # New connections
 
     def may_accept_more(self) -> bool:
-        """Return whether another connection may be accepted in this iteration of the event loop."""
+        """Return whether another connection may be accepted in this event loop iteration."""
         return True
 
     def _on_accepted(self, sock: socket.socket, host: str, on_spare: bool) -> None:
-        # Decided by the peer's address, before anything is allocated for the connection.
+        # Admission needs only the peer's address, and decides before anything is allocated for the connection.
         if self.admission.watches_lag and not self._is_measuring_lag:
             self._is_measuring_lag = True
             due_s = self._loop.time() + LAG_PROBE_S
@@ -137,10 +138,10 @@
             self.connection_closed(connection)
             return
         assert connection.stream is not None
-        connection.stream.receive()  # most clients have sent their request by now
+        connection.stream.receive()  # most clients have already sent their request
 
     def _measure_lag(self, due_s: float) -> None:
-        # How late this is called is how far the loop is behind. It is measured only while connections arrive.
+        # The delay of this call is the event loop lag. It is measured only while connections arrive.
         self._is_measuring_lag = False
         self.admission.record_lag(self._clock.now(), int((self._loop.time() - due_s) * 1e6))
 
@@ -148,7 +149,7 @@
         return self.connections[record].can_evict
 
     def evict_for_upstream(self) -> bool:
-        """Close a connection so that one to a backend can be opened; return whether there was one to close."""
+        """Close a client connection to free a descriptor for a backend; return whether one was closed."""
         record = self.admission.evict_for_upstream(self._clock.now(), self._can_evict)
         if record is None:
             return False
@@ -156,35 +157,35 @@
         return True
 
     def descriptors_exhausted(self, what: str, needs: int = 0) -> None:
-        """Note that the kernel had no descriptor.
+        """Report to admission that the kernel failed to provide a descriptor.
 
         Args:
-            what: What it was for, in words for the log.
-            needs: How many descriptors the next sweep is to free for it.
+            what: The purpose of the descriptor, for the log.
+            needs: The number of descriptors that the next sweep frees for this purpose.
         """
         self.admission.descriptors_exhausted(self._clock.now(), what, needs)
 
-    # Events of a connection (ConnectionOwner)
+    # Connection events (ConnectionOwner)
 
     def state_changed(self, connection: DownstreamConnection, state: ConnectionState) -> None:
-        """Note the new state of a connection."""
+        """Record the new state of a connection."""
         self.admission.state_changed(connection.record, state, self._clock.now())
 
     def keeps_alive(self, connection: DownstreamConnection) -> bool:
-        """Return whether the answer that goes out now leaves the connection open."""
+        """Return whether the connection stays open after the response that is sent now."""
         return self.admission.keeps_alive(connection.record)
 
     def request_served(self, connection: DownstreamConnection) -> None:
-        """Note that a good answer goes out."""
+        """Record that a successful response is sent."""
         self.admission.request_served(connection.record, self._clock.now())
 
     def connection_closed(self, connection: DownstreamConnection) -> None:
-        """Note that the descriptor of a connection is free."""
+        """Record that a connection is closed and its descriptor is free."""
         if self.connections.pop(connection.record, None) is not None:
             self.admission.connection_closed(connection.record)
 
     def _sweep(self) -> None:
-        # Act on the time-outs of connections, and on a limit of descriptors that was lowered.
+        # Applies the time-outs of connections, and evicts connections above a lowered descriptor limit.
         self._next_sweep = self._loop.call_later(self._sweep_s, self._sweep)
         self._spare.reacquire()
         now = self._clock.now()
@@ -197,7 +198,7 @@
     # Draining
 
     def start_drain(self, idle_s: float) -> None:
-        """Start an operator's drain, which ends connections only, after `idle_s` seconds the idle ones."""
+        """Start an operator's drain: close connections after their response, idle ones after `idle_s` seconds."""
         self._drain.begin(idle_s)
 
     def cancel_drain(self) -> None:
@@ -205,16 +206,16 @@
         self._drain.cancel()
 
     def hand_over(self) -> None:
-        """Leave the listener to another process of the agent, which accepts all connections from now on."""
+        """Close this listener, after which another process of the agent accepts all connections."""
         self.has_successor = True
         if self._accept_loop is not None:
             self._accept_loop.stop()
 
     async def drain(self, times: DrainTimes) -> None:
-        """Drain the clients and stop; every accepted request is answered."""
+        """Drain client connections and stop; every accepted request is answered."""
         loop = self._loop
         began_s = loop.time()
-        # A client whose request crosses the close of an idle connection sends it again on a new one, still accepted.
+        # A client whose request is in transit when its idle connection closes can retry on a new connection.
         self._drain.begin(times.idle_s, final=True)
         await asyncio.sleep(times.serve_s)
         while self.connections and loop.time() < began_s + times.end_s:
@@ -222,11 +223,11 @@
         self.handler.fail_all()
         while any(not c.written for c in self.connections.values()) and loop.time() < began_s + times.end_s + POLL_S:
             await asyncio.sleep(POLL_S / 10)
-        # The listener stays open to the end: closing it resets connections that are not accepted yet.
+        # The listener stays open until the end, because closing it resets connections that are not accepted yet.
         self.stop()
 
     def stop(self) -> None:
-        """Close the listener and the refused connections."""
+        """Stop sweeping and draining, and close the listener and the refused connections."""
         if self._next_sweep is not None:
             self._next_sweep.cancel()
         self._drain.stop()
--- a/lilacsill/agent/inbound/upload.py
+++ b/lilacsill/agent/inbound/upload.py
@@ -1,4 +1,4 @@
-"""A request body that is passed on to a backend while it is being received from the client."""
+"""A request body that is forwarded to a backend while it is being received from the client."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 
 class BodySource(Protocol):
-    """The client's connection."""
+    """The client connection from which the body is read."""
 
     def pause_body(self) -> None:
-        """Read nothing until `resume_body`."""
+        """Pause reading until `resume_body`."""
 
     def resume_body(self) -> None:
-        """Read again."""
+        """Resume reading."""
 
     def limit_reads(self, limit: Callable[[], int] | None) -> None:
         """Read at most `limit()` bytes at once; None: no limit."""
@@ -25,7 +25,7 @@
 class Upload:
     """A streamed request body (see `streaming.StreamedBody`).
 
-    What has been received is kept until it exceeds the watermark. While all of it is kept, another attempt can be made.
+    Received bytes are buffered until they exceed the watermark. While all are buffered, another attempt can be made.
     """
 
     def __init__(self, source: BodySource, watermarks: Watermarks, length: int | None) -> None:
@@ -33,14 +33,14 @@
         self.length = length
         self.is_complete = False
         self._received = bytearray()
-        self._is_truncated = False  # some of what was received is no longer kept
+        self._is_truncated = False  # the received bytes are no longer all buffered
         self._receiver: BodyReceiver | None = None
         source.limit_reads(self._share.high_watermark)
 
-    # For the client's connection
+    # Called by the client connection
 
     def add(self, data: bytes) -> None:
-        """Pass bytes of the body on. None at all is no event: an empty chunk would end a chunked body."""
+        """Forward bytes of the body. Empty data is ignored, because an empty chunk would end a chunked body."""
         if not data:
             return
         is_kept = not self._is_truncated and len(self._received) + len(data) <= self._share.high_watermark()
@@ -60,16 +60,16 @@
             self._receiver.on_body_end()
 
     def discard(self) -> None:
-        """Forget the body: the request has its answer, or its client has gone."""
+        """Discard the body after the request was answered or its client has closed the connection."""
         self._share.close()
         self._receiver = None
         self._received.clear()
         self._is_truncated = True
 
-    # For an attempt
+    # Called by an attempt
 
     def attach(self, receiver: BodyReceiver) -> bytes | None:
-        """Return the bytes received so far and pass the rest to `receiver`; None: they are not all kept any more."""
+        """Return the bytes received so far and pass the rest to `receiver`; None: not available to this receiver."""
         if self._is_truncated or self._receiver is not None:
             return None
         self._receiver = receiver
@@ -77,12 +77,12 @@
         return bytes(self._received)
 
     def detach(self, receiver: BodyReceiver) -> None:
-        """Pass nothing more to a receiver that is done."""
+        """Stop passing bytes to a receiver."""
         if self._receiver is receiver:
             self._receiver = None
 
     def drained(self, receiver: BodyReceiver) -> None:
-        """Note that the receiver has written all that it was given."""
+        """Handle that the receiver has written all bytes passed to it."""
         if self._receiver is receiver:
             self._share.set_buffered(len(self._received))
             self._source.resume_body()
--- a/lilacsill/agent/outbound/__init__.py
+++ b/lilacsill/agent/outbound/__init__.py
@@ -1,1 +1,1 @@
-"""The backends' side: attempts, health checks and the pool of connections."""
+"""The side of the backends: attempts, health checks and the pool of connections."""
--- a/lilacsill/agent/outbound/exchange.py
+++ b/lilacsill/agent/outbound/exchange.py
@@ -1,4 +1,4 @@
-"""One attempt or health check: a request to a backend, and how it ended."""
+"""One attempt or health check: a request to a backend and its outcome."""
 
 from __future__ import annotations
 
@@ -19,27 +19,27 @@
 from .pool import Pool, UpstreamConnection
 from .requests import BeginResponse, Result, UpstreamRequest, parse_report
 
-log = logging.getLogger("lilacsill.agent.outbound.attempts")  # kept when the module was renamed: logs show it
+log = logging.getLogger("lilacsill.agent.outbound.attempts")  # the old module name, kept because it appears in logs
 
 HOST = (b"Host", b"origin.svc")
 LOAD_PATH = b"/_load"
-# A response up to this size is buffered. A longer one is streamed, and its latency is that of its first bytes.
+# A response up to this size is buffered. A longer one is streamed, and its latency is the time to its first bytes.
 MAX_BUFFERED_BYTES = 64 * 1024
-MAX_BUFFERING_US = 50_000  # after this time a response of unknown length is streamed, however short it is so far
-STALL_TIMEOUT_US = 15_000_000  # a stream without progress on either side ends after this time
-MAX_REPORT_AGE_US = 50_000  # a load report in the head of a response that ended later is out of date
-LOCAL_ERRORS = EXHAUSTED | {errno.EADDRNOTAVAIL}  # what this machine lacks says nothing about the backend
+MAX_BUFFERING_US = 50_000  # after this time a response of unknown length is streamed, whatever its size so far
+STALL_TIMEOUT_US = 15_000_000  # time-out of a stream without progress on either side
+MAX_REPORT_AGE_US = 50_000  # an older load report, from the head of a response that took long to arrive, is ignored
+LOCAL_ERRORS = EXHAUSTED | {errno.EADDRNOTAVAIL}  # a lack of local resources is not a failure of the backend
 
 
 class ExchangeOwner(Protocol):
-    """What all exchanges share."""
+    """The interface of Backends to its exchanges."""
 
     clock: Clock
-    report_fields: tuple[str, ...]  # of a load report
+    report_fields: tuple[str, ...]  # names of the fields of a load report
     pool: Pool
 
     def ready_member(self, backend: BackendId) -> Member | None:
-        """Return the member of a backend that takes requests now; None: it takes none."""
+        """Return the member of a backend if it accepts requests now; None otherwise."""
 
 
 class Exchange:
@@ -64,19 +64,19 @@
         self._deadline = self._started_at + timeout_us
         self._connection: UpstreamConnection | None = None
         self._connect_attempt: ConnectAttempt | None = None
-        self._upload: StreamedBody | None = None  # the request body, while some of it is still to be sent
-        self._reported_sending = False  # `on_sending` was told that writing takes time
-        self._response: Message | None = None  # once it is complete
-        self._buffering: Timer | None = None
-        self._sink: ResponseSink | None = None  # once the response is streamed to the client
-        # Time to the first part of the response: the backend's work is done by then, and slow writing is no load.
+        self._upload: StreamedBody | None = None  # the request body, until all of it is sent
+        self._reported_sending = False  # `on_sending` was called with False, and not yet with True
+        self._response: Message | None = None  # the complete response
+        self._buffering_timer: Timer | None = None
+        self._sink: ResponseSink | None = None  # set once the response is streamed to the client
+        # Time to the first part of the response. The backend has done its work by then; slow sending is not load.
         self._first_part_us = 0
-        self._progress_at = 0  # when a stream made progress last
+        self._progress_at = 0  # time of the last progress of the stream
         self.ended = False
         self._timer = backends.clock.after(timeout_us, self._on_timeout)
 
     def start(self) -> None:
-        """Send the request on an idle connection, or open one."""
+        """Send the request on an idle connection or on a new one."""
         member = self._backends.ready_member(self._backend)
         if member is None:
             self._end(Outcome.NOT_SENT)
@@ -95,12 +95,12 @@
         try:
             self._connect_attempt.begin()
         except Exception:
-            log.exception("attempt failed before it was sent")
+            log.exception("attempt to backend %s failed before the request was sent", self._backend)
             self._connect_attempt.cancel()
             self._end(Outcome.NOT_SENT)
 
     def cancel(self) -> None:
-        """End the exchange; has no effect on one that has ended."""
+        """Cancel the exchange; has no effect if it has ended."""
         self._end(Outcome.CANCELLED)
 
     def _on_connected(self, connection: UpstreamConnection) -> None:
@@ -116,12 +116,12 @@
     def _send_safely(self, connection: UpstreamConnection) -> None:
         try:
             self._send(connection)
-        except Exception:  # whatever the fault is, the attempt must end, or its request gets no answer
-            log.exception("attempt failed")
+        except Exception:  # whatever the fault, the attempt must end; otherwise its request is never answered
+            log.exception("attempt to backend %s failed while the request was being sent", self._backend)
             self._end(self._outcome_of_disconnect())
 
     def _send(self, connection: UpstreamConnection) -> None:
-        # The list may have changed while the connection was opened: a draining backend gets nothing new.
+        # The list may have changed while the connection was opened: a draining backend gets no new requests.
         if self.ended or not connection.member.same_process(self._backends.ready_member(self._backend)):
             self._backends.pool.discard(connection)
             self._end(Outcome.NOT_SENT)
@@ -141,7 +141,7 @@
         self, connection: UpstreamConnection, headers: list[tuple[bytes, bytes]], upload: StreamedBody
     ) -> None:
         received = upload.attach(self)
-        if received is None:  # an earlier attempt has sent bytes that are no longer kept
+        if received is None:  # the first bytes were sent by an earlier attempt and are no longer buffered
             self._backends.pool.discard(connection)
             self._end(Outcome.NOT_SENT)
             return
@@ -163,7 +163,7 @@
             self._request.on_sending(False)
 
     def on_body(self, data: bytes) -> int:
-        """Send bytes of a streamed request body; return how many bytes are not written."""
+        """Send bytes of a streamed request body; return the number of bytes not written yet."""
         if self.ended or self._connection is None or not self._connection.open:
             return 0
         assert self._upload is not None
@@ -171,7 +171,7 @@
         return self._connection.unsent
 
     def on_body_end(self) -> None:
-        """End a streamed request body; the answer is timed from now on."""
+        """End a streamed request body, and start the time-out of the response."""
         if self.ended or self._connection is None or not self._connection.open:
             return
         assert self._upload is not None
@@ -186,11 +186,11 @@
             self._report_slow_sending()
 
     def on_written(self) -> None:
-        """Note that the kernel has accepted all bytes sent so far."""
+        """Handle that the kernel has accepted all bytes sent so far."""
         if self._upload is not None:
             self._upload.drained(self)
             return
-        # A backend starts when it has the last byte: the latency counts from now on.
+        # A backend starts work when it has received the last byte, so the latency counts from now on.
         self._started_at = self._backends.clock.now()
         if self._reported_sending and self._request.on_sending is not None:
             self._reported_sending = False
@@ -211,16 +211,16 @@
         if not self._first_part_us:
             self._first_part_us = self._backends.clock.now() - self._started_at
         if self._sink is not None:
-            self._pass_on(response)
+            self._forward(response)
         elif response.length is not None and response.length <= MAX_BUFFERED_BYTES:
-            pass  # until it is complete, a hedged attempt may take its place
+            pass  # buffered: until it is complete, the response of a hedged attempt can be used instead
         elif response.length is not None or response.received > MAX_BUFFERED_BYTES:
             self._start_streaming(response)
-        elif self._buffering is None:
-            self._buffering = self._backends.clock.after(MAX_BUFFERING_US, self._start_streaming, response)
+        elif self._buffering_timer is None:
+            self._buffering_timer = self._backends.clock.after(MAX_BUFFERING_US, self._start_streaming, response)
 
     def _start_streaming(self, response: Message) -> None:
-        """Pass the response on from now on; the request has no other attempt after that."""
+        """Start to stream the response to the client; the request has no other attempt after that."""
         if self.ended or self._sink is not None:
             return
         if response.status != 200 or self._begin_response is None:
@@ -235,9 +235,9 @@
         if self._connection is not None and self._connection.stream is not None:
             self._connection.stream.read_limit = sink.read_limit
         self._timer = self._backends.clock.after(STALL_TIMEOUT_US, self._on_stall_timeout)
-        self._pass_on(response)
+        self._forward(response)
 
-    def _pass_on(self, response: Message) -> None:
+    def _forward(self, response: Message) -> None:
         assert self._sink is not None and self._connection is not None
         stream = self._connection.stream
         self._progress_at = self._backends.clock.now()
@@ -257,8 +257,8 @@
             self._end(Outcome.TIMEOUT)
 
     def on_invalid_response(self) -> None:
-        """Handle bytes that are no usable response."""
-        # The backend answers and the connection stands, so this is no disconnect. The request was executed.
+        """Handle bytes that are not a valid response."""
+        # The backend has responded on an open connection, so this is not a disconnect. The request was executed.
         self._end(Outcome.ERROR)
 
     def on_end(self) -> None:
@@ -275,7 +275,7 @@
         return Outcome.ERROR
 
     def _outcome_of_disconnect(self) -> Outcome:
-        # Before the last byte was written, the backend surely did not start.
+        # The backend cannot have started before the last byte was written.
         return Outcome.RESET if self._is_sent() else Outcome.CONNECT_FAILED
 
     def _is_sent(self) -> bool:
@@ -292,9 +292,9 @@
         if self._request.upload is not None:
             self._request.upload.detach(self)
         if self._upload is not None and self._connection is not None:
-            self._connection.reusable = False  # answered before all of the request was sent
-        if self._buffering is not None:
-            self._buffering.cancel()
+            self._connection.reusable = False  # the response came before all of the request was sent
+        if self._buffering_timer is not None:
+            self._buffering_timer.cancel()
         if self._connect_attempt is not None:
             self._connect_attempt.cancel()
         if self._sink is not None and self._response is None:
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -1,4 +1,4 @@
-"""Connections to backends: opened within a limit of descriptors, and reused while that is safe."""
+"""Connections to backends, opened within the descriptor limit and reused if that is safe."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 from ..descriptors import EXHAUSTED
 from ..discovery.listing import Member
 
-IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection: the pool closes it then
-REUSE_DELAY_US = 2_000  # idle time before reuse: bytes that do not belong to a response follow it within that time
+IDLE_TIMEOUT_SHARE = 0.7  # of the idle time-out of the backends, after which the pool closes an idle connection
+REUSE_DELAY_US = 2_000  # idle time before reuse: bytes that follow a response without belonging to it arrive within it
 MAX_RESPONSE_BYTES = 40 * 1024 * 1024  # responses of 32 MB occur
 
 
@@ -37,7 +37,7 @@
         """Handle that the kernel has accepted all bytes sent."""
 
     def on_invalid_response(self) -> None:
-        """Handle bytes that are no usable response; the connection is still open."""
+        """Handle bytes that are not a valid response; the connection is still open."""
 
     def on_end(self) -> None:
         """Handle that the backend has closed the connection."""
@@ -51,15 +51,15 @@
         self.member, self._pool = member, pool
         self._reader = Reader(HttpResponseParser, MAX_RESPONSE_BYTES, until_close=True)
         self.user: ConnectionUser | None = None
-        self.reusable = True  # nothing but responses to its requests has come
+        self.reusable = True  # all received bytes belong to responses to its requests
         self.idle_since = 0
-        self.evicted = False  # its descriptor is counted as closing already
+        self.evicted = False  # its descriptor is already counted as closing
         self.idle_timer: Timer | None = None
 
     def on_data(self, data: bytes) -> None:
-        """Read a response; bytes outside of one make the connection unusable."""
+        """Parse a response; bytes that belong to no response make the connection unusable."""
         if self.user is None:
-            # No request is open: these bytes must not become the response to the next one.
+            # No request is in flight: these bytes must not be taken for the response to the next one.
             self._pool.discard(self)
             return
         complete = self._reader.feed(data)
@@ -74,20 +74,20 @@
             self.user.on_part(self._reader.current)
 
     def flushed(self) -> None:
-        """Tell the user that all is written."""
+        """Notify the exchange that all bytes are written."""
         super().flushed()
         if self.user is not None:
             self.user.on_written()
 
     def on_fault(self) -> None:
-        """Treat a fault while reading like an invalid response."""
+        """Handle a fault while reading like an invalid response."""
         self.reusable = False
         if self.user is not None:
             self.user.on_invalid_response()
         self._pool.discard(self)
 
     def on_end(self) -> None:
-        """Complete a response that ends with its connection, or report the end to the user."""
+        """Complete a response that ends with its connection, or report the end to the exchange."""
         self.closed = True
         in_order = self.stream is not None and not self.stream.reset
         response = self._reader.close() if in_order and self.user is not None else None
@@ -99,7 +99,7 @@
             self._pool.discard(self)
 
     def connection_lost(self) -> None:
-        """Release the reader and give the descriptor back."""
+        """Release the parser and the descriptor."""
         super().connection_lost()
         self._reader.end()
         self._pool.connection_lost(self)
@@ -107,21 +107,21 @@
     def is_usable(self) -> bool:
         """Return whether an idle connection is open, as far as the kernel knows.
 
-        One with anything to read was closed by the backend, or has got bytes that are no response.
+        If it has anything to read, the backend has closed it or sent bytes that belong to no response.
         """
         return not self.closed and self.nothing_to_read()
 
 
 class Reservation:
-    """A descriptor taken for one connection that is about to be opened."""
+    """A descriptor reserved for one connection that is about to be opened."""
 
     def __init__(self, descriptors: DescriptorAccount) -> None:
         self._descriptors = descriptors
         descriptors.acquire(Side.UPSTREAM)
-        self.used = False  # by a connection, which gives the descriptor back at its end
+        self.used = False  # passed to a connection, which releases it when it closes, or released
 
     def release(self, *_: object) -> None:
-        """Give the descriptor back, unless a connection uses it."""
+        """Release the descriptor, unless a connection uses it."""
         if not self.used:
             self.used = True
             self._descriptors.release(Side.UPSTREAM)
@@ -131,8 +131,8 @@
     """The connections to all backends.
 
     Attributes:
-        evict_downstream: Closes a client's connection where both sides are full; returns whether there was one.
-        descriptors_exhausted: Called with what a descriptor was needed for, where the kernel had none.
+        evict_downstream: Closes a client connection if both sides are full; returns whether one was closed.
+        descriptors_exhausted: Called with the purpose of a descriptor when the kernel had none.
     """
 
     def __init__(
@@ -145,21 +145,21 @@
     ) -> None:
         self._clock = clock
         self._connect_s = connect_timeout_us / 1e6
-        self._idle_us = int(conn_idle_us * IDLE_SHARE)
+        self._idle_us = int(conn_idle_us * IDLE_TIMEOUT_SHARE)
         self._reuse_delay_us = reuse_delay_us
         self._descriptors = descriptors
-        self.evict_downstream: Callable[[], bool] = lambda: False  # closes a client's connection, if there is one
+        self.evict_downstream: Callable[[], bool] = lambda: False  # see the class documentation
         self.descriptors_exhausted: Callable[[str], None] = lambda what: None
         self._idle: dict[BackendId, list[UpstreamConnection]] = {}
 
     def reserve(self, known: bool) -> Reservation | None:
-        """Reserve a descriptor for one more connection, for `open`; None: there is none.
+        """Reserve a descriptor for one more connection, to pass to `open`; None: none is available.
 
-        Where all are used, the longest idle connection is closed, or one of a client between two requests where the
-        clients use more than their floor.
+        If all are in use, the longest idle connection to a backend is closed, or a client connection without a request
+        in flight if the clients use more than their floor.
 
         Args:
-            known: Whether the connection is for a known client's request.
+            known: Whether the connection is for a request of a known client.
         """
         if not self._descriptors.has_room_for_attempt(known) and not self._free_descriptor():
             return None
@@ -172,7 +172,7 @@
         return self.evict_downstream()
 
     def has_idle(self) -> bool:
-        """Return whether there is an idle connection."""
+        """Return whether there is an idle connection to a backend."""
         return any(self._idle.values())
 
     def close_longest_idle(self) -> None:
@@ -192,9 +192,9 @@
         on_connected: Callable[[UpstreamConnection], None],
         on_failed: Callable[[OSError], None],
     ) -> ConnectAttempt:
-        """Return an attempt to open a connection, which its `begin` starts.
+        """Return an attempt to open a connection; call its `begin` to start it.
 
-        Exactly one of the callbacks is called. The reservation is used, or released where the attempt fails.
+        Exactly one of the callbacks is called. The reservation is used by the connection, or released on failure.
         """
 
         def fail(error: OSError) -> None:
@@ -217,14 +217,14 @@
         return ConnectAttempt(self._clock, member.address, self._connect_s, attach, fail)
 
     def connection_lost(self, connection: UpstreamConnection) -> None:
-        """Note that the descriptor of a connection is free."""
+        """Record that a connection is closed and its descriptor is free."""
         if connection.evicted:
             self._descriptors.finish_closing()
         else:
             self._descriptors.release(Side.UPSTREAM)
 
     def take(self, member: Member) -> UpstreamConnection | None:
-        """Return the idle connection that was used last, if one is safe to use; None: there is none."""
+        """Return the most recently used idle connection that is safe to reuse; None: there is none."""
         idle = self._idle.get(member.backend.id)
         reusable_since = self._clock.now() - self._reuse_delay_us
         not_yet_reusable: list[UpstreamConnection] = []
@@ -244,12 +244,12 @@
         return found
 
     def release(self, connection: UpstreamConnection, answered: bool, ready: Member | None) -> None:
-        """Keep a connection whose exchange ended in order; close any other.
+        """Keep a connection for reuse if its exchange ended normally; close it otherwise.
 
         Args:
             connection: The connection.
-            answered: Whether its exchange had a complete response.
-            ready: The member that the backend has now; None: it takes no requests.
+            answered: Whether the exchange received a complete response.
+            ready: The current member of the backend; None: it accepts no requests.
         """
         connection.user = None
         if (
@@ -265,7 +265,7 @@
         connection.idle_timer = self._clock.after(self._idle_us, self.discard, connection)
         self._idle.setdefault(connection.member.backend.id, []).append(connection)
 
-    def forget(self, backend: BackendId) -> None:
+    def close_idle(self, backend: BackendId) -> None:
         """Close the idle connections of a backend."""
         for connection in self._idle.pop(backend, []):
             self.discard(connection)
@@ -273,7 +273,7 @@
     def close(self) -> None:
         """Close all idle connections."""
         for backend in list(self._idle):
-            self.forget(backend)
+            self.close_idle(backend)
 
     def discard(self, connection: UpstreamConnection) -> None:
         """Close a connection, idle or not."""
--- a/lilacsill/agent/outbound/requests.py
+++ b/lilacsill/agent/outbound/requests.py
@@ -1,4 +1,4 @@
-"""What is sent to a backend in an attempt, and how the attempt ended."""
+"""The request that an attempt sends to a backend, and the result of the attempt."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 from ..streaming import ResponseSink, StreamedBody
 
 
-@dataclass(slots=True)  # not frozen: that trebles the cost of construction
+@dataclass(slots=True)  # not frozen, which would triple the cost of construction
 class Result:
-    """How an exchange ended."""
+    """The result of an exchange."""
 
     outcome: Outcome
     latency_us: int
-    report: tuple[float, ...] = ()  # the backend's load, in the order of the settings' fields
+    report: tuple[float, ...] = ()  # the load of the backend, in the order of the configured fields
     body: bytes = b""
     content_type: str | None = None
-    streamed: bool = False  # the response was passed on while it was received
+    streamed: bool = False  # the response was streamed to the client
 
 
-# Takes the head of a response that is to be streamed; returns None where nobody wants it any more.
+# Takes the head of a response to be streamed; returns None if the response is no longer needed.
 BeginResponse = Callable[[Message], ResponseSink | None]
 
 
@@ -35,15 +35,15 @@
     target: bytes
     headers: list[tuple[bytes, bytes]]
     body: bytes = b""
-    send_timeout: bool = False  # whether the backend is told its time-out
-    upload: StreamedBody | None = None  # the body, where it is streamed
-    upload_timeout_us: int = 0  # time-out of the answer, from the last byte of a streamed body on
-    on_sending: Callable[[bool], None] | None = None  # called with False if writing takes time, with True at its end
-    known_client: bool = False  # a known client's attempts may use the reserve of descriptors
+    send_timeout: bool = False  # whether to send the time-out to the backend (Request-Timeout-Ms)
+    upload: StreamedBody | None = None  # the body if it is streamed
+    upload_timeout_us: int = 0  # time-out of the response, from the last byte of a streamed body on
+    on_sending: Callable[[bool], None] | None = None  # called with False if writing is delayed, with True at its end
+    known_client: bool = False  # attempts for a known client may use the descriptor reserve
 
 
 def parse_report(text: str | None, fields: tuple[str, ...]) -> tuple[float, ...]:
-    """Parse a load report by the settings' fields; return () where it is missing or malformed."""
+    """Parse the configured fields of a load report; return () if it is missing or malformed."""
     if not text or not fields:
         return ()
     values: dict[str, str] = {}
@@ -53,7 +53,7 @@
     try:
         for field in fields:
             value = float(values[field])
-            if not 0.0 <= value < 1e9:  # an infinite, undefined or negative value would spoil every mean it enters
+            if not 0.0 <= value < 1e9:  # an infinite, NaN or negative value would corrupt every mean that includes it
                 return ()
             report.append(value)
     except (KeyError, ValueError):
--- a/tests/agent/admin/test_upgrade.py
+++ b/tests/agent/admin/test_upgrade.py
@@ -126,7 +126,7 @@
         try:
             adopt_listener(one.fileno())
         except OSError as e:
-            assert "no listening socket" in str(e)
+            assert "not a listening socket" in str(e)
         else:
             raise AssertionError("taken")
         one.send(b"x")
--- a/tests/agent/test_admission_policy.py
+++ b/tests/agent/test_admission_policy.py
@@ -9,7 +9,7 @@
 from lilacsill.agent.admission.addresses import AddressTable
 from lilacsill.agent.admission.descriptor_account import DescriptorAccount, Side
 from lilacsill.agent.admission.policy import (
-    Arrival,
+    NewConnection,
     EvictionRank,
     RefusalReason,
     ConnectionView,
@@ -20,10 +20,10 @@
     eviction_rank,
 )
 from lilacsill.agent.admission.settings import AdmissionSettings, DescriptorBudget, client_identity, parse_network
-from lilacsill.agent.admission.episode import CALM_US, Episode
+from lilacsill.agent.admission.episode import EPISODE_QUIET_US, Episode
 
 SECOND, HOUR = 1_000_000, 3_600_000_000
-ROOM = Arrival(
+ROOM = NewConnection(
     known=False,
     below_cap=True,
     within_rate=True,
@@ -32,13 +32,13 @@
     unused_reserve=0,
     victim=None,
     may_close=True,
-    upstream_lends=False,
+    can_close_idle_upstream=False,
 )
 FULL = replace(ROOM, open=10)
 
 
 @pytest.mark.parametrize(
-    "arrival, verdict",
+    "connection, verdict",
     [
         (ROOM, Verdict.ADMIT),
         (replace(ROOM, below_cap=False), RefusalReason.ADDRESS_CAP),
@@ -54,20 +54,20 @@
         (replace(FULL, known=True), RefusalReason.FULL),
         (replace(FULL, victim=EvictionRank.OVER_CAP), Verdict.REPLACE),
         (replace(FULL, victim=EvictionRank.SILENT), Verdict.REPLACE),
-        (replace(FULL, victim=EvictionRank.SILENT, upstream_lends=True), Verdict.REPLACE),
-        (replace(FULL, victim=EvictionRank.IDLE, upstream_lends=True), Verdict.BORROW),
+        (replace(FULL, victim=EvictionRank.SILENT, can_close_idle_upstream=True), Verdict.REPLACE),
+        (replace(FULL, victim=EvictionRank.IDLE, can_close_idle_upstream=True), Verdict.BORROW),
         (replace(FULL, victim=EvictionRank.IDLE), Verdict.REPLACE),
         (replace(FULL, victim=EvictionRank.IDLE, may_close=False), RefusalReason.FULL),
-        (replace(FULL, upstream_lends=True), Verdict.BORROW),
-        (replace(FULL, upstream_lends=True, may_close=False), RefusalReason.FULL),
-        (replace(FULL, upstream_lends=True, open=11), RefusalReason.FULL),
-        (replace(FULL, upstream_lends=True, unused_reserve=1), RefusalReason.FULL),
-        (replace(FULL, upstream_lends=True, unused_reserve=1, known=True), Verdict.BORROW),
+        (replace(FULL, can_close_idle_upstream=True), Verdict.BORROW),
+        (replace(FULL, can_close_idle_upstream=True, may_close=False), RefusalReason.FULL),
+        (replace(FULL, can_close_idle_upstream=True, open=11), RefusalReason.FULL),
+        (replace(FULL, can_close_idle_upstream=True, unused_reserve=1), RefusalReason.FULL),
+        (replace(FULL, can_close_idle_upstream=True, unused_reserve=1, known=True), Verdict.BORROW),
         (replace(FULL, open=12, victim=EvictionRank.READING, known=True), Verdict.REPLACE),
     ],
 )
-def test_decision_on_a_new_connection(arrival: Arrival, verdict: Verdict | RefusalReason) -> None:
-    decided, reason = decide(arrival)
+def test_decision_on_a_new_connection(connection: NewConnection, verdict: Verdict | RefusalReason) -> None:
+    decided, reason = decide(connection)
     assert (reason or decided) is verdict
     assert (decided is Verdict.REFUSE) == (reason is not None)
 
@@ -134,7 +134,7 @@
 def test_each_side_borrows_all_but_the_others_floor(side: Side) -> None:
     account = DescriptorAccount(BUDGET)
     assert fill(account, side) == account.shared - account.floor(side.other)
-    assert account.can_lend(side) and not account.can_lend(side.other)
+    assert account.exceeds_floor(side) and not account.exceeds_floor(side.other)
     assert fill(account, side.other) == account.floor(side.other)
     assert sum(account.open_count(s) for s in Side) == account.shared
 
@@ -219,7 +219,7 @@
 )
 def test_the_list_of_known_clients(host: str, networks: list[str], known: bool) -> None:
     settings = AdmissionSettings(known=tuple(map(parse_network, networks)))
-    assert settings.lists(client_identity(host)) is known
+    assert settings.is_listed(client_identity(host)) is known
 
 
 @pytest.mark.parametrize("text", ["", "10.4.0.1/16", "10.4.0.0/33", "host", "2001:db8::1"])
@@ -292,6 +292,6 @@
     lines = [episode.record(i * 1000, "refused") for i in range(5000)]
     assert lines[0] == "storm begins: refused" and not any(lines[1:])
     assert episode.poll(5 * SECOND) is None
-    over = episode.poll(5 * SECOND + CALM_US)
+    over = episode.poll(5 * SECOND + EPISODE_QUIET_US)
     assert over == "storm over after 5.0 s: 5000 × refused"
     assert not episode.is_active and episode.poll(HOUR) is None and episode.record(HOUR, "refused") is not None
--- a/tests/agent/test_operator.py
+++ b/tests/agent/test_operator.py
@@ -83,7 +83,7 @@
         "learn_known_s = 60\nnew_per_s = 2\nretry_after_s = [0, 0.5]\n"
     )
     settings = load(str(path)).admission.settings()
-    assert settings.lists("10.4.1.1") and settings.lists("2001:db8:7::") and not settings.lists("10.5.0.1")
+    assert settings.is_listed("10.4.1.1") and settings.is_listed("2001:db8:7::") and not settings.is_listed("10.5.0.1")
     assert (settings.reserve, settings.per_address, settings.new_per_s) == (9, 3, 2.0)
     assert settings.retry_after_s == (0.0, 0.5) and settings.learn_known_s == 60.0
 
