--- a/lilacsill/agent/admission/controller.py
+++ b/lilacsill/agent/admission/controller.py
@@ -20,7 +20,7 @@
 LIMIT_RAISE_DELAY_US = 500_000  # from the last descriptor shortage until the lowered limit is raised
 LAG_SMOOTHING_WEIGHT = 0.3  # weight of a new sample in the moving average of the lag
 MAX_LAG_AGE_US = 100_000  # an older measurement of the lag is ignored
-KEEP_ALIVE_SHARE = 2 / 9  # of the descriptor limit: clients may use a third for requests, some of it stays free
+KEEP_ALIVE_SHARE = 2 / 9  # of the descriptor limit: clients may use a third for requests, and some must stay free
 
 
 @dataclass(slots=True, frozen=True)
@@ -233,16 +233,16 @@
 
     # Descriptors of the process
 
-    def descriptors_exhausted(self, now: int, what: str, needs: int = 0) -> None:
+    def descriptors_exhausted(self, now: int, purpose: str, needs: int = 0) -> None:
         """Lower the limit after the kernel failed to provide a descriptor.
 
         Args:
             now: The time in microseconds.
-            what: The purpose of the descriptor, for the log.
+            purpose: The purpose of the descriptor, for the log.
             needs: The number of descriptors to free for this purpose.
         """
         self.descriptors.lower_limit(needs)
-        self._record_shortage(now, what)
+        self._record_shortage(now, purpose)
 
     def poll(self, now: int, limit: int) -> None:
         """Apply the current descriptor limit and log the end of overload episodes. Called periodically."""
@@ -254,14 +254,14 @@
             if line:
                 self._log(line)
 
-    def _record_storm(self, now: int, what: str) -> None:
-        line = self._storm.record(now, what)
+    def _record_storm(self, now: int, event: str) -> None:
+        line = self._storm.record(now, event)
         if line:
             self._addresses.restart_learning()
             self._log(line)
 
-    def _record_shortage(self, now: int, what: str) -> None:
-        line = self._shortage.record(now, what)
+    def _record_shortage(self, now: int, event: str) -> None:
+        line = self._shortage.record(now, event)
         if line:
             self._log(line)
 
--- a/lilacsill/agent/admission/episode.py
+++ b/lilacsill/agent/admission/episode.py
@@ -22,21 +22,21 @@
         """Whether an episode is in progress."""
         return self._since is not None
 
-    def record(self, now: int, what: str) -> str | None:
+    def record(self, now: int, event: str) -> str | None:
         """Count an event; return the log line if it begins an episode."""
-        self._counts[what] += 1
+        self._counts[event] += 1
         self.last_seen_us = now
         if self._since is not None:
             return None
         self._since = now
-        return f"{self._name} begins: {what}"
+        return f"{self._name} begins: {event}"
 
     def poll(self, now: int) -> str | None:
         """Return the log line with the duration and event counts if the episode has just ended."""
         if self._since is None or now - self.last_seen_us < EPISODE_QUIET_US:
             return None
         took_s = (self.last_seen_us - self._since) / US_PER_S
-        counts = ", ".join(f"{count} × {what}" for what, count in sorted(self._counts.items()))
+        counts = ", ".join(f"{count} × {event}" for event, count in sorted(self._counts.items()))
         self._since = None
         self._counts.clear()
         return f"{self._name} over after {took_s:.1f} s: {counts}"
--- a/lilacsill/agent/admission/policy.py
+++ b/lilacsill/agent/admission/policy.py
@@ -63,7 +63,7 @@
     if connection.over_cap and state not in (ConnectionState.READING, ConnectionState.BODY):
         return EvictionRank.OVER_CAP
     if connection.known:
-        # Silence of an unknown client suggests an attack. A known client that is silent for long is treated as idle.
+        # Only long silence suggests an attack; a known client that is silent is treated like an idle one.
         return _KNOWN_RANKS.get(state) if connection.long_in_state else None
     return _unknown_rank(connection, for_known)
 
--- a/lilacsill/agent/inbound/server.py
+++ b/lilacsill/agent/inbound/server.py
@@ -156,14 +156,14 @@
         self.connections[record].drop()
         return True
 
-    def descriptors_exhausted(self, what: str, needs: int = 0) -> None:
+    def descriptors_exhausted(self, purpose: str, needs: int = 0) -> None:
         """Report to admission that the kernel failed to provide a descriptor.
 
         Args:
-            what: The purpose of the descriptor, for the log.
+            purpose: The purpose of the descriptor, for the log.
             needs: The number of descriptors that the next sweep frees for this purpose.
         """
-        self.admission.descriptors_exhausted(self._clock.now(), what, needs)
+        self.admission.descriptors_exhausted(self._clock.now(), purpose, needs)
 
     # Connection events (ConnectionOwner)
 
--- a/lilacsill/agent/inbound/upload.py
+++ b/lilacsill/agent/inbound/upload.py
@@ -69,7 +69,7 @@
     # Called by an attempt
 
     def attach(self, receiver: BodyReceiver) -> bytes | None:
-        """Return the bytes received so far and pass the rest to `receiver`; None: not available to this receiver."""
+        """Return the bytes received so far and pass the rest to `receiver`; None: not all buffered, or attached."""
         if self._is_truncated or self._receiver is not None:
             return None
         self._receiver = receiver
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -148,8 +148,8 @@
         self._idle_us = int(conn_idle_us * IDLE_TIMEOUT_SHARE)
         self._reuse_delay_us = reuse_delay_us
         self._descriptors = descriptors
-        self.evict_downstream: Callable[[], bool] = lambda: False  # see the class documentation
-        self.descriptors_exhausted: Callable[[str], None] = lambda what: None
+        self.evict_downstream: Callable[[], bool] = lambda: False
+        self.descriptors_exhausted: Callable[[str], None] = lambda purpose: None
         self._idle: dict[BackendId, list[UpstreamConnection]] = {}
 
     def reserve(self, known: bool) -> Reservation | None:
