--- a/lilacsill/agent/peers/__init__.py
+++ b/lilacsill/agent/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Agents that know of each other: membership, counts, shared budgets and backend health, over one UDP channel."""
+"""Communication between the agents of a fleet over UDP: membership, counts, shared budgets and backend health."""
--- a/lilacsill/agent/peers/agent_bridge.py
+++ b/lilacsill/agent/peers/agent_bridge.py
@@ -1,7 +1,7 @@
 """The bridge between an agent and its fleet.
 
-What the agent sees becomes counts and health reports. What the fleet comes to becomes events for the decision module.
-Nothing here waits or sends.
+It converts what the agent observes into counts and health reports, and the results of the fleet into events for the
+decision module. It does no I/O and never blocks.
 """
 
 from __future__ import annotations
@@ -20,36 +20,36 @@
 from .membership import StateChange
 from .records import MemberState
 
-log = logging.getLogger("lilacsill.agent.peers.feed")  # kept when the module was renamed: logs show it
+log = logging.getLogger("lilacsill.agent.peers.feed")  # the former module name, kept because logs show it
 
 COLD = BUDGETS.index("cold")
-CHECK_INTERVAL_US = 100_000  # between checks for unhealthy backends, while there are errors
-IDLE_CHECK_INTERVAL_US = 1_000_000  # and while none are seen here: failures of health checks are not reported
-CLAIM_LASTS_US = 4_000_000  # a health report that is not renewed ends after this time
-GOOD_OUTCOMES = (balancing.Outcome.OK, balancing.Outcome.CANCELLED)  # any other is a reason to check soon
-REJECTED = 503  # the status of a request that the agent rejects
-MAX_REQUESTS = 4096  # remembered for their tenant and class
-HEADROOM = 1.25  # what is asked of a budget, as a multiple of the own part of all traffic
-MIN_REQUESTS_FOR_PART = 100  # of all agents, before the own part of the traffic is known
-MAX_COUNT_KEY = 255  # of tenants and classes in counts
-MAX_LOG_LINES = 20  # a minute
+CHECK_INTERVAL_US = 100_000  # between checks for unhealthy backends while errors are seen
+IDLE_CHECK_INTERVAL_US = 1_000_000  # while no errors are seen: the bridge is not notified of failed health checks
+CLAIM_LIFETIME_US = 4_000_000  # a health report expires after this time unless it is renewed
+GOOD_OUTCOMES = (balancing.Outcome.OK, balancing.Outcome.CANCELLED)  # any other outcome causes a check soon
+REJECTED_STATUS = 503  # HTTP status of a request that the agent rejects
+MAX_TRACKED_REQUESTS = 4096  # whose tenant and class are remembered
+HEADROOM = 1.25  # the need for a budget, as a multiple of this agent's share of all traffic
+MIN_REQUESTS_FOR_SHARE = 100  # counted by all agents; with fewer, this agent's share of the traffic is unknown
+MAX_COUNT_KEY = 255  # greatest tenant and class number in counts
+MAX_LOG_LINES_PER_MINUTE = 20  # a minute
 MINUTE_US = 60_000_000
 
 
 class AgentBridge:
-    """An observer of the agent that feeds the fleet, and tells the decision module what the fleet comes to.
+    """An observer of the agent that updates the fleet and notifies the decision module of the fleet's results.
 
     Args:
         clock: The agent's clock.
-        fleet: The fleet's decisions.
+        fleet: This agent's part in the fleet.
         zone: The zone of this agent.
-        warm_up_us: How long a backend is cold after its start.
-        post: Passes an event to the decision module.
-        estimates: Returns what the decision module estimates of the backends.
+        warm_up_us: How long a backend counts as cold after its start, in microseconds.
+        post: Delivers an event to the decision module.
+        estimates: Returns the decision module's estimates of the backends.
 
     Attributes:
-        is_channel_open: Whether this process takes part between agents.
-        wake: Makes the channel act on what has happened.
+        is_channel_open: Whether this process participates in the fleet, that is, its socket is bound.
+        wake: Makes the channel process what has happened in the agent.
     """
 
     def __init__(
@@ -63,14 +63,18 @@
     ) -> None:
         self._clock, self._fleet, self._zone, self._warm_up_us = clock, fleet, zone, warm_up_us
         self._post, self._estimates = post, estimates
-        self._requests: OrderedDict[int, tuple[int, int]] = OrderedDict()  # tenant and class of the newest ones
+        self._requests: OrderedDict[int, tuple[int, int]] = (
+            OrderedDict()
+        )  # tenant and class of the newest requests, by number
         self._zones: dict[str, int] = {}
         self._started_at: dict[str, int] = {}
         self._unhealthy: set[str] = set()
         self._has_errors = False  # since the last check
         self._checked_at = 0
         self._last_fleet_event: balancing.FleetChanged | None = None
-        self._peer_health: dict[str, balancing.PeerHealthChanged] = {}  # as the module was told last, by backend
+        self._peer_health: dict[
+            str, balancing.PeerHealthChanged
+        ] = {}  # as last posted to the decision module, by backend
         self._log_lines, self._log_minute_at, self._suppressed_lines = 0, 0, 0
         self.is_channel_open = False
         self.wake: Callable[[], None] = lambda: None
@@ -80,7 +84,8 @@
     def request_arrived(self, call: DownstreamRequest) -> None:
         """Count a request."""
         self._requests[call.number] = min(call.tenant, MAX_COUNT_KEY), min(call.request_class, MAX_COUNT_KEY)
-        if len(self._requests) > MAX_REQUESTS:  # not removed with the answer: an attempt may end after its request
+        # Entries are not removed when the request is answered, since an attempt may end after its request.
+        if len(self._requests) > MAX_TRACKED_REQUESTS:
             self._requests.popitem(last=False)
         self._count(REQUESTS, call.number)
 
@@ -93,7 +98,7 @@
         latency_us: int,
         report: tuple[float, ...],
     ) -> None:
-        """Count an attempt and note its outcome."""
+        """Count an attempt and record its outcome."""
         self._count(ATTEMPTS, number)
         if self._zones.get(str(backend), self._zone) != self._zone:
             self._count(ZONE_CROSSINGS, number)
@@ -101,15 +106,15 @@
             self._fleet.peer_health.backend_answered(str(backend), self._clock.now())
         elif outcome not in GOOD_OUTCOMES and not self._has_errors:
             self._has_errors = True
-            self._clock.after(CHECK_INTERVAL_US, self.wake)  # no datagram need arrive before the check
+            self._clock.after(CHECK_INTERVAL_US, self.wake)  # no datagram may arrive in time to trigger the check
 
     def request_answered(self, number: int, status: int) -> None:
         """Count a request that was rejected."""
-        if status == REJECTED:
+        if status == REJECTED_STATUS:
             self._count(REJECTIONS, number)
 
     def backends_listed(self, listing: Listing) -> None:
-        """Note a list of backends."""
+        """Record the zones and the start times of listed backends."""
         if listing.complete:
             self._zones.clear()
             self._started_at.clear()
@@ -127,13 +132,13 @@
         if key is not None:
             self._fleet.counts.count(kind, *key)
 
-    # From the fleet to the module
+    # From the fleet to the decision module
 
     def on_fleet_event(self) -> None:
-        """Act on an event between agents."""
+        """Check the backends if a check is due, and post what has changed in the fleet."""
         now = self._clock.now()
-        is_troubled = self._has_errors or self._unhealthy
-        if now - self._checked_at >= (CHECK_INTERVAL_US if is_troubled else IDLE_CHECK_INTERVAL_US):
+        has_problems = self._has_errors or self._unhealthy
+        if now - self._checked_at >= (CHECK_INTERVAL_US if has_problems else IDLE_CHECK_INTERVAL_US):
             self._checked_at = now
             self._check_backends(now)
         self._post_fleet(now)
@@ -144,15 +149,15 @@
         self._has_errors = False
         self._unhealthy = {str(estimate.backend) for estimate in self._estimates() if not estimate.healthy}
         if self._unhealthy or self._fleet.peer_health.own_claims:
-            self._fleet.set_unhealthy(self._unhealthy, now, CLAIM_LASTS_US)
+            self._fleet.set_unhealthy(self._unhealthy, now, CLAIM_LIFETIME_US)
         has_cold = any(started and now - started < self._warm_up_us for started in self._started_at.values())
-        self._fleet.set_need(COLD, HEADROOM * self._part_of_traffic() if has_cold else 0.0)
+        self._fleet.set_need(COLD, HEADROOM * self._traffic_share() if has_cold else 0.0)
 
-    def _part_of_traffic(self) -> float:
-        """Return this agent's part of all requests as a multiple of its equal share; 1 while too little is known."""
+    def _traffic_share(self) -> float:
+        """Return this agent's share of all requests as a multiple of an equal share; 1 with too few requests."""
         total = self._fleet.counts.total()[REQUESTS]
         own = self._fleet.counts.total(self._fleet.settings.own_number)[REQUESTS]
-        return own * self._fleet.size.number / total if total >= MIN_REQUESTS_FOR_PART else 1.0
+        return own * self._fleet.size.number / total if total >= MIN_REQUESTS_FOR_SHARE else 1.0
 
     def _post_fleet(self, now: int) -> None:
         share, until, after = self._fleet.share(COLD, now) if self.is_channel_open else (0.0, 2**62, 0.0)
@@ -163,7 +168,7 @@
 
     def _post_peer_health(self, now: int) -> None:
         if not self._peer_health and not self._fleet.peer_health.peer_claims:
-            return  # nearly always
+            return  # the usual case: neither posted verdicts nor claims of peers
         current: dict[str, balancing.PeerHealthChanged] = {}
         for verdict in self._fleet.verdicts(now):
             event = balancing.PeerHealthChanged(verdict.backend, verdict.ejected, verdict.observed_at, verdict.until)
@@ -183,13 +188,15 @@
         changes, self._fleet.changes = self._fleet.changes, []
         if now - self._log_minute_at > MINUTE_US:
             if self._suppressed_lines:
-                log.info("%d further changes among agents are not in this log", self._suppressed_lines)
+                log.info(
+                    "%d further state changes of agents were not logged: the limit is exceeded", self._suppressed_lines
+                )
             self._log_minute_at, self._log_lines, self._suppressed_lines = now, 0, 0
         for change in changes:
             if change.before is MemberState.UNKNOWN:
                 continue
             self._log_lines += 1
-            if self._log_lines > MAX_LOG_LINES:
+            if self._log_lines > MAX_LOG_LINES_PER_MINUTE:
                 self._suppressed_lines += 1
             else:
                 _log_change(change)
@@ -197,7 +204,7 @@
 
 def _log_change(change: StateChange) -> None:
     log.info(
-        "agent %d is %s, was %s (said by %d, story %d.%d)",
+        "agent %d is %s, was %s (reported by agent %d, cause %d.%d)",
         change.member,
         change.after.name.lower(),
         change.before.name.lower(),
--- a/lilacsill/agent/peers/channel.py
+++ b/lilacsill/agent/peers/channel.py
@@ -1,4 +1,4 @@
-"""The channel of one agent to the others: the fleet's decisions, the UDP socket, and the bridge to the agent."""
+"""The channel of one agent to the others: the fleet's logic, the UDP socket and the bridge to the agent."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
     """The channel to other agents.
 
     Raises:
-        ConfigError: The configuration or the file of secrets cannot be used (at construction).
+        ConfigError: The configuration or the secrets file is invalid (raised at construction).
     """
 
     def __init__(self, config: Config, section: PeersSection, clock: Clock, agent: Agent, incarnation: int = 0) -> None:
@@ -41,7 +41,8 @@
             section: The section of the operator file.
             clock: The agent's clock.
             agent: The agent.
-            incarnation: A number greater than for all earlier processes, where one is saved; 0: the wall clock's.
+            incarnation: A number greater than that of all earlier processes, where the state is saved; 0: derive it
+                from the wall clock.
         """
         self._section, self._clock = section, clock
         listen = check_peers(config)
@@ -68,35 +69,35 @@
             self.fleet.events.listener = EventExport(section, config.name, clock, self.fleet).add
 
     def start(self) -> None:
-        """Take part between agents.
+        """Join the fleet.
 
         Raises:
-            OSError: The address cannot be bound.
+            OSError: The address cannot be bound, for another reason than its use by another process.
         """
         self._transport.start()
         self._on_event()
         log.info(
-            "talks with %d other agents, number %d, life %d",
+            "joined the fleet: %d other agents, own number %d, incarnation %d",
             self.fleet.settings.agents - 1,
             self.fleet.settings.own_number,
             self.fleet.incarnation,
         )
 
     def stop(self) -> None:
-        """Announce the end to other agents and close the socket."""
+        """Announce to other agents that this process ends, and close the socket."""
         self._transport.stop()
         self._on_event()
 
     def read_secrets(self) -> None:
-        """Read the file of secrets again.
+        """Reload the secrets file.
 
         Raises:
-            ConfigError: The file cannot be used; the old secrets stay.
+            ConfigError: The file is invalid; the old secrets stay in use.
         """
         secrets = load_secrets(self._section.secrets_file)
         if secrets != self.fleet.codec.secrets:
             self.fleet.codec.secrets = secrets
-            log.info("secrets between agents read again: %d", len(secrets))
+            log.info("reloaded the secrets for datagrams between agents: %d secrets", len(secrets))
 
     def describe(self) -> Mapping[str, Any]:
         """Return the response of the admin API to `peers`."""
@@ -130,10 +131,10 @@
     """Check the configuration of the channel; return the address to receive on.
 
     Raises:
-        ConfigError: It cannot be used; the text names file, key and bound.
+        ConfigError: The configuration is invalid; the text names file, key and bound.
     """
     if config.peer_listen is None:
-        raise ConfigError("RELAY_CONFIG: peer_listen: missing, and [peers] is enabled")
+        raise ConfigError("RELAY_CONFIG: peer_listen: missing, but required since [peers] is enabled")
     if not 1 <= len(config.peers) <= MAX_AGENTS:
         raise ConfigError(f"RELAY_CONFIG: peers: {len(config.peers)} addresses, 1 to {MAX_AGENTS} are allowed")
     if config.settings.balancer_index >= len(config.peers):
@@ -142,12 +143,12 @@
             "addresses of peers, which count from 0"
         )
     if len(set(config.peers)) < len(config.peers):
-        raise ConfigError("RELAY_CONFIG: peers: an address stands there twice, so that two agents would be one")
+        raise ConfigError("RELAY_CONFIG: peers: an address is listed twice; each agent needs its own")
     return config.peer_listen
 
 
 def load_secrets(path: str) -> tuple[bytes, ...]:
-    """Return the lines of the file of secrets, of which the first signs; none for an empty path.
+    """Return the secrets of a file, one a line: the first one signs, all are accepted; none for an empty path.
 
     Raises:
         ConfigError: The file cannot be read, or a secret is too short.
@@ -160,12 +161,13 @@
     except OSError as error:
         raise ConfigError(f"[peers] secrets_file: {path}: {error.strerror}") from error
     if not lines:
-        raise ConfigError(f"[peers] secrets_file: {path}: no secret in it")
+        raise ConfigError(f"[peers] secrets_file: {path}: the file contains no secret")
     for number, line in enumerate(lines, 1):
         if len(line) < MIN_SECRET_BYTES:
             raise ConfigError(
-                f"[peers] secrets_file: {path}: line {number}: {len(line)} bytes, at least {MIN_SECRET_BYTES}"
+                f"[peers] secrets_file: {path}: line {number}: the secret has {len(line)} bytes, at least "
+                f"{MIN_SECRET_BYTES} are required"
             )
     if mode & 0o077:
-        log.warning("[peers] secrets_file: %s can be read by others", path)
+        log.warning("[peers] secrets_file: %s is accessible to its group or to other users", path)
     return lines
--- a/lilacsill/agent/peers/counts.py
+++ b/lilacsill/agent/peers/counts.py
@@ -1,10 +1,10 @@
-"""What all agents have counted, as delta-state counters (Almeida, Shoker and Baquero, 2015). No I/O.
+"""Request counts of all agents as delta-state counters (Almeida, Shoker and Baquero, 2015). No I/O.
 
-A row belongs to one process (agent and incarnation) and one key, and only that process adds to it. Merging takes the
-greater of each value, so that order, repetition and delay change nothing. The rows of processes that have ended are
-kept. When all members are alive, the agent's present process carries the sum of its earlier incarnations in rows of its
-own. Only that process writes them, so that no sum is carried twice, and incarnations that are carried do not count
-again.
+A row belongs to one process (agent and incarnation) and one key, and only that process increments it. Merging takes
+the maximum of each value, so reordered, repeated and delayed rows do no harm. The rows of processes that have ended
+are kept. When all members are alive, the agent's current process replaces the rows of its earlier incarnations by
+carried rows, which hold their sum. Only that process writes carried rows, so no sum is carried twice, and rows of
+carried incarnations that still arrive are ignored.
 """
 
 from __future__ import annotations
@@ -15,9 +15,9 @@
 from .records import CountRow
 
 REQUESTS, ATTEMPTS, REJECTIONS, ZONE_CROSSINGS = range(4)
-NAMES = ("requests", "attempts", "refusals", "crossings")  # in the admin API, by position in the values of a row
-MAX_OWN_INCARNATIONS = 2  # earlier incarnations of this agent with rows of their own; beyond that they are carried
-MAX_KEYS = 64  # of one process: tenants times classes; what is beyond is counted under OVERFLOW_KEY
+NAMES = ("requests", "attempts", "refusals", "crossings")  # names in the admin API, by position in the values of a row
+MAX_OWN_INCARNATIONS = 2  # earlier incarnations of this agent that keep their own rows; with more, all are carried
+MAX_KEYS = 64  # of one process: tenants times classes; further keys are counted under OVERFLOW_KEY
 
 Values = tuple[int, int, int, int]
 Key = tuple[int, int]  # tenant, class
@@ -40,7 +40,7 @@
 
 
 class Counts:
-    """All rows that this process knows."""
+    """All rows that this process has counted or received."""
 
     def __init__(self, own_number: int, incarnation: int) -> None:
         self.own_number, self.incarnation = own_number, incarnation
@@ -49,7 +49,7 @@
         self._cursor = 0
 
     def count(self, kind: int, tenant: int, request_class: int) -> None:
-        """Count one; `kind` is a position in the values (REQUESTS and so on)."""
+        """Increment a count; `kind` is a position in the values (REQUESTS and so on)."""
         own_rows = self._rows[self.own_number, self.incarnation]
         key = (tenant, request_class)
         if key not in own_rows and len(own_rows) >= MAX_KEYS:
@@ -59,9 +59,9 @@
         own_rows[key] = values[0], values[1], values[2], values[3]
 
     def merge(self, row: CountRow) -> bool:
-        """Merge a row from another agent; return whether it told something new."""
+        """Merge a row from another agent; return whether this changed any value."""
         if row.agent == self.own_number and row.incarnation >= self.incarnation:
-            return False  # what this process counts, nobody else knows better
+            return False  # this process has the authoritative values of its own rows
         if row.carried:
             return self._merge_carried(row)
         carried = self._carried.get(row.agent)
@@ -83,10 +83,10 @@
         return _merge_values(carried.rows, (row.tenant, row.request_class), row.values)
 
     def carry_earlier(self) -> bool:
-        """Carry the earlier incarnations of this agent; return whether there were enough of them.
+        """Replace the rows of this agent's earlier incarnations by their sum; return whether there were enough of them.
 
-        To be called only when all members have been alive for a long time: whatever another one still knows of those
-        incarnations would be lost.
+        Call it only after all members have been alive for a long time: counts of those incarnations that only another
+        member has would be lost.
         """
         earlier = sorted(
             incarnation
@@ -119,7 +119,7 @@
                 yield CountRow(agent, incarnation, *key, values)
 
     def next_rows(self, max_rows: int) -> list[CountRow]:
-        """Return the next rows in turn, so that each is sent repeatedly and a period always costs the same bytes."""
+        """Return the next rows in round-robin order: each is sent repeatedly, and every period costs the same bytes."""
         all_rows = list(self.rows())
         if not all_rows:
             return []
@@ -134,7 +134,7 @@
         return [CountRow(self.own_number, self.incarnation, *key, values) for key, values in rows.items()]
 
     def total(self, agent: int | None = None) -> Values:
-        """Return the sums over all agents or of one, earlier incarnations included."""
+        """Return the sums of all agents, or of one agent, including earlier incarnations."""
         total = ZERO
         for row in self.rows():
             if agent is None or row.agent == agent:
--- a/lilacsill/agent/peers/datagram.py
+++ b/lilacsill/agent/peers/datagram.py
@@ -1,10 +1,11 @@
-"""The form of a datagram between agents, and the checks that every received datagram has to pass. No I/O.
+"""The format of datagrams between agents, and the checks that each received datagram must pass. No I/O.
 
     "LS" | version 1 | fleet 4 | sender 2 | target 2 | stamp 8 | sequence 4 | records | tag 8
 
-The tag is a keyed BLAKE2s of all bytes before it, and zero where no secret is set. A datagram is accepted only from an
-address of the list of agents, complete, of this version and fleet, from the latest known incarnation of its sender, and
-once. Any other is dropped and counted. The state for that is one window of sequence numbers for each agent of the list.
+The tag is a keyed BLAKE2s of all bytes before it, or zero where no secret is set. A datagram is accepted once, and only
+if it is well-formed, has this version and fleet, and comes from the listed address of its sender and from the latest
+known incarnation of that sender. Any other datagram is dropped and counted. This takes one replay window of sequence
+numbers for each listed agent.
 """
 
 from __future__ import annotations
@@ -27,18 +28,18 @@
 TAG_BYTES = 8
 LIST_HEADER_BYTES = 3  # of the list of records
 MAX_RECORD_BYTES = MAX_DATAGRAM_BYTES - HEADER.size - TAG_BYTES - LIST_HEADER_BYTES
-WINDOW = 128  # how far behind the newest one a sequence number may be and still be told from a repeated one
+REPLAY_WINDOW = 128  # datagrams this far behind the newest sequence number are dropped: a repeat would go unnoticed
 
 
 class DropReason(Enum):
     """The reason why a datagram is dropped."""
 
-    FOREIGN = "foreign"  # from an address that is not in the list, or under another agent's number
+    FOREIGN = "foreign"  # from an address that is not listed, or with the number of another agent
     TORN = "torn"  # incomplete or malformed
     VERSION = "version"
     FLEET = "fleet"
-    UNSIGNED = "unsigned"  # without a tag of a current secret
-    OLD = "old"  # from an earlier incarnation than the latest known, or too far behind
+    UNSIGNED = "unsigned"  # its tag matches none of the current secrets
+    OLD = "old"  # from an earlier incarnation than the latest known one, or behind the replay window
     REPEATED = "repeated"
 
 
@@ -53,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StaleDatagram:
-    """A datagram from an earlier incarnation of its sender than the latest known; the sender may be told."""
+    """A datagram from an earlier incarnation of its sender than the latest known one; the sender can be notified."""
 
     sender: int
     stamp: int
@@ -69,12 +70,12 @@
     bits: int = 0
 
     def accept(self, sequence: int) -> DropReason | None:
-        """Note a sequence number; return the reason to drop its datagram, if there is one."""
+        """Record a sequence number; return the reason to drop its datagram, None to accept it."""
         ahead = sequence - self.newest
         if ahead > 0:
-            self.bits = (self.bits << ahead | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            self.bits = (self.bits << ahead | 1) & ((1 << REPLAY_WINDOW) - 1) if ahead < REPLAY_WINDOW else 1
             self.newest = sequence
-        elif ahead <= -WINDOW:
+        elif ahead <= -REPLAY_WINDOW:
             return DropReason.OLD
         elif self.bits >> -ahead & 1:
             return DropReason.REPEATED
@@ -84,7 +85,7 @@
 
 
 def fleet_id(name: str) -> int:
-    """Return the number of a fleet in datagrams, by which fleets on one network do not mix."""
+    """Return the number of a fleet in datagrams, which keeps fleets on one network apart."""
     return int.from_bytes(blake2s(name.encode(), digest_size=4).digest(), "big")
 
 
@@ -97,7 +98,7 @@
     """Encodes and checks the datagrams of one agent.
 
     Attributes:
-        secrets: The first one signs, all are accepted; empty: datagrams are not signed.
+        secrets: The first one signs datagrams, all are accepted for verification; empty: datagrams are not signed.
         dropped: How many datagrams were dropped, by reason.
     """
 
@@ -122,7 +123,7 @@
 
         Args:
             data: The datagram.
-            source: The number of the agent at the address it came from; None: no agent of the list has that address.
+            source: The number of the agent at the source address; None: no listed agent has that address.
         """
         outcome = self._decode(data, source)
         if isinstance(outcome, DropReason):
@@ -153,7 +154,7 @@
         return Datagram(sender, stamp, records)
 
     def _check(self, data: bytes, source: int) -> DropReason | None:
-        """Return the reason to drop a datagram that its header and tag give, if there is one."""
+        """Check header and tag of a datagram; return the reason to drop it, None to accept it."""
         if not HEADER.size + TAG_BYTES < len(data) <= MAX_DATAGRAM_BYTES:
             return DropReason.TORN
         magic, version, fleet, sender, target, _, _ = HEADER.unpack_from(data)
--- a/lilacsill/agent/peers/event_export.py
+++ b/lilacsill/agent/peers/event_export.py
@@ -1,6 +1,6 @@
-"""Export of the channel's events and figures: JSON lines by structlog, a text file by prometheus-client.
+"""Export of the channel's events as JSON lines (structlog), and of its metrics as a text file (prometheus-client).
 
-Both are optional parts that the operator file turns on. A disk that fails costs the entry and nothing else.
+The operator file enables each of them. A disk error loses the entry and has no other effect.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 from .fleet import BUDGETS, Fleet
 from .records import SHARE_UNITS, MemberState
 
-log = logging.getLogger("lilacsill.agent.peers.telling")  # kept when the module was renamed: logs show it
+log = logging.getLogger("lilacsill.agent.peers.telling")  # the former module name, kept because logs show it
 
 METRICS_INTERVAL_US = 5_000_000
 
 
 class EventExport:
-    """Writes each event and, regularly, the figures.
+    """Writes each event to the events file, and the metrics at regular intervals.
 
     Raises:
-        ConfigError: The file for events cannot be opened (at construction).
+        ConfigError: The events file cannot be opened (raised at construction).
     """
 
     def __init__(self, section: PeersSection, name: str, clock: Clock, fleet: Fleet) -> None:
         self._clock, self._fleet, self._name = clock, fleet, name
         self._logger = _open_logger(section) if section.records else None
-        # The wall clock orders the events of all processes well enough for reading.
+        # The wall clock is accurate enough for people to order the events of different processes.
         self._to_unix_us = time.time_ns() // 1000 - clock.now()
         self._metrics_path = section.metrics
         if self._metrics_path:
@@ -83,7 +83,7 @@
         try:
             write_to_textfile(self._metrics_path, self._registry)
         except OSError as error:
-            log.error("figures between agents are not written: %s", error)
+            log.error("metrics of the peers channel cannot be written to %s: %s", self._metrics_path, error)
         self._clock.after(METRICS_INTERVAL_US, self._write_metrics)
 
 
--- a/lilacsill/agent/peers/event_log.py
+++ b/lilacsill/agent/peers/event_log.py
@@ -1,4 +1,4 @@
-"""What happened between agents. Each entry has the id of its cause, so that the logs of all processes can be joined."""
+"""The log of events between agents. Each has the id of its cause, by which the logs of all processes can be joined."""
 
 from __future__ import annotations
 
@@ -10,28 +10,28 @@
 
 from .records import Cause
 
-MAX_EVENTS = 256  # the newest ones
+MAX_EVENTS = 256  # kept in memory
 
 
 class EventKind(StrEnum):
     """The kinds of events, by their names in the admin API and in the exports."""
 
-    MEMBER = "member"  # a member changed its state
+    MEMBER = "member"  # the state of a member changed
     FLEET_SIZE = "siblings"  # the number of agents in use changed
     LEASE_GRANTED = "lent"
     LEASE_RECEIVED = "held"
     LEASE_RETURNED = "given_back"
-    REPORT_SENT = "said"  # on the health of a backend
+    REPORT_SENT = "said"  # about the health of a backend
     REPORT_RECEIVED = "heard"
-    VERDICT_APPLIED = "acted"  # the decision module was told of the peers' verdict
+    VERDICT_APPLIED = "acted"  # the peers' verdict was posted to the decision module
     STALLED = "stood_still"  # this process did not run for a while
 
 
 @dataclass(slots=True, frozen=True)
 class PeerEvent:
-    """One entry."""
+    """One event."""
 
-    at: int
+    at: int  # microseconds on the agent's clock
     kind: EventKind
     cause: Cause
     facts: dict[str, Any]  # by names that the admin API and the exports show
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class EventLog:
-    """The newest events; `listener` gets each, where the operator file turns exports on."""
+    """The newest events; `listener` is called with each event if the operator file enables an export."""
 
     own_number: int
     events: deque[PeerEvent] = field(default_factory=lambda: deque(maxlen=MAX_EVENTS))
@@ -47,7 +47,7 @@
     _causes: int = 0
 
     def new_cause(self) -> Cause:
-        """Return the id for a chain of events that begins in this process."""
+        """Return the id for a chain of events that starts in this process."""
         self._causes = (self._causes + 1) % 2**32
         return self.own_number, self._causes
 
--- a/lilacsill/agent/peers/fleet.py
+++ b/lilacsill/agent/peers/fleet.py
@@ -1,6 +1,7 @@
-"""One agent's part in its fleet: membership, counts, budgets and backend health, wired to one stream of datagrams.
+"""One agent's part in its fleet: membership, counts, budgets and backend health over one stream of datagrams.
 
-Datagrams and times go in, datagrams and changes come out. No I/O: the caller sends what `take_datagrams` returns.
+It takes datagrams and times, and produces datagrams and state changes. No I/O: the caller sends the datagrams that
+`take_datagrams` returns.
 """
 
 from __future__ import annotations
@@ -31,15 +32,17 @@
 )
 
 BUDGETS = ("cold", "probes", "retries")
-COUNT_DATAGRAMS = 2  # datagrams of counts in a period, while there are new ones
-MIN_ROW_BYTES = 16  # of a row of counts
-ROWS_PER_DATAGRAM = 8  # rows of counts that are sent again
-# After members were found again: how many of them get a datagram of counts in a period, and for how many periods.
-HEALED_DATAGRAMS, HEALED_PERIODS = 4, 6
-VIEW_PERIODS = 4  # a member gets the view of who is alive once in this many periods
-CARRY_AFTER_US = 10_000_000  # with all members alive for this time, earlier incarnations may be carried
-BACKLOG_SHARE = 0.1  # of a stall: what is read within this time was probably sent before its end
-# An idle agent pays for each wake-up, so a period may begin with another event in this range around its end.
+COUNT_DATAGRAMS_PER_PERIOD = 2  # while there are new counts
+MIN_ROW_BYTES = 16  # of an encoded row of counts; with less space left none is tried
+ROWS_PER_DATAGRAM = 8  # at most so many rows that are sent again
+# After dead members are alive again: how many of them get a datagram of counts per period, and for how many periods.
+HEALED_DATAGRAMS_PER_PERIOD, HEALED_PERIODS = 4, 6
+ALIVE_VIEW_PERIODS = 4  # between two alive views, each sent to one member
+CARRY_DELAY_US = 10_000_000  # all members have to be alive for so long before earlier incarnations are carried
+BACKLOG_SHARE = (
+    0.1  # of the length of a stall: datagrams read within this time after it were probably sent before its end
+)
+# In periods. A period may begin together with another event in this range, which saves wake-ups of an idle agent.
 PERIOD_RANGE = 0.75, 1.25
 
 
@@ -48,8 +51,8 @@
     """The settings of the channel between agents."""
 
     own_number: int
-    agents: int  # in the list, this one included
-    configured_agents: int  # by the platform's settings
+    agents: int  # listed, this one included
+    configured_agents: int  # according to the platform's settings
     fleet: int = 0  # datagram.fleet_id
     secrets: tuple[bytes, ...] = ()
     period_us: int = 500_000
@@ -60,10 +63,10 @@
 class Fleet:
     """One agent's part in its fleet.
 
-    Call `start` once, `tick` at `due`, `receive` for each datagram.
+    Call `start` once, `tick` at `due` and `receive` for each datagram.
 
     Attributes:
-        changes: The changes of members' states; the caller empties it.
+        changes: The state changes of members; the caller empties the list.
     """
 
     def __init__(self, settings: FleetSettings, now: int, incarnation: int) -> None:
@@ -91,24 +94,26 @@
         self.peer_health = PeerHealth(settings.own_number)
         self.size = FleetSize(settings.configured_agents, settings.agents)
         self.changes: list[StateChange] = []
-        self._nonce = rng.getrandbits(31)  # far from that of the incarnation before: a request must not look old
-        self._period_from = self._period_at = now  # a period may begin from the first on, and begins at the second
+        self._nonce = rng.getrandbits(
+            31
+        )  # random, hence far from the previous incarnation's: a request must not look older
+        self._period_from = self._period_at = now  # earliest and latest begin of the next period
         self._periods = 0
-        self._backlog_until = 0  # what is read before may have waited while this process did not run
+        self._backlog_until = 0  # datagrams read before may have waited during a stall
         self._ready: list[tuple[int, bytes]] = []
-        self._sent_counts: dict[tuple[int, int], tuple[int, int, int, int]] = {}  # own counts as sent last, by key
-        self._all_alive_since = 0  # 0: not all are
-        self._healed_periods = 0  # periods left after others were found again
+        self._sent_counts: dict[tuple[int, int], tuple[int, int, int, int]] = {}  # own counts as last sent, by key
+        self._all_alive_since = 0  # 0: not all members are alive
+        self._healed_periods = 0  # periods left in which members that were dead get all counts
         self._last_period_at = now
-        self._rediscovered: list[int] = []  # members that have not got yet what they have missed
+        self._rediscovered: list[int] = []  # members alive again that have not been sent the counts they missed
 
     def start(self, now: int) -> None:
-        """Begin to probe."""
+        """Start probing members."""
         self.membership.start(now)
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called next, in microseconds."""
+        """The time of the next call of `tick`, in microseconds."""
         return min(self.membership.due, self._period_at)
 
     @property
@@ -117,7 +122,7 @@
         return self.counts.incarnation
 
     def receive(self, now: int, data: bytes, source: int | None) -> None:
-        """Handle a datagram from the address of a member; None: from any other address."""
+        """Handle a datagram; `source` is the member with its source address, None for any other address."""
         self._detect_stall(now)
         decoded = self.codec.decode(data, source)
         if isinstance(decoded, StaleDatagram):
@@ -129,7 +134,7 @@
         self._finish_event(now)
 
     def tick(self, now: int) -> None:
-        """Act on everything that is due."""
+        """Perform everything that is due."""
         self._detect_stall(now)
         self.membership.tick(now)
         if self._period_from <= now:
@@ -137,12 +142,12 @@
         self._finish_event(now)
 
     def take_datagrams(self) -> list[tuple[int, bytes]]:
-        """Return the datagrams to send, each with its member."""
+        """Return the datagrams to send, each with its destination member."""
         ready, self._ready = self._ready, []
         return ready
 
     def leave(self, now: int) -> None:
-        """Announce the end of this process to some members, who spread it."""
+        """Announce the end of this process to a few members, which spread it by gossip."""
         update = self.membership.leave()
         alive = self.membership.alive()
         for member in self._rng.sample(alive, min(3, len(alive))):
@@ -156,7 +161,7 @@
         return self.escrows[budget].right(now)
 
     def share(self, budget: int, now: int) -> tuple[float, int, float]:
-        """Return the share of the whole budget that may be spent, until when, and the share from then on."""
+        """Return the share of the whole budget that may be spent, until what time, and the share after that time."""
         right, total = self.right(budget, now), self.size.number * SHARE_UNITS
         return right.amount / total, right.until, right.amount_after / total
 
@@ -164,12 +169,12 @@
         """Set how much of a budget this agent could use, as a multiple of its equal share."""
         self.escrows[budget].need = int(min(float(self.settings.agents), max(0.0, shares)) * SHARE_UNITS)
 
-    def set_unhealthy(self, backends: set[str], now: int, lasts_us: int) -> None:
-        """Set the backends that this agent finds unhealthy by its own observations, and report them for `lasts_us`."""
+    def set_unhealthy(self, backends: set[str], now: int, lifetime_us: int) -> None:
+        """Set the backends that this agent itself observes as unhealthy, and report them for `lifetime_us`."""
         is_isolated = self.membership.is_isolated(now)
         alive = self.membership.alive()
         cause = self.events.new_cause()
-        claims = self.peer_health.update_own_claims(backends, now, lasts_us, self.incarnation, is_isolated, cause)
+        claims = self.peer_health.update_own_claims(backends, now, lifetime_us, self.incarnation, is_isolated, cause)
         for claim in claims:
             self.events.add(
                 now,
@@ -180,18 +185,19 @@
             )
             record = claim.record(now)
             self._spread_claim(claim, record)
-            if claim.renewal == 0:  # at once to as many members as gossip reaches, since others send there meanwhile
+            # A new report goes at once to as many members as one gossip update: others still use the backend meanwhile.
+            if claim.renewal == 0:
                 for member in self._rng.sample(alive, min(self.updates.sends, len(alive))):
                     self._outbox.send(member, record)
         self._finish_event(now)
 
     def note_applied(self, now: int, verdict: PeerVerdict) -> None:
-        """Note that the decision module was told of a verdict."""
+        """Log that a verdict was posted to the decision module."""
         for _, cause in verdict.witnesses:
             self.events.add(now, EventKind.VERDICT_APPLIED, cause, backend=verdict.backend, excluded=verdict.ejected)
 
     def verdicts(self, now: int) -> list[PeerVerdict]:
-        """Return what follows from the reports of others."""
+        """Return the verdicts on backends that follow from the reports of others."""
         return self.peer_health.verdicts(now)
 
     # Events
@@ -221,7 +227,7 @@
 
     def _on_health_report(self, report: HealthReport, now: int) -> None:
         if now < self._backlog_until:
-            return  # how long it has waited while this process did not run is unknown
+            return  # it may have waited during a stall, so its age is unknown
         claim = self.peer_health.on_report(report, now)
         if claim is None:
             return
@@ -233,7 +239,7 @@
             witness=claim.witness,
             verdict=claim.health.label,
         )
-        if self.peer_health.is_worth_spreading(claim, now):
+        if self.peer_health.should_spread(claim, now):
             self._spread_claim(claim, claim.record(now))
 
     def _spread_claim(self, claim: Claim, record: HealthReport) -> None:
@@ -273,7 +279,7 @@
         self._periods += 1
         alive = self.membership.alive()
         self._send_counts(alive)
-        if alive and self._periods % VIEW_PERIODS == 0:
+        if alive and self._periods % ALIVE_VIEW_PERIODS == 0:
             self._outbox.send(self._rng.choice(alive), self.membership.alive_view())
         self._balance_budgets(alive, now)
         self._carry_counts(alive, now)
@@ -282,21 +288,23 @@
     def _send_counts(self, alive: list[int]) -> None:
         self._spread_own_counts(changed_only=True)
         if self._healed_periods:
-            if self._healed_periods == HEALED_PERIODS:  # members that were away have missed these
+            if (
+                self._healed_periods == HEALED_PERIODS
+            ):  # for members that missed them while they were dead to this process
                 self._spread_own_counts()
             self._healed_periods -= 1
         rediscovered = [member for member in self._rediscovered if self.membership.is_alive_or_suspect(member)]
-        rediscovered = rediscovered[:HEALED_DATAGRAMS]
+        rediscovered = rediscovered[:HEALED_DATAGRAMS_PER_PERIOD]
         self._rediscovered = self._rediscovered[len(rediscovered) :] if self._healed_periods else []
-        targets = rediscovered + self._rng.sample(alive, min(COUNT_DATAGRAMS, len(alive)))
-        # Datagrams for counts alone only while there are new ones: an idle agent pays for each wake-up, and probes and
-        # their answers have space for rows that are sent again.
+        targets = rediscovered + self._rng.sample(alive, min(COUNT_DATAGRAMS_PER_PERIOD, len(alive)))
+        # Datagrams with counts alone are sent only while there are new counts: each datagram wakes an idle agent, and
+        # probes and their answers have space for rows that are sent again.
         for member in targets if self._count_updates else rediscovered:
             if rows := self._encoded_counts(MAX_RECORD_BYTES):
                 self._ready.append((member, self.codec.encode(member, self.membership.stamp, rows)))
 
     def _balance_budgets(self, alive: list[int], now: int) -> None:
-        """Return leases that are no longer needed, and ask for others."""
+        """Return leases that are no longer needed, and request new or renewed ones."""
         for budget, escrow in self.escrows.items():
             escrow.has_duplicate = self.membership.has_duplicate
             for lender, nonce in escrow.return_unneeded(now):
@@ -314,7 +322,7 @@
             self._all_alive_since = 0
             return
         self._all_alive_since = self._all_alive_since or now
-        if now - self._all_alive_since >= CARRY_AFTER_US:
+        if now - self._all_alive_since >= CARRY_DELAY_US:
             self.counts.carry_earlier()
 
     def _update_size(self, now: int) -> None:
@@ -331,7 +339,7 @@
                 self._count_updates.add((row.agent, row.incarnation, *key, False), row)
 
     def _encoded_counts(self, free_bytes: int) -> list[bytes]:
-        """Return rows that are new, then others in turn, so that members that were cut off get all of them again."""
+        """Return new rows, then others in round-robin order, so that members that were isolated receive all rows."""
         rows = self._count_updates.take(free_bytes)
         free_bytes -= sum(map(len, rows))
         for row in self.counts.next_rows(ROWS_PER_DATAGRAM) if free_bytes >= MIN_ROW_BYTES else ():
@@ -342,7 +350,7 @@
         return rows
 
     def _finish_event(self, now: int) -> None:
-        """Note the changes of members' states, and pack what was queued into datagrams."""
+        """Process the state changes of members, and pack the queued records into datagrams."""
         for change in self.membership.changes:
             self._on_state_change(change, now)
         self.membership.changes = []
@@ -371,7 +379,7 @@
     # For operators
 
     def describe(self, now: int) -> dict[str, object]:
-        """Return the response of the admin API."""
+        """Return the response of the admin API to `peers`, without the state of the socket."""
         membership = self.membership
         return {
             "me": self.settings.own_number,
--- a/lilacsill/agent/peers/fleet_size.py
+++ b/lilacsill/agent/peers/fleet_size.py
@@ -1,39 +1,39 @@
-"""How many agents there really are, where the settings may be wrong. No I/O; the caller passes the time in.
+"""The number of agents that share the budgets, where the settings may be wrong. No I/O; the caller passes the time in.
 
-Where there are more agents than the settings say, each would use too much of a budget: the greater number counts at
-once. Where there are fewer, each would use too little: the smaller number counts only when all members of the list have
-been heard and their lists have agreed for a while, and then by half at a time. A network partition hides agents but
-does not change the lists, so no agent uses more because of one.
+If there are more agents than configured, each would use too much of a budget, so a greater number applies at once. If
+there are fewer, each would use too little. The number is then reduced only after all listed members have been heard and
+their lists have agreed for a while, and at most by half at a time. A network partition hides agents but does not change
+the lists, so it does not make any agent use more.
 """
 
 from __future__ import annotations
 
 from collections.abc import Sequence
 
-AGREEMENT_US = 30_000_000  # how long all must have been heard and have agreed
-HEARD_WITHIN_US = 60_000_000  # a member counts as heard for this time
+AGREEMENT_US = 30_000_000  # how long all members have to be heard and to agree before the number is reduced
+HEARD_WITHIN_US = 60_000_000  # a member counts as heard for so long after its last datagram
 
 
 class FleetSize:
     """The number of agents that budgets are divided by.
 
     Attributes:
-        configured: The number by the settings.
+        configured: The number in the settings.
         number: The number in use.
     """
 
     def __init__(self, configured: int, listed: int) -> None:
         self.configured = configured
-        self._listed = listed  # by this agent's own list, itself included
+        self._listed = listed  # in this agent's own list, itself included
         self.number = max(configured, listed)
-        self._agreed_since = 0  # 0: they do not agree
+        self._agreed_since = 0  # 0: the members do not agree
 
     def update(self, now: int, members: Sequence[tuple[int, int]]) -> bool:
         """Update the number; return whether it changed.
 
         Args:
             now: The time in microseconds.
-            members: For each other member when it was last heard (0: never) and how many agents its list names.
+            members: For each other member the time it was last heard (0: never) and the number of agents in its list.
         """
         before = self.number
         max_listed = max([self._listed, *(listed for _, listed in members)])
--- a/lilacsill/agent/peers/membership.py
+++ b/lilacsill/agent/peers/membership.py
@@ -1,11 +1,12 @@
-"""Which agents are alive: SWIM (Das, Gupta and Motivala, 2002) with the three additions of Lifeguard (2018).
+"""Membership and failure detection: SWIM (Das, Gupta and Motivala, 2002) with the three extensions of Lifeguard (2018).
 
-One member is probed in each period, directly and then through others. A member that does not answer is suspected, and
-dead if nobody refutes that in time. A process that was itself stalled, or that hears nothing from others, lowers its
-trust in itself: its probes take longer, and its suspicions last longer by the time for which it did not run.
+One member is probed in each period, first directly and then through others. A member that does not answer is suspected,
+and dead unless the suspicion is refuted in time. A process that was stalled, or that receives nothing from others,
+raises its health score, which lengthens its probe timeouts and periods. After a stall its suspicions also last longer,
+by the length of the stall.
 
-No I/O; the caller passes the time in. A member is a number in the list of agents. Its stamp combines the incarnation of
-its process with the number of suspicions that the process has refuted (see records.py).
+No I/O; the caller passes the time in. A member is identified by its number in the list of agents. Its stamp
+combines the incarnation of its process with the number of suspicions that the process has refuted (see records.py).
 """
 
 from __future__ import annotations
@@ -30,36 +31,36 @@
 from .suspicion import Suspicion
 
 MAX_HEALTH_SCORE = 8
-INDIRECT_PROBES = 3  # members that are asked to probe a target
-PROBE_TIMEOUT_PERIODS = 0.4  # for the answer to a direct probe; then others are asked
-STALL_PERIODS = 0.5  # this much later than due: this process did not run
-ISOLATION_PERIODS = 3  # without a datagram from anybody: this process is cut off
-ABSENT_PROBES = 3  # probes a period to members that are not known to live, while those are most; else one
-REFUTATION_PERIODS = 6  # before a suspicion ends, its member is probed directly
-MAX_RELAYED_PROBES = 64  # probes for others without an answer
-INCARNATION_STEP_MS = 256  # most by which a new incarnation exceeds the one before
-MAX_NEW_INCARNATIONS = 4  # that this process takes; then another process has its number for good
+INDIRECT_PROBES = 3  # members that are asked to probe a target that has not answered
+PROBE_TIMEOUT_PERIODS = 0.4  # for the answer to a direct probe, before other members are asked to probe
+STALL_PERIODS = 0.5  # with a tick this late, the process counts as stalled
+ISOLATION_PERIODS = 3  # without any datagram, after which this process counts as isolated
+UNREACHABLE_PROBES = 3  # probes per period of members not known to be alive, while they are the majority; else one
+REFUTATION_PERIODS = 6  # before the end of a suspicion from which on the member is probed directly
+MAX_RELAYED_PROBES = 64  # unanswered probes on behalf of others
+INCARNATION_STEP_MS = 256  # greatest random step from the later incarnation to the new one
+MAX_NEW_INCARNATIONS = 4  # that this process takes before it assumes that another process has its number
 
 Send = Callable[[int, Record], None]
 
 
 @dataclass(slots=True)
 class Member:
-    """What this process knows of another agent. Times are microseconds; 0: never."""
+    """This process's state of another agent. Times are in microseconds; 0: never."""
 
     stamp: int = 0
     state: MemberState = MemberState.UNKNOWN
-    since: int = 0  # of the state
-    heard_at: int = 0  # when a datagram of its own came last
-    notified_at: int = 0  # when it was told last that it is suspected or held dead
-    listed_agents: int = 0  # how many agents its own list names
+    since: int = 0  # when it entered the state
+    heard_at: int = 0  # when its last datagram arrived
+    notified_at: int = 0  # when it was last notified that it is suspected or considered dead
+    listed_agents: int = 0  # number of agents in its own list
     cause: Cause = (0, 0)  # of the state
     suspicion: Suspicion | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class StateChange:
-    """A change of a member's state, as this process sees it."""
+    """A change of a member's state in the view of this process."""
 
     member: int
     before: MemberState
@@ -80,10 +81,10 @@
 
 @dataclass(slots=True)
 class _RelayedProbe:
-    """A probe made for another agent."""
+    """A probe on behalf of another agent, the requester."""
 
-    asker: int
-    asker_nonce: int
+    requester: int
+    requester_nonce: int
     answer_by: int
     nack_sent: bool = False
 
@@ -91,14 +92,14 @@
 class Membership:
     """The members and their states.
 
-    Call `detect_stall` before anything else, and `tick` at `due`.
+    Call `detect_stall` first in each event, and `tick` at `due`.
 
     Attributes:
-        members: All other agents of the list, by number.
-        changes: The changes of states; the caller empties it.
-        health_score: Lifeguard's local health multiplier; 0: this process trusts itself.
-        has_duplicate: Whether another process uses this number.
-        stalled_us: For how long this process did not run, in all.
+        members: All other listed agents, by number.
+        changes: The state changes; the caller empties the list.
+        health_score: Lifeguard's local health multiplier; 0: healthy.
+        has_duplicate: Whether another process uses this agent number.
+        stalled_us: The total length of the stalls of this process, in microseconds.
     """
 
     def __init__(
@@ -119,10 +120,10 @@
             agents: The number of agents in the list.
             period_us: The probe period in microseconds.
             incarnation: The incarnation of this process.
-            rng: The random numbers of this agent's part between agents.
+            rng: The random number generator of this agent's part in the fleet.
             send: Queues a record for a member.
-            gossip: Queues an update for all members.
-            new_cause: Returns the id for a chain of events that begins here.
+            gossip: Spreads an update to all members by gossip.
+            new_cause: Returns the id for a chain of events that starts in this process.
         """
         self.own_number, self.agents, self._period_us = own_number, agents, period_us
         self.stamp = incarnation << REFUTATION_BITS
@@ -137,15 +138,15 @@
         self._probe: _Probe | None = None
         self._relayed: dict[int, _RelayedProbe] = {}  # by own nonce
         self._nonce = rng.getrandbits(31)
-        self._period_at = 0  # when the next period begins; 0: not started
+        self._period_at = 0  # start of the next period; 0: not started
         self.stalled_us = 0
-        self.heard_at = 0  # when a datagram of anybody came last
+        self.heard_at = 0  # when the last datagram of any member arrived
 
     # Time
 
     @property
     def due(self) -> int:
-        """When `tick` is to be called next, in microseconds."""
+        """The time of the next call of `tick`, in microseconds."""
         times = [self._period_at]
         if self._probe is not None and not self._probe.is_indirect:
             times.append(self._probe.sent_at + self._probe_timeout_us())
@@ -154,12 +155,12 @@
         return min(times)
 
     def start(self, now: int) -> None:
-        """Begin the first period."""
+        """Schedule the first period."""
         self._period_at = now + int(self._rng.random() * self._period_us / 4)
         self.heard_at = now
 
     def detect_stall(self, now: int) -> int:
-        """Return for how many microseconds this process did not run, else 0; measurements across a stall are void."""
+        """Return the length of a stall in microseconds, 0 if there was none; discard measurements that span a stall."""
         late_us = now - self.due
         if late_us <= STALL_PERIODS * self._period_us:
             return 0
@@ -175,7 +176,7 @@
         return late_us
 
     def tick(self, now: int) -> None:
-        """Act on everything that is due."""
+        """Perform everything that is due."""
         self._end_suspicions(now)
         self._end_relayed_probes(now)
         probe = self._probe
@@ -188,11 +189,11 @@
         for number, member in list(self._suspects.items()):
             if member.suspicion is None or member.suspicion.due > now:
                 continue
-            if member.heard_at > member.suspicion.started_at:  # it is alive, and only its refutation was lost
+            if member.heard_at > member.suspicion.started_at:  # it is alive: only its refutation was lost
                 member.suspicion = Suspicion(now, self.own_number, self.agents, self._period_us)
             else:
-                # An agent that has heard nobody for as long as a suspicion lasts is itself the one that is isolated.
-                # It does not spread this, but still has to do without the others.
+                # A process that has received nothing for as long as a suspicion lasts is itself isolated. It treats the
+                # member as dead, since it cannot reach it, but does not spread this.
                 self._set_state(
                     number,
                     member,
@@ -207,7 +208,7 @@
     def _end_relayed_probes(self, now: int) -> None:
         for nonce, relayed in list(self._relayed.items()):
             if relayed.answer_by <= now and not relayed.nack_sent:
-                self._send(relayed.asker, Nack(relayed.asker_nonce))
+                self._send(relayed.requester, Nack(relayed.requester_nonce))
                 relayed.answer_by += self._period_us
                 relayed.nack_sent = True
             elif relayed.answer_by + self._period_us <= now:
@@ -217,7 +218,7 @@
         return int(PROBE_TIMEOUT_PERIODS * self._period_us * (1 + self.health_score))
 
     def is_isolated(self, now: int) -> bool:
-        """Return whether nobody at all has been heard for some periods."""
+        """Return whether no datagram of any member has arrived for some periods."""
         return now - self.heard_at > ISOLATION_PERIODS * self._period_us * (1 + self.health_score)
 
     # Probing
@@ -230,12 +231,12 @@
         if target is not None:
             self._probe = _Probe(target, self._new_nonce(), now)
             self._ping(target, self._probe.nonce)
-        self._probe_absent()
-        self._probe_before_death(now)
+        self._probe_unreachable()
+        self._probe_expiring_suspects(now)
         self._period_at = now + int(self._period_us * (1 + self.health_score) * (0.9 + 0.2 * self._rng.random()))
 
     def _probe_failed(self, probe: _Probe, now: int) -> None:
-        # If the members that were asked to probe do not even say no, this process probably hears badly itself.
+        # If even the Nacks of the members that were asked to probe are missing, this process probably loses datagrams.
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1 + (probe.nacks_expected > 0))
         member = self.members[probe.target]
         if member.state is MemberState.ALIVE:
@@ -250,7 +251,7 @@
             self._gossip(MemberUpdate(probe.target, member.stamp, MemberState.SUSPECT, self.own_number, member.cause))
 
     def _next_target(self) -> int | None:
-        # Each member in turn, in an order drawn again for each round (SWIM, 4.3): no member waits more than two rounds.
+        # Round-robin, reshuffled for each round (SWIM, 4.3), so that no member waits for more than two rounds.
         for _ in range(2):
             while self._probe_order:
                 number = self._probe_order.pop()
@@ -260,22 +261,22 @@
             self._rng.shuffle(self._probe_order)
         return None
 
-    def _probe_absent(self) -> None:
-        """Probe members that are not known to live, so that those beyond a partition are found again."""
-        absent = [number for number in self.members if not self.is_alive_or_suspect(number)]
-        probes = ABSENT_PROBES if 2 * len(absent) > len(self.members) else 1
-        for number in self._rng.sample(absent, min(len(absent), probes)):
+    def _probe_unreachable(self) -> None:
+        """Probe members that are not known to be alive, to rediscover those behind a network partition."""
+        unreachable = [number for number in self.members if not self.is_alive_or_suspect(number)]
+        probes = UNREACHABLE_PROBES if 2 * len(unreachable) > len(self.members) else 1
+        for number in self._rng.sample(unreachable, min(len(unreachable), probes)):
             self._ping(number, self._new_nonce())
 
-    def _probe_before_death(self, now: int) -> None:
-        """Probe suspects that are soon held dead on others' word: one whose refutations were lost answers this."""
+    def _probe_expiring_suspects(self, now: int) -> None:
+        """Probe suspects whose suspicion ends soon: a live member whose refutations were lost answers the probe."""
         margin_us = REFUTATION_PERIODS * self._period_us * (1 + self.health_score)
-        soon_dead = [
+        expiring = [
             number
             for number, member in self._suspects.items()
             if member.suspicion is not None and member.suspicion.due - margin_us <= now
         ]
-        for number in soon_dead[:ABSENT_PROBES]:
+        for number in expiring[:UNREACHABLE_PROBES]:
             self._ping(number, self._new_nonce())
 
     def _ping(self, number: int, nonce: int) -> None:
@@ -286,7 +287,7 @@
 
     def _probe_indirectly(self, probe: _Probe) -> None:
         probe.is_indirect = True
-        self._ping(probe.target, probe.nonce)  # directly again, too: the first ping may just have been lost
+        self._ping(probe.target, probe.nonce)  # also directly again: the first ping may have been lost
         others = [number for number in self.alive() if number != probe.target]
         for other in self._rng.sample(others, min(INDIRECT_PROBES, len(others))):
             self._send(other, PingRequest(probe.nonce, probe.target))
@@ -299,7 +300,7 @@
     # Datagrams and records
 
     def on_datagram(self, sender: int, stamp: int, now: int) -> None:
-        """Note an accepted datagram: its sender is alive."""
+        """Record an accepted datagram, which shows that its sender is alive."""
         member = self.members[sender]
         member.heard_at = self.heard_at = now
         if stamp > member.stamp or member.state is MemberState.UNKNOWN:
@@ -307,13 +308,14 @@
         elif member.state in (MemberState.SUSPECT, MemberState.DEAD) and (
             now - member.notified_at >= self._period_us // 2
         ):
-            # It must be told to refute it; until then others would not believe this process either. Not at every
-            # datagram: two that hold each other dead would answer each other without end.
+            # Notify the sender so that it refutes the state with a higher stamp; until then other members would ignore
+            # an ALIVE update. Not at every datagram: two members that consider each other dead would answer each other
+            # endlessly.
             member.notified_at = now
             self._send(sender, MemberUpdate(sender, member.stamp, member.state, self.own_number, member.cause))
 
     def on_record(self, sender: int, record: Record, now: int) -> None:
-        """Handle a record on membership."""
+        """Handle a membership record."""
         if isinstance(record, Ping):
             self.members[sender].listed_agents = record.agents
             self._send(sender, Ack(record.nonce))
@@ -332,18 +334,18 @@
             self._on_alive_view(sender, record, now)
 
     def alive_view(self) -> AliveView:
-        """Return the members that are alive, this process included."""
+        """Return a record of the members that are alive, this process included."""
         bits = bytearray(-(-self.agents // 8))
         for number in (self.own_number, *self.alive()):
             bits[number >> 3] |= 1 << (number & 7)
         return AliveView(bytes(bits))
 
     def leave(self) -> MemberUpdate:
-        """Return the update by which a process announces its own end."""
+        """Return the update by which this process announces its end."""
         return MemberUpdate(self.own_number, self.stamp, MemberState.LEFT, self.own_number, self._new_cause())
 
     def report_stale(self, sender: int, latest_incarnation: int) -> None:
-        """Tell a process that a later incarnation was heard under its number."""
+        """Notify a process that a later incarnation with its agent number is known."""
         self._send(sender, StaleIncarnation(latest_incarnation << REFUTATION_BITS))
 
     def _on_ack(self, nonce: int) -> None:
@@ -353,7 +355,7 @@
             self.health_score = max(0, self.health_score - 1)
         relayed = self._relayed.get(nonce)
         if relayed is not None:
-            self._send(relayed.asker, Ack(relayed.asker_nonce))
+            self._send(relayed.requester, Ack(relayed.requester_nonce))
             del self._relayed[nonce]
 
     def _on_ping_request(self, sender: int, request: PingRequest, now: int) -> None:
@@ -365,7 +367,7 @@
             self._ping(request.target, nonce)
 
     def _on_alive_view(self, sender: int, view: AliveView, now: int) -> None:
-        """Take over members that this process has never heard of."""
+        """Mark members as alive that are unknown to this process and alive in the sender's view."""
         for number, member in self.members.items():
             if member.state is not MemberState.UNKNOWN or number >> 3 >= len(view.alive):
                 continue
@@ -388,9 +390,9 @@
             self._set_state(update.member, member, update.state, update.stamp, update.by, update.cause, now)
 
     def _on_update_of_self(self, sender: int, update: MemberUpdate) -> None:
-        """Refute an update that this process is suspected or dead.
+        """Refute an update that declares this process suspected, dead or left.
 
-        It is refuted by gossip and to the sender directly: gossip may miss one member every time.
+        The refutation goes out by gossip and directly to the sender, since gossip may miss one member every time.
         """
         incarnation = self.stamp >> REFUTATION_BITS
         if update.stamp >> REFUTATION_BITS > incarnation:
@@ -404,17 +406,17 @@
         self._send(sender, MemberUpdate(self.own_number, self.stamp, MemberState.ALIVE, self.own_number, update.cause))
 
     def _take_later_incarnation(self, stamp: int) -> None:
-        """Take an incarnation later than that of a stamp.
+        """Change to an incarnation later than that of a stamp.
 
-        The clock went back since the process before, or another process has this number.
+        It is needed when the clock has gone back since the previous process, or another process has this number.
         """
         if stamp >> REFUTATION_BITS < self.stamp >> REFUTATION_BITS:
             return
         self._new_incarnations += 1
         if self._new_incarnations > MAX_NEW_INCARNATIONS:
-            self.has_duplicate = True  # the two processes would drive each other up without end
+            self.has_duplicate = True  # otherwise the two processes would raise their incarnations endlessly
             return
-        # Random, since two processes of one number could come to the same incarnation and pass for one.
+        # Random, since two processes with one number could otherwise choose the same incarnation and pass for one.
         incarnation = (stamp >> REFUTATION_BITS) + 1 + self._rng.randrange(INCARNATION_STEP_MS)
         self._announce_stamp(incarnation << REFUTATION_BITS, self._new_cause())
 
@@ -453,5 +455,5 @@
         return [number for number, member in self.members.items() if member.state is MemberState.ALIVE]
 
     def is_alive_or_suspect(self, number: int) -> bool:
-        """Return whether a member counts as alive until its death is sure; this process always does."""
+        """Return whether a member is alive or only suspected; always true for this process."""
         return number == self.own_number or self.members[number].state in (MemberState.ALIVE, MemberState.SUSPECT)
--- a/lilacsill/agent/peers/outbox.py
+++ b/lilacsill/agent/peers/outbox.py
@@ -1,4 +1,4 @@
-"""Packs records into datagrams: records for a member first, then gossip, then counts in the space that is left."""
+"""Packs records into datagrams: records for the member first, then gossip, then counts in the remaining space."""
 
 from __future__ import annotations
 
@@ -10,14 +10,14 @@
 
 
 class Outbox:
-    """Records by the member they are for, in the order in which they were queued."""
+    """Queues of records by destination member, in order."""
 
     def __init__(self, updates: Gossip, counts: Callable[[int], list[bytes]]) -> None:
         """Create an empty outbox.
 
         Args:
-            updates: The gossip that fills datagrams up.
-            counts: Returns encoded rows of counts that fit into a number of bytes.
+            updates: The gossip updates that fill the remaining space of datagrams.
+            counts: Returns encoded rows of counts that fit into the given number of bytes.
         """
         self._updates, self._counts = updates, counts
         self._queued: dict[int, list[bytes]] = {}
@@ -27,7 +27,7 @@
         self._queued.setdefault(member, []).append(encode(record))
 
     def pack(self) -> Iterable[tuple[int, list[bytes]]]:
-        """Yield members and encoded records that fit into one datagram, until nothing is queued."""
+        """Yield for each datagram its destination and its encoded records, until the queues are empty."""
         while self._queued:
             member, queued = next(iter(self._queued.items()))
             packed: list[bytes] = []
--- a/lilacsill/agent/peers/peer_health.py
+++ b/lilacsill/agent/peers/peer_health.py
@@ -1,16 +1,17 @@
-"""What agents report on the health of backends, and what follows from it. No I/O; the caller passes the time in.
+"""Backend health as reported by agents, and the verdicts that follow. No I/O; the caller passes the time in.
 
-A report is what one agent, the witness, has observed, when, and until when it counts. Reports from others make an agent
-careful: it samples that backend less often, and the sample decides. Only several independent witnesses eject a backend,
-and never more than a share of all backends. A witness that condemns more than that share has a problem with its own
-links, and none of its reports count. What an agent has observed itself since, and what discovery says, take precedence.
+A report holds what one agent, the witness, has observed, when, and until when the report counts. An agent that receives
+one samples the backend less often, and the sampled requests decide. Only reports of several independent witnesses eject
+a backend, and never more than a fixed share of all backends. A witness that reports more than that share as unhealthy
+has a problem with its own links, and none of its reports count. The agent's own later observations, and discovery, take
+precedence.
 
-A witness that finds too many backends unhealthy finds them one after the other and has reported the first ones by then:
-it withdraws all its reports with one record. A report that enough witnesses have made already is not sent or passed on:
-otherwise a zone that loses its backends would fill every datagram.
+A witness detects unhealthy backends one after the other, so when they become too many it has already reported the first
+ones: it withdraws all its reports with one record. A report that enough witnesses have already made is not sent or
+forwarded, since a zone that loses its backends would otherwise fill every datagram.
 
-Only its witness renews a report, with a renewal number, and each renewal is taken once: on slow links every hop makes a
-report look younger than it is, and one that was judged by its age only would never end.
+Only the witness renews its report, with a renewal number, and each renewal is accepted once: on slow links every hop
+makes a report look younger than it is, so a report that expired only by age could circulate forever.
 """
 
 from __future__ import annotations
@@ -22,34 +23,34 @@
 from .records import Cause, Health, HealthReport
 
 EJECTION_WITNESSES = 3  # needed to eject a backend on reports alone
-MAX_EJECTED_SHARE = 0.2  # of the backends that may be ejected, and that one witness may condemn
-MAX_CLAIMS = 32  # of one witness, the newest; a witness with more is isolated itself
-MAX_AGE_MS = 30_000  # older reports are ignored
-SUFFICIENT_WITNESSES = 2 * EJECTION_WITNESSES  # further reports are neither sent nor passed on
-ALL_BACKENDS = 0  # in place of a backend's tag: all that the witness has reported so far
-NEVER = 2**62  # a time that does not come
+MAX_EJECTED_SHARE = 0.2  # of all backends: that may be ejected, and that one witness may report as unhealthy
+MAX_CLAIMS_PER_WITNESS = 32  # the newest are kept; a witness with more is itself isolated
+MAX_REPORT_AGE_MS = 30_000  # older reports are ignored
+SUFFICIENT_WITNESSES = 2 * EJECTION_WITNESSES  # with more, reports are neither sent nor forwarded
+ALL_BACKENDS = 0  # in place of a backend's tag: all backends that the witness has reported so far
+NEVER_US = 2**62  # a time in microseconds that is never reached
 
 
 def backend_tag(backend: str) -> int:
-    """Return the number of a backend in records."""
+    """Return the tag of a backend, its number in records: a hash of its id."""
     return int.from_bytes(blake2s(backend.encode(), digest_size=8).digest(), "big") >> 1
 
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """A report with its times on this process's clock, in microseconds."""
+    """A report with its times converted to this process's clock, in microseconds."""
 
     backend: int
     health: Health
     witness: int
     incarnation: int
     renewal: int
-    observed_at: int  # the time that the datagram took makes it look younger
+    observed_at: int  # too late by the transit time of the datagram
     until: int
     cause: Cause
 
     def record(self, now: int) -> HealthReport:
-        """Return the claim as a record."""
+        """Return the claim as a record, with its times relative to `now`."""
         return HealthReport(
             self.backend,
             self.health,
@@ -64,11 +65,11 @@
 
 @dataclass(slots=True, frozen=True)
 class PeerVerdict:
-    """What follows from all claims on one backend."""
+    """The result of all claims on one backend."""
 
     backend: str
     health: Health
-    ejected: bool  # else it is only sampled less often
+    ejected: bool  # else the backend is only sampled less often
     until: int
     observed_at: int
     witnesses: tuple[tuple[int, Cause], ...]
@@ -79,36 +80,36 @@
 
     def __init__(self, own_number: int) -> None:
         self.own_number = own_number
-        self._names: dict[int, str] = {}  # of the backends that this process's own list names, by tag
+        self._names: dict[int, str] = {}  # names of the backends in this process's own list, by tag
         self._tags: dict[str, int] = {}
         self._started_at: dict[str, int] = {}
-        self._answered_at: dict[int, int] = {}  # when a backend last answered this process, by tag
-        self._claims: dict[int, dict[int, Claim]] = {}  # of others, by witness and tag
+        self._answered_at: dict[int, int] = {}  # time of the last answer of a backend to this process, by tag
+        self._claims: dict[int, dict[int, Claim]] = {}  # of other agents, by witness and tag
         self._own_claims: dict[int, Claim] = {}  # by tag
-        self._verdicts: list[PeerVerdict] = []  # as computed last
-        self._verdicts_until = 0  # until when they hold, unless something changes; 0: something has
+        self._verdicts: list[PeerVerdict] = []  # as last computed
+        self._verdicts_until = 0  # end of the validity of `_verdicts`; 0: they have to be computed again
         self._claimed: set[int] = set()  # tags of the backends with claims when the verdicts were computed
 
     def name_of(self, tag: int) -> str:
-        """Return the name of a backend; of one that the own list does not name, its tag."""
+        """Return the name of a backend, or its tag if it is not in this process's list."""
         return self._names.get(tag, f"#{tag:x}")
 
     # Own observations
 
     def set_backends(self, started_at: dict[str, int], now: int) -> None:
-        """Set the backends of the own list and their starts; earlier claims on a restarted backend do not count."""
+        """Set the listed backends and their start times; earlier claims on a restarted backend do not count."""
         for name, at in started_at.items():
             if self._started_at.get(name, at) != at:
                 self._answered_at[backend_tag(name)] = now
         self._started_at = dict(started_at)
-        self._tags = {name: backend_tag(name) for name in started_at}  # cached, since each answer needs one
+        self._tags = {name: backend_tag(name) for name in started_at}  # cached, since each answer needs a tag
         self._names = {tag: name for name, tag in self._tags.items()}
         self._answered_at = {tag: at for tag, at in self._answered_at.items() if tag in self._names}
         self._own_claims = {tag: claim for tag, claim in self._own_claims.items() if tag in self._names}
         self._verdicts_until = 0
 
     def backend_answered(self, backend: str, now: int) -> None:
-        """Note an answer of a backend to this process; it overrides earlier claims."""
+        """Record an answer of a backend to this process, which overrides earlier claims."""
         tag = self._tags.get(backend)
         if tag is not None:
             self._answered_at[tag] = now
@@ -116,22 +117,23 @@
                 self._verdicts_until = 0
 
     def update_own_claims(
-        self, unhealthy: set[str], now: int, lasts_us: int, incarnation: int, is_isolated: bool, cause: Cause
+        self, unhealthy: set[str], now: int, lifetime_us: int, incarnation: int, is_isolated: bool, cause: Cause
     ) -> list[Claim]:
         """Set the backends that this process finds unhealthy, and return the claims to report.
 
-        A process that is isolated, or finds too many unhealthy, withdraws its claims: the cause is its own or shared.
+        A process that is isolated, or finds too many backends unhealthy, withdraws its claims: the fault is its own, or
+        one that others share.
 
         Args:
-            unhealthy: All backends that it finds unhealthy now.
+            unhealthy: All backends that this process finds unhealthy now.
             now: The time in microseconds.
-            lasts_us: How long a claim lasts.
+            lifetime_us: How long a claim counts unless it is renewed, in microseconds.
             incarnation: The incarnation of this process.
-            is_isolated: Whether this process hears nobody.
+            is_isolated: Whether this process receives no datagrams.
             cause: The id of the cause for new claims.
         """
         tags = {backend_tag(name) for name in unhealthy} & self._names.keys()
-        until = now + lasts_us
+        until = now + lifetime_us
         if is_isolated or len(tags) > self._max_ejected():
             if not self._own_claims:
                 return []
@@ -140,7 +142,7 @@
         reports: list[Claim] = []
         for tag in tags:
             claim = self._own_claims.get(tag)
-            if claim is not None and claim.until - now >= lasts_us // 2:
+            if claim is not None and claim.until - now >= lifetime_us // 2:
                 continue
             claim_cause, renewal = (cause, 0) if claim is None else (claim.cause, claim.renewal + 1)
             claim = Claim(tag, Health.UNHEALTHY, self.own_number, incarnation, renewal, now, until, claim_cause)
@@ -154,7 +156,7 @@
         for tag in [tag for tag in self._own_claims if tag not in unhealthy]:
             claim = self._own_claims[tag]
             if self._answered_at.get(tag, 0) <= claim.observed_at:
-                # It is being tried again and has not answered yet: no reason to withdraw the claim.
+                # The backend is being tried again and has not answered yet, so the claim is not withdrawn.
                 if claim.until <= now:
                     del self._own_claims[tag]
                 continue
@@ -172,8 +174,8 @@
     # Claims of others
 
     def on_report(self, report: HealthReport, now: int) -> Claim | None:
-        """Take a report; return its claim if it is newer than what that witness reported before, else None."""
-        if report.witness == self.own_number or report.age_ms > MAX_AGE_MS:
+        """Process a report; return its claim if it is newer than the previous one of its witness, else None."""
+        if report.witness == self.own_number or report.age_ms > MAX_REPORT_AGE_MS:
             return None
         claim = Claim(
             report.backend,
@@ -182,7 +184,7 @@
             report.incarnation,
             report.renewal,
             now - report.age_ms * 1000,
-            now + min(report.remaining_ms, MAX_AGE_MS) * 1000,
+            now + min(report.remaining_ms, MAX_REPORT_AGE_MS) * 1000,
             report.cause,
         )
         claims = self._claims.setdefault(report.witness, {})
@@ -196,12 +198,12 @@
         self._verdicts_until = 0
         claims.pop(report.backend, None)
         claims[report.backend] = claim
-        if len(claims) > MAX_CLAIMS:
+        if len(claims) > MAX_CLAIMS_PER_WITNESS:
             del claims[next(iter(claims))]
         return claim
 
-    def is_worth_spreading(self, claim: Claim, now: int) -> bool:
-        """Return whether a claim of another is to be passed on."""
+    def should_spread(self, claim: Claim, now: int) -> bool:
+        """Return whether a claim of another agent is to be forwarded."""
         is_withdrawal = claim.health is Health.HEALTHY
         return is_withdrawal or self._other_witnesses(claim.backend, now) <= SUFFICIENT_WITNESSES
 
@@ -212,7 +214,7 @@
         )
 
     def forget_witness(self, witness: int) -> None:
-        """Drop the claims of a witness that is dead, since it cannot withdraw them."""
+        """Drop the claims of a witness that has ended or is dead, since it cannot withdraw them."""
         self._claims.pop(witness, None)
         self._verdicts_until = 0
 
@@ -222,7 +224,7 @@
         return max(1, int(MAX_EJECTED_SHARE * len(self._names)))
 
     def verdicts(self, now: int) -> list[PeerVerdict]:
-        """Return what follows from the claims now, for backends of the own list, most witnesses first."""
+        """Return the verdicts on backends of the own list, those with the most witnesses first."""
         if now < self._verdicts_until:
             return self._verdicts
         self._drop_expired(now)
@@ -231,13 +233,13 @@
         ejectable = max_ejected
         verdicts: list[PeerVerdict] = []
         ordered = sorted(claims_by_tag.items(), key=lambda item: (-len(item[1]), item[0]))
-        # Bounded, too: several false witnesses must not make most backends look doubtful either.
+        # Bounded, too: several wrong witnesses must not cause most backends to be sampled less often.
         for tag, claims in ordered[: 2 * max_ejected]:
             ejected = len(claims) >= EJECTION_WITNESSES and ejectable > 0
             ejectable -= ejected
             verdicts.append(self._verdict(tag, claims, ejected))
         self._verdicts = verdicts
-        self._verdicts_until = min((claim.until for claim in self._all_claims()), default=NEVER)
+        self._verdicts_until = min((claim.until for claim in self._all_claims()), default=NEVER_US)
         self._claimed = {claim.backend for claim in self._all_claims()}
         return verdicts
 
@@ -249,7 +251,7 @@
                 del self._claims[witness]
 
     def _countable_claims(self) -> dict[int, list[Claim]]:
-        """Return the claims that count, by tag."""
+        """Return the claims that count, by backend tag."""
         claims_by_tag: dict[int, list[Claim]] = {}
         for claims in self._claims.values():
             unhealthy = [
@@ -280,10 +282,10 @@
 
     @property
     def peer_claims(self) -> int:
-        """The number of claims of others."""
+        """The number of claims of other agents."""
         return sum(map(len, self._claims.values()))
 
 
 def _order(claim: Claim) -> tuple[int, int, int]:
-    """Return what orders the claims of one witness on one backend."""
+    """Return the sort key of the claims of one witness on one backend, oldest first."""
     return claim.incarnation, claim.cause[1], claim.renewal
--- a/lilacsill/agent/peers/records.py
+++ b/lilacsill/agent/peers/records.py
@@ -1,11 +1,12 @@
-"""The records that agents send each other, with the types and bounds of their fields.
+"""The records that agents send to each other, with the types and bounds of their fields.
 
-A record is an array of MessagePack with its tag first. msgspec checks types and bounds on decoding, so that no other
-module meets an unexpected value. Times are sent as ages and as remaining times in milliseconds: no two agents share a
-clock. `cause` is the id of the event that began a chain of events: the number of an agent and a count of its own.
+A record is a MessagePack array with its tag first. msgspec checks types and bounds on decoding, so that no other module
+sees an unexpected value. Times are sent as ages and as remaining times in milliseconds, since agents share no clock.
+`cause` is the id of the event that started a chain of events: the number of an agent and a sequence number of its own.
 
-The incarnation is the number of an agent's process, greater for each later one; SWIM's incarnation number, which counts
-how often a process has refuted a suspicion, is the refutation count here. A stamp combines the two and orders them.
+The incarnation numbers the processes of an agent, and is greater for each later process. SWIM's incarnation number,
+which counts how often a process has refuted a suspicion, is called refutation count here. A stamp combines the two,
+with the incarnation first, so that stamps order the updates of a member.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 from msgspec import Meta
 
 MAX_AGENTS = 1024
-SHARE_UNITS = 1_000_000  # units in an agent's equal share of a budget
+SHARE_UNITS = 1_000_000  # units of an agent's equal share of a budget
 
 Number = Annotated[int, Meta(ge=0, lt=MAX_AGENTS)]
 U16 = Annotated[int, Meta(ge=0, lt=2**16)]
@@ -31,25 +32,25 @@
 
 
 class MemberState(IntEnum):
-    """The state of a member. Of two updates with the same stamp the greater state wins."""
+    """The state of a member. Of two updates with the same stamp, the one with the greater state applies."""
 
-    UNKNOWN = 0  # never heard of
+    UNKNOWN = 0  # no information yet
     ALIVE = 1
     SUSPECT = 2
     DEAD = 3
-    LEFT = 4  # it announced its end itself
+    LEFT = 4  # it has announced its end
 
 
 class Health(IntEnum):
-    """The health of a backend by a report."""
+    """The health of a backend in a report."""
 
-    HEALTHY = 0  # withdraws earlier reports
+    HEALTHY = 0  # withdraws earlier reports of the witness
     SLOW = 1
     UNHEALTHY = 2
 
     @property
     def label(self) -> str:
-        """The word for it in the admin API, the event log and its export."""
+        """The name in the admin API, the event log and its export."""
         return _HEALTH_LABELS[self]
 
 
@@ -60,7 +61,7 @@
     """A probe of a member (SWIM)."""
 
     nonce: U32
-    agents: U16  # how many agents the sender's own list names
+    agents: U16  # number of agents in the sender's own list
 
 
 class Ack(msgspec.Struct, array_like=True, tag=2, frozen=True):
@@ -70,20 +71,20 @@
 
 
 class Nack(msgspec.Struct, array_like=True, tag=3, frozen=True):
-    """The target of an indirect probe has not answered; it shows that the agent asked to probe is alive."""
+    """The target of an indirect probe has not answered; this record shows that the probing agent is alive."""
 
     nonce: U32
 
 
 class PingRequest(msgspec.Struct, array_like=True, tag=4, frozen=True):
-    """The request to probe a target for the sender (SWIM's indirect probe)."""
+    """A request to probe a target on behalf of the sender (SWIM's indirect probe)."""
 
     nonce: U32
     target: Number
 
 
 class StaleIncarnation(msgspec.Struct, array_like=True, tag=5, frozen=True):
-    """A process with a later incarnation was heard under the receiver's number; it has to take a later one still."""
+    """A later incarnation is known under the receiver's number; the receiver has to change to a still later one."""
 
     stamp: Stamp
 
@@ -105,7 +106,7 @@
 
 
 class CountRow(msgspec.Struct, array_like=True, tag=8, frozen=True):
-    """What one process has counted under one key."""
+    """The counts of one process under one key."""
 
     agent: Number
     incarnation: Stamp
@@ -116,7 +117,7 @@
 
 
 class LeaseRequest(msgspec.Struct, array_like=True, tag=9, frozen=True):
-    """The request for a lease on a part of the receiver's share of a budget."""
+    """A request for a lease on a part of the receiver's share of a budget."""
 
     budget: Byte
     nonce: U32
@@ -128,7 +129,7 @@
 
     budget: Byte
     nonce: U32
-    incarnation: Stamp  # of the process that asked: an earlier one may have used the same nonce
+    incarnation: Stamp  # of the requesting process: an earlier one may have used the same nonce
     amount: U32  # in SHARE_UNITS
     cause: Cause
 
@@ -141,7 +142,7 @@
 
 
 class HealthReport(msgspec.Struct, array_like=True, tag=12, frozen=True):
-    """What one agent, the witness, has observed of a backend."""
+    """An observation of a backend by one agent, the witness."""
 
     backend: Annotated[int, Meta(ge=0, le=2**63 - 1)]  # the tag of its id (peer_health.backend_tag)
     health: Health
@@ -178,7 +179,7 @@
 
 
 def join(encoded: list[bytes]) -> bytes:
-    """Return the encoding of a list of records that are encoded already."""
+    """Return the encoding of a list of records, given the encoding of each."""
     return b"\xdc" + len(encoded).to_bytes(2, "big") + b"".join(encoded)
 
 
@@ -186,6 +187,6 @@
     """Decode a list of records.
 
     Raises:
-        msgspec.DecodeError: The bytes are no such list; ValidationError, a subclass, where a value is out of bounds.
+        msgspec.DecodeError: The bytes are not a list of records; ValidationError, a subclass: a value is out of bounds.
     """
     return _decoder.decode(body)
--- a/lilacsill/agent/peers/suspicion.py
+++ b/lilacsill/agent/peers/suspicion.py
@@ -1,30 +1,30 @@
-"""How long a member stays suspected before it counts as dead (Lifeguard; Dadgar, Phillips and Currey, 2018, 4.2)."""
+"""The timeout after which a suspected member counts as dead (Lifeguard; Dadgar, Phillips and Currey, 2018, 4.2)."""
 
 from __future__ import annotations
 
 from math import log, log10
 
-MIN_PERIODS = 6.0  # the shortest time of a suspicion, for each decimal digit of the number of agents
-MAX_FACTOR = 4.0  # the longest time of a suspicion, as a multiple of the shortest
-CONFIRMATIONS = 3  # further witnesses that bring the time down to the shortest
+MIN_PERIODS_PER_DIGIT = 6.0  # shortest suspicion timeout, in periods for each decimal digit of the number of agents
+MAX_FACTOR = 4.0  # longest suspicion timeout, as a multiple of the shortest
+CONFIRMATIONS = 3  # by further witnesses, which reduce the timeout to the shortest
 
 
 def min_suspicion_us(agents: int, period_us: int) -> int:
-    """Return the shortest time of a suspicion in microseconds.
+    """Return the shortest suspicion timeout in microseconds.
 
     Args:
         agents: The number of agents.
         period_us: The probe period in microseconds.
     """
-    return int(MIN_PERIODS * max(1.0, log10(max(1, agents))) * period_us)
+    return int(MIN_PERIODS_PER_DIGIT * max(1.0, log10(max(1, agents))) * period_us)
 
 
 class Suspicion:
-    """One suspicion: each further witness shortens it.
+    """One suspicion; each further witness shortens its timeout.
 
     Attributes:
         started_at: When it began, in microseconds.
-        witnesses: The members that suspect it.
+        witnesses: The members that suspect the member.
     """
 
     __slots__ = ("started_at", "witnesses", "_min_us", "_max_us", "_confirmations")
@@ -37,7 +37,7 @@
         self._max_us = MAX_FACTOR * self._min_us if self._confirmations else self._min_us
 
     def confirm(self, by: int) -> bool:
-        """Add a witness; return whether it is a new one."""
+        """Add a witness; return whether it is new."""
         if by in self.witnesses:
             return False
         self.witnesses.add(by)
--- a/lilacsill/agent/peers/transport.py
+++ b/lilacsill/agent/peers/transport.py
@@ -1,4 +1,4 @@
-"""The UDP socket between agents: it sends and receives what the fleet's decisions say."""
+"""The UDP socket between agents: it sends and receives the datagrams of the fleet, and runs its timer."""
 
 from __future__ import annotations
 
@@ -15,10 +15,10 @@
 from .datagram import MAX_DATAGRAM_BYTES
 from .fleet import Fleet
 
-log = logging.getLogger("lilacsill.agent.peers.shell")  # kept when the module was renamed: logs show it
+log = logging.getLogger("lilacsill.agent.peers.shell")  # the former module name, kept because logs show it
 
-RECEIVE_BUFFER_BYTES = 1 << 18  # of the kernel, for datagrams that arrive while this process does not run
-BIND_RETRY_US = 1_000_000  # where another process uses the address
+RECEIVE_BUFFER_BYTES = 1 << 18  # kernel buffer for datagrams that arrive during a stall of this process
+BIND_RETRY_US = 1_000_000  # while another process uses the address
 
 
 class UdpTransport:
@@ -26,7 +26,7 @@
 
     Args:
         clock: The agent's clock.
-        fleet: The fleet's decisions.
+        fleet: This agent's part in the fleet.
         listen: The address to receive on.
         peers: The addresses of all agents, by number.
         on_event: Called after every event of the fleet.
@@ -51,13 +51,13 @@
 
     @property
     def is_open(self) -> bool:
-        """Whether this process takes part between agents."""
+        """Whether the socket is bound, so that this process participates in the fleet."""
         return self._socket is not None
 
     def start(self) -> None:
-        """Bind the address and take part.
+        """Bind the address and join the fleet.
 
-        Where another process of this agent still uses the address, it is tried again until it is free.
+        While another process of this agent still uses the address, binding is retried.
 
         Raises:
             OSError: The address cannot be bound for any other reason.
@@ -76,14 +76,14 @@
         if not self._waits_for_address:
             self._waits_for_address = True
             log.info(
-                "another process has %s:%d; this one takes no part between agents until it is free",
+                "address %s:%d is used by another process; joining the fleet when it is free",
                 self._listen.host,
                 self._listen.port,
             )
         self._timer = self._clock.after(BIND_RETRY_US, self.start)
 
     def stop(self) -> None:
-        """Announce the end to other agents and close the socket."""
+        """Announce to other agents that this process ends, and close the socket."""
         if self._timer is not None:
             self._timer.cancel()
         if self._socket is not None:
@@ -110,11 +110,11 @@
         sock = self._socket
         if sock is None:
             return
-        # One datagram per iteration of the loop: mostly there is no second one, and asking costs as much as reading.
+        # One datagram per loop iteration: usually there is no second one, and a read that fails costs as much.
         try:
             data, source = sock.recvfrom(MAX_DATAGRAM_BYTES + 1)
         except OSError:
-            return  # nothing is there, or it is the error of an earlier datagram, which says nothing of the next one
+            return  # no datagram is ready, or this is the error of an earlier one, which does not concern the next
         self.fleet.receive(self._clock.now(), data, self._numbers.get(source[:2]))
         self._after_event()
 
@@ -130,14 +130,14 @@
             if self._timer is not None:
                 self._timer.cancel()
             self._timer_due = due
-            # Not on the clock's timing wheel, which wakes for a cancelled deadline, too: this timer waits for an answer
-            # that nearly always comes, so in an idle agent it is nearly always cancelled.
+            # Not on the clock's timing wheel, which wakes for a cancelled deadline, too: this timer is the timeout of
+            # an answer that nearly always arrives, so in an idle agent it is nearly always cancelled.
             self._timer = self._loop.call_later(max(0, due - self._clock.now()) / 1e6, self._on_timer)
         self._on_event()
-        self._send()  # what the event led to
+        self._send()  # datagrams that the event caused
 
     def wake(self) -> None:
-        """Act on what has happened in the agent."""
+        """Process what has happened in the agent."""
         if self._socket is not None:
             self._after_event()
 
@@ -146,5 +146,5 @@
             if self._socket is not None:
                 try:
                     self._socket.sendto(data, self._addresses[member])
-                except OSError:  # the datagram is lost, as on any link
+                except OSError:  # counted and lost, as datagrams can be on any link
                     self.unsent += 1
--- a/lilacsill/agent/recovery/__init__.py
+++ b/lilacsill/agent/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""Recovery after a power loss: the state that an agent saves, and what of it the next start trusts."""
+"""Recovery after a power loss: an agent saves its state, and its next start restores what is still valid."""
--- a/lilacsill/agent/recovery/phases.py
+++ b/lilacsill/agent/recovery/phases.py
@@ -1,8 +1,8 @@
-"""The phases of an agent's return after a start, for operators. No I/O; the caller passes the time in.
+"""The phases of an agent's recovery after a start, for operators. No I/O; the caller passes the time in.
 
-An agent is waiting until a backend has answered, then returning, and steady once nearly all requests of a window were
-answered. The answers decide and not the time, so that a fleet that is overloaded by retries is never called steady. A
-steady agent whose backends answer hardly any request is waiting or returning again.
+An agent is WAITING until a request succeeds, then RETURNING, and STEADY after a window in which nearly all requests
+succeeded. The answers decide and not the elapsed time, so that a fleet that is overloaded by retries never counts as
+steady. A steady agent goes back to RETURNING after a window with too few successes, or to WAITING after one with none.
 """
 
 from __future__ import annotations
@@ -10,13 +10,13 @@
 from enum import Enum
 
 WINDOW_US = 1_000_000
-STEADY_SHARE = 0.95  # of good answers in a window, from which on an agent is steady
-LOST_SHARE = 0.5  # of good answers in a window, below which it is no longer
-MIN_ANSWERS = 5  # in a window that counts
+STEADY_ENTRY_SHARE = 0.95  # successful answers in a window, from which on a returning agent becomes steady
+STEADY_EXIT_SHARE = 0.5  # successful answers in a window, below which an agent is no longer steady
+MIN_ANSWERS = 5  # in a window; a window with fewer does not change the phase between RETURNING and STEADY
 
 
 class Phase(Enum):
-    """How far the return is."""
+    """The phase of the recovery."""
 
     WAITING = "waiting"
     RETURNING = "returning"
@@ -24,12 +24,12 @@
 
 
 class PhaseTracker:
-    """Derives the phase from the final answers.
+    """Derives the phase from the final answers to clients.
 
     Attributes:
         phase: The current phase.
         since: When it began, in microseconds.
-        changes: The time and phase of each change; the caller empties it.
+        changes: The time and the new phase of each change; the caller empties the list.
     """
 
     def __init__(self, now: int) -> None:
@@ -39,7 +39,7 @@
         self._window_start, self._good, self._answers = now, 0, 0
 
     def request_answered(self, good: bool, now: int) -> None:
-        """Note a final answer to a client."""
+        """Record a final answer to a client; `good` is true for a success."""
         if now - self._window_start >= WINDOW_US:
             self._end_window(now)
         self._good += good
@@ -50,9 +50,9 @@
     def _end_window(self, now: int) -> None:
         if self._answers >= MIN_ANSWERS:
             share = self._good / self._answers
-            if self.phase is Phase.RETURNING and share >= STEADY_SHARE:
+            if self.phase is Phase.RETURNING and share >= STEADY_ENTRY_SHARE:
                 self._set_phase(Phase.STEADY, now)
-            elif self.phase is Phase.STEADY and share < LOST_SHARE:
+            elif self.phase is Phase.STEADY and share < STEADY_EXIT_SHARE:
                 self._set_phase(Phase.RETURNING if self._good else Phase.WAITING, now)
         self._window_start, self._good, self._answers = now, 0, 0
 
--- a/lilacsill/agent/recovery/service.py
+++ b/lilacsill/agent/recovery/service.py
@@ -1,4 +1,4 @@
-"""Recovery in a running agent: what it started with, the phase of its return, and what it saves for the next start."""
+"""Recovery in a running agent: the restored state, the phase of its recovery, and saves for the next start."""
 
 from __future__ import annotations
 
@@ -20,22 +20,22 @@
 from .phases import PhaseTracker
 from .state import MAX_MEMBERS, SavedLatencyModel, SavedState
 from .store import LoadResult, StateStore, boot_id
-from .trust import InitialKnowledge, SavedListing, StartTime, choose_knowledge, listing_doc
+from .trust import InitialState, SavedListing, StartTime, choose_initial_state, listing_doc
 
-log = logging.getLogger("lilacsill.agent.recovery.room")  # kept when the module was renamed: logs show it
+log = logging.getLogger("lilacsill.agent.recovery.room")  # the former module name, kept because logs show it
 
-# Delay of a save after a change of the list or by operators; changed latencies alone wait for the next regular save.
+# Delay of a save after a change of the list; latencies and changes by operators wait for the next regular save.
 SAVE_DELAY_US = 500_000
-LATENCY_CHANGE = 0.1  # relative change of the service time that is worth a save
+LATENCY_CHANGE = 0.1  # relative change of the service time that causes a save
 
 
 class Recovery:
-    """Loads the saved state before anything starts, then saves it regularly (observers.Observer).
+    """Loads the saved state before the agent starts, then saves it regularly (an observers.Observer).
 
     Attributes:
         config: The configuration with the list of backends that the agent starts with.
-        initial: What of the saved state this start uses.
-        incarnation: The number of this start, greater than all before.
+        initial: The part of the saved state that this start uses.
+        incarnation: The number of this process, greater than those of all earlier ones.
     """
 
     def __init__(self, config: Config, section: RecoverySection, clock: Clock) -> None:
@@ -43,7 +43,7 @@
         self._store = StateStore(section.folder, section.fleet, config.name, section.generations)
         self._boot_id, self._name = boot_id(), config.name
         self.loaded: LoadResult = self._store.load()
-        self.initial: InitialKnowledge = self._choose_knowledge(config)
+        self.initial: InitialState = self._choose_initial_state(config)
         self.config = replace(config, known=self.initial.known)
         self.incarnation = max(time.time_ns() // 1_000_000, self.initial.previous_incarnation + 1)
         self.phases = PhaseTracker(clock.now())
@@ -52,17 +52,17 @@
             0, 0, 0
         )
         self._disabled_backends: Callable[[], frozenset[str]] = frozenset
-        self._last_saved: SavedState | None = None  # None: nothing, or it could not be written
+        self._last_saved: SavedState | None = None  # None: nothing was saved, or the last save failed
         self._is_save_planned = False
         self._writer = ThreadPoolExecutor(1, "saved-state")
         self._write: Future[None] | None = None
         self._saved_at = 0
-        self._save_error = ""  # of the last save; empty: it succeeded
+        self._save_error = ""  # error of the last save; empty: it succeeded
         for generation, reason in self.loaded.skipped:
             if reason != "there is none":
-                log.warning("saved state: generation %d is left aside: %s", generation, reason)
+                log.warning("saved state: generation %d is skipped: %s", generation, reason)
 
-    def _choose_knowledge(self, config: Config) -> InitialKnowledge:
+    def _choose_initial_state(self, config: Config) -> InitialState:
         state, listing = self.loaded.state, None
         if state is not None:
             try:
@@ -72,12 +72,12 @@
                 self.loaded = LoadResult(None, 0, skipped)
                 state = None
         now = StartTime(time.time_ns() // 1_000_000, self._boot_id, self._clock.now())
-        return choose_knowledge(config.known, state, listing, now)
+        return choose_initial_state(config.known, state, listing, now)
 
     def restored_latency_model(self) -> balancing.LatencyModelRestored:
-        """Return the saved latencies for the decision module.
+        """Return the restored latency model for the decision module.
 
-        For the warm-up time of backends they bound what it learns from backends that may be cold.
+        During the warm-up time of backends it limits what the module learns from backends that may be cold.
         """
         model = self.initial.latency_model
         return balancing.LatencyModelRestored(
@@ -95,16 +95,17 @@
         """Save the state regularly from now on.
 
         Args:
-            latency_model: Returns the latencies that the decision module has measured.
+            latency_model: Returns the latency model that the decision module has measured.
             disabled_backends: Returns the backends that operators keep out of service.
         """
         self._latency_model, self._disabled_backends = latency_model, disabled_backends
         initial = self.initial
         if self.loaded.state is None:
-            log.info("recovery: nothing was saved that may be used; begins with the configuration's list")
+            log.info("recovery: no saved state can be used; starting with the list of backends in the configuration")
         else:
             log.info(
-                "recovery: generation %d, age %s, list of revision %d (%s), a pace of %d answers, %d out by operators",
+                "recovery: restored generation %d: age %s, list revision %d (source: %s), latency model of %d answers, "
+                "%d backends disabled by operators",
                 self.loaded.generation,
                 "unknown" if initial.age_s is None else f"{initial.age_s:.0f} s",
                 initial.known.revision,
@@ -131,14 +132,14 @@
         """Ignore the end of an attempt."""
 
     def request_answered(self, number: int, status: int) -> None:
-        """Update the phase, and log its changes."""
+        """Update the phase, and log each change."""
         self.phases.request_answered(status == 200, self._clock.now())
         changes, self.phases.changes = self.phases.changes, []
         for _, phase in changes:
-            log.info("recovery: %s", phase.value)
+            log.info("recovery: phase is now %s", phase.value)
 
     def backends_listed(self, listing: Listing) -> None:
-        """Save a changed list soon."""
+        """Apply a list from discovery and schedule a save."""
         self._listing.update(listing)
         self._save_soon()
 
@@ -169,7 +170,7 @@
         )
 
     def _save(self) -> None:
-        """Write the state in the background, unless it has hardly changed or a write is under way."""
+        """Write the state in the background unless it is similar to the last one; retry later during a write."""
         self._is_save_planned = False
         if self._write is not None and not self._write.done():
             self._save_soon()
@@ -188,25 +189,29 @@
         if error is None:
             self._saved_at = self._clock.now()
             if self._save_error:
-                log.info("recovery: the state is saved again")
+                log.info("recovery: the state is saved again after failed saves")
             self._save_error = ""
             return
         self._last_saved = None
         reason = getattr(error, "strerror", None) or str(error)
         if reason != self._save_error:
-            log.error("recovery: the state cannot be saved, the agent goes on without: %s", reason)
+            log.error(
+                "recovery: the state cannot be saved in %s, the agent continues without saving: %s",
+                self._section.folder,
+                reason,
+            )
         self._save_error = reason
 
     def stop(self) -> None:
-        """Save the state a last time."""
+        """Save the state for the last time, at the end of the agent."""
         self._writer.shutdown(wait=True)
         try:
             self._store.save(self._state())
         except OSError as error:
-            log.error("recovery: the state cannot be saved: %s", error.strerror or error)
+            log.error("recovery: the state cannot be saved at the end: %s", error.strerror or error)
 
     def describe(self) -> Mapping[str, Any]:
-        """Return the response of the admin API."""
+        """Return the response of the admin API to `recovery`."""
         initial, now = self.initial, self._clock.now()
         return {
             "phase": self.phases.phase.value,
@@ -238,7 +243,7 @@
 
 
 def _is_similar(state: SavedState, saved: SavedState) -> bool:
-    """Return whether a state need not be written after the saved one."""
+    """Return whether a state is so similar to the saved one that it need not be written."""
     model, saved_model = state.latency_model, saved.latency_model
     has_similar_time = (
         abs(model.service_time_us - saved_model.service_time_us) <= LATENCY_CHANGE * saved_model.service_time_us
--- a/lilacsill/agent/recovery/state.py
+++ b/lilacsill/agent/recovery/state.py
@@ -1,7 +1,7 @@
-"""The saved state and its form in a file. No I/O.
+"""The saved state and its file format. No I/O.
 
-The file is a line with magic, version and digest, then the state as JSON. A file that is truncated anywhere, altered,
-of another agent or of a later version is recognised, and nothing of it is used.
+The file consists of a line with magic, version and digest, and of the state as JSON. A file that is truncated, altered,
+of another agent or of another version is detected and not used at all.
 """
 
 from __future__ import annotations
@@ -21,28 +21,28 @@
 
 
 class StateError(ValueError):
-    """The bytes are no state that may be used; the text gives the reason."""
+    """The contents of a file are not a usable state; the text gives the reason."""
 
 
 class SavedMember(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One backend, in the form of discovery (`ListingParser.encode`)."""
+    """One backend, in the format of discovery (`ListingParser.encode`)."""
 
     id: str
     host_port: str
     phase: str
     up_since_ms: UnixMs
-    locality: str | None = None  # None: discovery named none that the settings list
+    locality: str | None = None  # None: discovery gave no locality that the settings list
     flavor: str | None = None
     cell: int = 0
     size: Annotated[float, Meta(gt=0, le=1e12)] = 1.0
 
 
 class SavedLatencyModel(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """The measured latencies. 0 answers: nothing is known."""
+    """The measured latencies; 0 answers: none were measured."""
 
-    # Of a warm backend, for each unit of load.
+    # Of a warm backend, in microseconds for each unit of load.
     service_time_us: Microseconds = msgspec.field(default=0.0, name="pace_us")
-    typical_latency_us: Microseconds = msgspec.field(default=0.0, name="typical_us")  # as clients saw it
+    typical_latency_us: Microseconds = msgspec.field(default=0.0, name="typical_us")  # as seen by clients
     answers: Annotated[int, Meta(ge=0, lt=2**53)] = 0
 
 
@@ -52,13 +52,15 @@
     fleet: str
     agent: str
     saved_unix_ms: UnixMs
-    boot_id: str = msgspec.field(name="boot")  # of the start of the machine in which it was saved
-    saved_us: Annotated[int, Meta(ge=0)]  # on the monotonic clock of that start
-    incarnation: Annotated[int, Meta(ge=0, lt=2**53)] = msgspec.field(name="life")  # of the process that saved it
+    boot_id: str = msgspec.field(name="boot")  # id of the machine's boot during which the state was saved
+    saved_us: Annotated[int, Meta(ge=0)]  # on the monotonic clock of that boot
+    incarnation: Annotated[int, Meta(ge=0, lt=2**53)] = msgspec.field(
+        name="life"
+    )  # of the process that saved the state
     revision: Annotated[int, Meta(ge=0)]
     members: Annotated[list[SavedMember], Meta(max_length=MAX_MEMBERS)]
     latency_model: SavedLatencyModel = msgspec.field(default=SavedLatencyModel(), name="pace")
-    # Backends that operators keep out of service.
+    # Backends that operators have disabled.
     disabled_backends: list[str] = msgspec.field(default_factory=list, name="out")
 
 
--- a/lilacsill/agent/recovery/store.py
+++ b/lilacsill/agent/recovery/store.py
@@ -1,8 +1,8 @@
-"""The saved state on disk, in generations, each complete or not there. The only I/O of recovery.
+"""The saved state on disk, in generations of which each is complete or missing. The only I/O of recovery.
 
-A save is written to a temporary file and synced. Renames then make it the newest generation, beginning with the oldest:
-a process that is killed at any moment leaves at least the generation before. Reading begins with the newest generation
-and ends with the first that is valid.
+A save writes a temporary file and syncs it. Then it shifts the generations by renames, the oldest first, and makes the
+new file the newest one, so that a process that is killed at any time leaves at least the previous generation. A load
+reads from the newest generation on and uses the first valid one.
 """
 
 from __future__ import annotations
@@ -21,15 +21,15 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadResult:
-    """What was found on disk."""
+    """The result of loading from disk."""
 
-    state: SavedState | None  # None: nothing can be used
+    state: SavedState | None  # None: no generation can be used
     generation: int  # of the state; 0 is the newest
-    skipped: tuple[tuple[int, str], ...]  # newer generations, and the reason why each is not used
+    skipped: tuple[tuple[int, str], ...]  # newer generations, each with the reason why it is not used
 
 
 class StateStore:
-    """The generations of one agent, in a folder that the agents of one machine may share."""
+    """The generations of one agent, in a folder that the agents of a machine may share."""
 
     def __init__(self, folder: str, fleet: str, agent: str, generations: int) -> None:
         self._folder, self._fleet, self._agent, self._generations = Path(folder), fleet, agent, generations
@@ -40,7 +40,7 @@
         return self._folder / f"{self._name}.state{f'.{generation}' if generation else ''}"
 
     def load(self) -> LoadResult:
-        """Return the newest valid state. Errors of the disk and damaged files are reported in the result."""
+        """Return the newest valid state; disk errors and damaged files are reported in the result."""
         skipped: list[tuple[int, str]] = []
         for generation in range(self._generations):
             try:
@@ -59,7 +59,7 @@
         """Write a state as the newest generation.
 
         Raises:
-            OSError: It cannot be written; all generations are as they were, or one older.
+            OSError: The state cannot be written; the generations are unchanged, or shifted by one.
         """
         temporary = self._folder / f"{self._name}.state.{os.getpid()}.new"
         try:
@@ -78,7 +78,7 @@
         self._sync_folder()
 
     def _sync_folder(self) -> None:
-        # The renames, too, must be on the disk.
+        # Makes the renames durable, too.
         fd = os.open(self._folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(fd)
@@ -87,23 +87,23 @@
 
 
 def check_folder(folder: str, file: str) -> None:
-    """Check the folder for check-config; a start goes on without it.
+    """Check the folder for check-config; a start continues even if it is missing.
 
     Args:
         folder: The folder.
-        file: The operator file that names it, for the text of errors.
+        file: The operator file that names the folder, for error texts.
 
     Raises:
-        ConfigError: There is no such folder, or it cannot be written to.
+        ConfigError: The folder does not exist, or is not writable.
     """
     if not os.path.isdir(folder):
-        raise ConfigError(f"{file}: [recovery] folder: {folder} is no folder")
+        raise ConfigError(f"{file}: [recovery] folder: {folder} is not a directory")
     if not os.access(folder, os.W_OK | os.X_OK):
-        raise ConfigError(f"{file}: [recovery] folder: {folder} cannot be written to")
+        raise ConfigError(f"{file}: [recovery] folder: {folder} is not writable")
 
 
 def boot_id() -> str:
-    """Return the id of this start of the machine; empty where the system has none."""
+    """Return the id of the machine's current boot; empty where the system provides none."""
     try:
         return BOOT_ID.read_text().strip()
     except OSError:
--- a/lilacsill/agent/recovery/trust.py
+++ b/lilacsill/agent/recovery/trust.py
@@ -1,8 +1,8 @@
-"""What a start trusts of the saved state, and for how long. No I/O; the caller passes the times in.
+"""Which parts of the saved state a start uses, and with what weight. No I/O; the caller passes the times in.
 
-docs/notes/recovery.md has the table with the reasons. Facts stay true (the start of a backend, a drain, an operator's
-call). Measurements lose half of their weight in each half-life. What others may have acquired in the meantime (leases,
-quota) is lost.
+docs/notes/recovery.md has the table with the reasons. Facts stay valid (the start of a backend, a drain, an operator's
+command). Measurements lose half of their weight in each half-life. Resources that others may have acquired in the
+meantime (leases, quota) are not restored.
 """
 
 from __future__ import annotations
@@ -20,14 +20,14 @@
 from .state import SavedLatencyModel, SavedMember, SavedState
 
 HOUR_S = 3600.0
-LATENCY_HALVING_S = 24 * HOUR_S  # machines and their work change over days
-# The weight in answers of latencies that are saved this moment; the decision module then learns by a fortieth.
+LATENCY_HALF_LIFE_S = 24 * HOUR_S  # machines and their workload change over days
+# Weight, in answers, of latencies saved just now; the decision module then learns at a rate of 1/40.
 MAX_LATENCY_ANSWERS = 80
-MIN_TRUST = 0.05  # trust below this is none
+MIN_WEIGHT = 0.05  # a lower weight counts as 0
 
 
-class Knowledge(Enum):
-    """The kinds of knowledge of an agent, by the names that operators read."""
+class StateKind(Enum):
+    """The kinds of state of an agent, by the names that operators see."""
 
     LIST = "list"
     DRAINING = "drains"
@@ -44,36 +44,36 @@
 
 @dataclass(slots=True, frozen=True)
 class Retention:
-    """Whether a kind of knowledge is saved, and what replaces it."""
+    """Whether a kind of state is saved, and what replaces it after a start."""
 
     is_saved: bool
-    replaced: str  # by what, in words
+    replaced: str  # what replaces it, as text
 
 
-RETENTION: dict[Knowledge, Retention] = {
-    Knowledge.LIST: Retention(
+RETENTION: dict[StateKind, Retention] = {
+    StateKind.LIST: Retention(
         True, "by the configuration's list if that has a later revision, by discovery's first answer"
     ),
-    Knowledge.DRAINING: Retention(True, "by a list of a later revision, never by age"),
-    Knowledge.BACKEND_STARTS: Retention(
+    StateKind.DRAINING: Retention(True, "by a list of a later revision, never by age"),
+    StateKind.BACKEND_STARTS: Retention(
         True, "by another start of the same id; an id never inherits what was known at its address"
     ),
-    Knowledge.DISABLED: Retention(True, "by operators only"),
-    Knowledge.LATENCIES: Retention(
+    StateKind.DISABLED: Retention(True, "by operators only"),
+    StateKind.LATENCIES: Retention(
         True, "by new answers; the weight halves in a day, and is nothing where the age is unknown"
     ),
-    Knowledge.INCARNATION: Retention(True, "by a greater one: incarnations only grow, also where the clock went back"),
-    Knowledge.HEALTH: Retention(False, "by health checks: a backend that was unhealthy may be the first one back"),
-    Knowledge.LOADS: Retention(False, "by load reports, which lose half of their weight in a second"),
-    Knowledge.SHARES: Retention(False, "by equal shares, learned again within seconds"),
-    Knowledge.LEASES: Retention(False, "by new requests: a lease of an earlier incarnation ends by itself"),
-    Knowledge.COUNTS: Retention(False, "by the counts that peers keep of its earlier incarnations"),
+    StateKind.INCARNATION: Retention(True, "by a greater one: incarnations only grow, also where the clock went back"),
+    StateKind.HEALTH: Retention(False, "by health checks: a backend that was unhealthy may be the first one back"),
+    StateKind.LOADS: Retention(False, "by load reports, which lose half of their weight in a second"),
+    StateKind.SHARES: Retention(False, "by equal shares, learned again within seconds"),
+    StateKind.LEASES: Retention(False, "by new requests: a lease of an earlier incarnation ends by itself"),
+    StateKind.COUNTS: Retention(False, "by the counts that peers keep of its earlier incarnations"),
 }
 
 
 @dataclass(slots=True, frozen=True)
 class StartTime:
-    """When and in which start of the machine the process starts."""
+    """The time of the process's start, and the machine's boot to which its monotonic clock belongs."""
 
     unix_ms: int
     boot_id: str
@@ -81,10 +81,10 @@
 
 
 def age_s(state: SavedState, now: StartTime) -> float | None:
-    """Return the age of a saved state in seconds; None: it is unknown.
+    """Return the age of a saved state in seconds; None: unknown.
 
-    Within one start of the machine its monotonic clock counts, whatever happened to the wall clock. Otherwise the wall
-    clock counts, unless it shows a time before the save.
+    Within one boot of the machine the monotonic clock counts, whatever happened to the wall clock. After a reboot the
+    wall clock counts, unless it shows a time before the save.
     """
     if state.boot_id and state.boot_id == now.boot_id:
         return max(0.0, (now.monotonic_us - state.saved_us) / 1e6) if now.monotonic_us >= state.saved_us else None
@@ -92,54 +92,52 @@
     return age if age >= 0 else None
 
 
-def trust(age: float | None, halving_s: float) -> float:
+def age_weight(age: float | None, half_life_s: float) -> float:
     """Return the weight of a measurement in 0..1: it halves in each half-life, and is 0 for an unknown age."""
     if age is None:
         return 0.0
-    weight = 0.5 ** min(1000.0, age / halving_s)
-    return weight if weight >= MIN_TRUST else 0.0
+    weight = 0.5 ** min(1000.0, age / half_life_s)
+    return weight if weight >= MIN_WEIGHT else 0.0
 
 
 class ListSource(Enum):
-    """Where the list of backends at the start is from."""
+    """The source of the list of backends at the start."""
 
     CONFIGURATION = "configuration"
     SAVED = "saved"
 
 
 @dataclass(slots=True, frozen=True)
-class InitialKnowledge:
-    """What an agent starts with."""
+class InitialState:
+    """The state that an agent starts with."""
 
     known: Listing
     source: ListSource  # of the list
-    latency_model: SavedLatencyModel  # 0 answers: none is known
+    latency_model: SavedLatencyModel  # 0 answers: not restored
     disabled_backends: frozenset[str]
-    previous_incarnation: int  # the greatest one before this start; 0: none is known
-    age_s: float | None  # of the saved state; None: it is unknown, or there is none
-    reasons: tuple[tuple[str, str], ...]  # a kind of knowledge, and what became of it
+    previous_incarnation: int  # the greatest known one before this start; 0: none
+    age_s: float | None  # of the saved state; None: unknown, or no saved state
+    reasons: tuple[tuple[str, str], ...]  # a kind of state, and whether or why it was restored
 
 
-def choose_knowledge(
+def choose_initial_state(
     configured: Listing, saved: SavedState | None, saved_listing: Listing | None, now: StartTime
-) -> InitialKnowledge:
-    """Choose what to start with.
+) -> InitialState:
+    """Choose the state to start with.
 
     Args:
-        configured: The list of the configuration.
-        saved: The saved state; None: there is none.
-        saved_listing: The list of the saved state, as this process parses it.
+        configured: The list of backends in the configuration.
+        saved: The saved state; None: no usable one.
+        saved_listing: The list in the saved state, as parsed by this process.
         now: The time of the start.
     """
     if saved is None or saved_listing is None:
-        reasons = ((Knowledge.LIST.value, "nothing was saved"),)
-        return InitialKnowledge(
-            configured, ListSource.CONFIGURATION, SavedLatencyModel(), frozenset(), 0, None, reasons
-        )
+        reasons = ((StateKind.LIST.value, "nothing was saved"),)
+        return InitialState(configured, ListSource.CONFIGURATION, SavedLatencyModel(), frozenset(), 0, None, reasons)
     age = age_s(saved, now)
     known, source, list_reason = _choose_listing(configured, saved_listing)
-    latency_model = _weighted(saved.latency_model, trust(age, LATENCY_HALVING_S))
-    return InitialKnowledge(
+    latency_model = _weighted(saved.latency_model, age_weight(age, LATENCY_HALF_LIFE_S))
+    return InitialState(
         known,
         source,
         latency_model,
@@ -147,9 +145,9 @@
         saved.incarnation,
         age,
         (
-            (Knowledge.LIST.value, list_reason),
-            (Knowledge.LATENCIES.value, _latency_reason(latency_model, age)),
-            (Knowledge.DISABLED.value, f"{len(saved.disabled_backends)} stay out of service"),
+            (StateKind.LIST.value, list_reason),
+            (StateKind.LATENCIES.value, _latency_reason(latency_model, age)),
+            (StateKind.DISABLED.value, f"{len(saved.disabled_backends)} stay out of service"),
             *((kind.value, "not kept") for kind, retention in RETENTION.items() if not retention.is_saved),
         ),
     )
@@ -170,7 +168,7 @@
 
 
 def _weighted(model: SavedLatencyModel, weight: float) -> SavedLatencyModel:
-    """Return the model with as many answers as it may still count for."""
+    """Return the model with its number of answers reduced by the weight."""
     answers = round(weight * min(MAX_LATENCY_ANSWERS, model.answers))
     if not answers or not model.service_time_us or not model.typical_latency_us:
         return SavedLatencyModel()
@@ -178,7 +176,7 @@
 
 
 class SavedListing:
-    """The list as it is saved: all that discovery has said, in its form, which `encode` gives an entry."""
+    """The list of backends to save, merged from all lists of discovery; `encode` gives an entry its saved format."""
 
     def __init__(self, encode: Callable[[Member], dict[str, Any]]) -> None:
         self._encode = encode
@@ -199,5 +197,5 @@
 
 
 def listing_doc(state: SavedState) -> dict[str, Any]:
-    """Return the saved list in the form of discovery, for its parser."""
+    """Return the saved list in the format of discovery, for its parser."""
     return {"revision": state.revision, "complete": True, "members": msgspec.to_builtins(state.members)}
--- a/tests/agent/peers/escrow_defects.py
+++ b/tests/agent/peers/escrow_defects.py
@@ -23,11 +23,11 @@
 
 class NoDrift(Escrow):
     @property
-    def lent_us(self) -> int:
+    def lender_lease_us(self) -> int:
         return self.lease_us
 
     @property
-    def borrowed_us(self) -> int:
+    def borrower_lease_us(self) -> int:
         return self.lease_us
 
 
@@ -46,7 +46,7 @@
 
 class TakesAnyGrant(Escrow):
     def handle_grant(self, now: int, lender: int, nonce: int, amount: int) -> bool:
-        self._borrowed[lender] = Lease(amount, now + self.borrowed_us, nonce)
+        self._borrowed[lender] = Lease(amount, now + self.borrower_lease_us, nonce)
         return True
 
 
@@ -70,7 +70,7 @@
         amount = super().handle_request(now, borrower, incarnation, nonce, wanted)
         if amount:
             amount = min(amount, wanted)
-            self._lent[borrower, incarnation] = Lease(amount, now + self.lent_us, nonce)
+            self._lent[borrower, incarnation] = Lease(amount, now + self.lender_lease_us, nonce)
         return amount
 
 
--- a/tests/agent/peers/test_datagram.py
+++ b/tests/agent/peers/test_datagram.py
@@ -10,7 +10,7 @@
 from lilacsill.agent.peers.datagram import (
     MAX_DATAGRAM_BYTES,
     MAX_RECORD_BYTES,
-    WINDOW,
+    REPLAY_WINDOW,
     Datagram,
     DatagramCodec,
     DropReason,
@@ -84,7 +84,7 @@
     )  # the same life, a sequence used before
 
 
-@given(st.lists(st.integers(0, 3 * WINDOW), min_size=1, max_size=60))
+@given(st.lists(st.integers(0, 3 * REPLAY_WINDOW), min_size=1, max_size=60))
 def test_each_sequence_number_is_accepted_once_in_any_order(order: list[int]) -> None:
     a, b = gates()
     sent = [ping(a) for _ in range(max(order) + 1)]
@@ -92,7 +92,7 @@
     newest = -1
     for i in order:
         got = b.decode(sent[i], 0)
-        assert isinstance(got, Datagram) == (i not in taken and i > newest - WINDOW)
+        assert isinstance(got, Datagram) == (i not in taken and i > newest - REPLAY_WINDOW)
         if isinstance(got, Datagram):
             taken.add(i)
             newest = max(newest, i)
--- a/tests/agent/peers/test_escrow.py
+++ b/tests/agent/peers/test_escrow.py
@@ -11,7 +11,7 @@
 from hypothesis import strategies as st
 
 from lilacsill.agent.peers import fleet as fleet_module
-from lilacsill.agent.peers.escrow import NEVER_LENT, Escrow
+from lilacsill.agent.peers.escrow import RESERVED_UNITS, Escrow
 from lilacsill.agent.peers.fleet import Fleet, FleetSettings
 from lilacsill.agent.peers.records import REFUTATION_BITS, SHARE_UNITS, LeaseGrant
 from lilacsill.emulator.virtual.peers import World
@@ -292,15 +292,15 @@
     lender.need, borrower.need = 0, 2 * SHARE_UNITS
     wanted = borrower.open_request(0, 1, 1)
     lent = lender.handle_request(10, 0, 1, 1, wanted)
-    assert lent == SHARE_UNITS - NEVER_LENT and borrower.handle_grant(20, 1, 1, lent)
+    assert lent == SHARE_UNITS - RESERVED_UNITS and borrower.handle_grant(20, 1, 1, lent)
     right = borrower.right(20)
     assert (
-        right.amount == 2 * SHARE_UNITS - NEVER_LENT
+        right.amount == 2 * SHARE_UNITS - RESERVED_UNITS
         and right.amount_after == SHARE_UNITS
         and right.until <= LEASE * 0.99
     )
     assert borrower.right(30 * LEASE).amount == SHARE_UNITS
-    assert lender.right(LEASE // 2).amount == NEVER_LENT and lender.right(2 * LEASE).amount == SHARE_UNITS
+    assert lender.right(LEASE // 2).amount == RESERVED_UNITS and lender.right(2 * LEASE).amount == SHARE_UNITS
 
 
 def test_a_grant_that_arrives_after_the_end_of_its_lease_is_ignored() -> None:
@@ -326,8 +326,8 @@
         for whom in borrower.choose_lenders(now, [1], rng):
             nonce += 1
             lent = lender.handle_request(now, 0, 1, nonce, borrower.open_request(now, whom, nonce))
-            assert lent == SHARE_UNITS - NEVER_LENT and borrower.handle_grant(now, 1, nonce, lent)
-        assert borrower.right(now).amount == 2 * SHARE_UNITS - NEVER_LENT
+            assert lent == SHARE_UNITS - RESERVED_UNITS and borrower.handle_grant(now, 1, nonce, lent)
+        assert borrower.right(now).amount == 2 * SHARE_UNITS - RESERVED_UNITS
         now += LEASE // 4
     lender.need = SHARE_UNITS  # it wants its part back: it does not renew, and has it when the lease is over
     for _ in range(4):
--- a/tests/agent/peers/test_membership.py
+++ b/tests/agent/peers/test_membership.py
@@ -253,9 +253,9 @@
 
 
 class NeverKnocks(Membership):
-    def _probe_absent(self) -> None:
+    def _probe_unreachable(self) -> None:
         if len(self.alive()) < len(self.members) // 4:
-            super()._probe_absent()
+            super()._probe_unreachable()
 
 
 class SaysDeadAtOnce(Membership):
--- a/tests/agent/peers/test_peer_health.py
+++ b/tests/agent/peers/test_peer_health.py
@@ -11,8 +11,8 @@
 from lilacsill.agent.peers.peer_health import (
     ALL_BACKENDS,
     EJECTION_WITNESSES,
-    MAX_AGE_MS,
-    MAX_CLAIMS,
+    MAX_REPORT_AGE_MS,
+    MAX_CLAIMS_PER_WITNESS,
     MAX_EJECTED_SHARE,
     SUFFICIENT_WITNESSES,
     PeerHealth,
@@ -75,7 +75,7 @@
                 rng.choice([*NAMES, "unknown"]),
                 i,
                 rng.choice(list(Health)),
-                rng.randrange(0, 2 * MAX_AGE_MS),
+                rng.randrange(0, 2 * MAX_REPORT_AGE_MS),
                 rng.randrange(0, 10**6),
             ),
             1000,
@@ -83,7 +83,7 @@
         said = j.verdicts(1000)
         assert sum(h.ejected for h in said) <= MAX_EJECTED_SHARE * len(NAMES)
         assert len(said) <= 2 * MAX_EJECTED_SHARE * len(NAMES) and {h.backend for h in said} <= set(NAMES)
-    assert j.peer_claims <= 5 * MAX_CLAIMS
+    assert j.peer_claims <= 5 * MAX_CLAIMS_PER_WITNESS
 
 
 def test_claims_older_than_an_own_answer_do_not_count_and_withdrawn_ones_end() -> None:
@@ -140,12 +140,12 @@
     j = room()
     for witness in range(1, SUFFICIENT_WITNESSES + 1):
         c = j.on_report(claim(witness, "s1", left_ms=1000), 1000)
-        assert c is not None and j.is_worth_spreading(c, 1000)
+        assert c is not None and j.should_spread(c, 1000)
     assert not j.update_own_claims({"s1"}, 1000, 4_000_000, 1, False, (0, 1))
     c = j.on_report(claim(SUFFICIENT_WITNESSES + 1, "s1"), 1000)
-    assert c is not None and not j.is_worth_spreading(c, 1000)
+    assert c is not None and not j.should_spread(c, 1000)
     well = j.on_report(claim(1, "s1", 1, Health.HEALTHY), 1000)
-    assert well is not None and j.is_worth_spreading(well, 1000)
+    assert well is not None and j.should_spread(well, 1000)
     assert len(j.update_own_claims({"s1"}, 2_500_000, 4_000_000, 1, False, (0, 2))) == 1  # theirs have ended
 
 
--- a/tests/agent/peers/test_processes.py
+++ b/tests/agent/peers/test_processes.py
@@ -223,7 +223,7 @@
             life = (await r.peers(1))["life"]
             second = r.begin(1)
             await r.wait_ready(second)
-            await second.wait_for_line("takes no part between agents")
+            await second.wait_for_line("is used by another process; joining the fleet when it is free")
             assert not (await r.peers(1))["open"]
             first.send_signal(signal.SIGTERM)
             await first.wait_for_end()
@@ -270,7 +270,7 @@
         ({"peer_listen": None}, "peer_listen: missing"),
         ({"peers": []}, "peers: 0 addresses, 1 to 1024"),
         ({"peers": ["127.0.0.1:1"]}, "settings.me: 1 is not among the 1 addresses"),
-        ({"peers": ["127.0.0.1:1", "127.0.0.1:1"]}, "peers: an address stands there twice"),
+        ({"peers": ["127.0.0.1:1", "127.0.0.1:1"]}, "peers: an address is listed twice"),
     ],
 )
 def test_a_configuration_that_cannot_be_used_ends_it_with_one_line(tmp_path: Path, change: Told, said: str) -> None:
--- a/tests/agent/recovery/test_decisions.py
+++ b/tests/agent/recovery/test_decisions.py
@@ -18,18 +18,18 @@
 from lilacsill.agent.recovery.state import SavedLatencyModel, SavedMember, SavedState, StateError, decode, encode
 from lilacsill.agent.recovery.store import StateStore, check_folder
 from lilacsill.agent.recovery.trust import (
-    LATENCY_HALVING_S,
+    LATENCY_HALF_LIFE_S,
     MAX_LATENCY_ANSWERS,
-    MIN_TRUST,
+    MIN_WEIGHT,
     RETENTION,
-    Knowledge,
+    StateKind,
     ListSource,
     SavedListing,
     StartTime,
     age_s,
-    choose_knowledge,
+    choose_initial_state,
     listing_doc,
-    trust,
+    age_weight,
 )
 from lilacsill.balancing.interface import Backend, LatencyModelRestored, Outcome, Send
 from lilacsill.balancing.interface import BackendState as Serving
@@ -73,7 +73,7 @@
 
 def start_of(saved: SavedState, now: StartTime, revision: int = 41) -> Any:
     configured = Listing(revision, True, (Member(Backend("s1"), Address("127.0.0.1", 80)),))
-    return choose_knowledge(configured, saved, PARSER.parse(listing_doc(saved)), now)
+    return choose_initial_state(configured, saved, PARSER.parse(listing_doc(saved)), now)
 
 
 # Form
@@ -136,16 +136,16 @@
 
 
 def test_every_kind_of_knowledge_has_its_row() -> None:
-    assert set(RETENTION) == set(Knowledge)
-    assert not RETENTION[Knowledge.LEASES].is_saved and RETENTION[Knowledge.DRAINING].is_saved
+    assert set(RETENTION) == set(StateKind)
+    assert not RETENTION[StateKind.LEASES].is_saved and RETENTION[StateKind.DRAINING].is_saved
 
 
 @given(st.floats(0, 1e8), st.floats(0, 1e8))
 def test_trust_falls_with_age_and_an_unknown_age_has_none(a: float, b: float) -> None:
     low, high = sorted((a, b))
-    assert 1 >= trust(low, DAY_S) >= trust(high, DAY_S) >= 0
-    assert trust(None, DAY_S) == 0 and trust(0, DAY_S) == 1 and trust(DAY_S, DAY_S) == 0.5
-    assert trust(a, DAY_S) == 0 or trust(a, DAY_S) >= MIN_TRUST
+    assert 1 >= age_weight(low, DAY_S) >= age_weight(high, DAY_S) >= 0
+    assert age_weight(None, DAY_S) == 0 and age_weight(0, DAY_S) == 1 and age_weight(DAY_S, DAY_S) == 0.5
+    assert age_weight(a, DAY_S) == 0 or age_weight(a, DAY_S) >= MIN_WEIGHT
 
 
 def test_the_age_is_the_machines_own_within_one_start_and_the_wall_clocks_else() -> None:
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize(
     ("age", "answers"),
-    [(0, MAX_LATENCY_ANSWERS), (LATENCY_HALVING_S, MAX_LATENCY_ANSWERS // 2), (8 * LATENCY_HALVING_S, 0)],
+    [(0, MAX_LATENCY_ANSWERS), (LATENCY_HALF_LIFE_S, MAX_LATENCY_ANSWERS // 2), (8 * LATENCY_HALF_LIFE_S, 0)],
 )
 def test_saved_latencies_weigh_less_the_older_they_are(age: float, answers: int) -> None:
     start = start_of(state(), StartTime(10**12 + int(age * 1000), "b2", 0))
@@ -186,7 +186,7 @@
 def test_latencies_of_unknown_age_do_not_count_and_without_a_state_the_configuration_is_used() -> None:
     assert start_of(state(), StartTime(1, "b2", 0)).latency_model == SavedLatencyModel()
     configured = Listing(1, True, ())
-    assert choose_knowledge(configured, None, None, StartTime(1, "", 0)).known is configured
+    assert choose_initial_state(configured, None, None, StartTime(1, "", 0)).known is configured
 
 
 # Generations
@@ -262,7 +262,7 @@
     assert [p.name for p in tmp_path.iterdir()] == ["n0.state"]
     loaded = store.load().state
     assert loaded is not None and loaded.revision == 1
-    with pytest.raises(ConfigError, match=r"op.toml: \[recovery\] folder: .* is no folder"):
+    with pytest.raises(ConfigError, match=r"op.toml: \[recovery\] folder: .* is not a directory"):
         check_folder(str(tmp_path / "none"), "op.toml")
 
 
--- a/tests/agent/recovery/test_power_loss.py
+++ b/tests/agent/recovery/test_power_loss.py
@@ -146,7 +146,7 @@
             t = await told(r, 0)
             assert (t["loaded"]["generation"], t["pace"]["answers"]) == (1, before.latency_model.answers)
             assert "torn" in t["loaded"]["left_aside"][0]["why"]
-            await r.agents[0].wait_for_line("generation 0 is left aside")
+            await r.agents[0].wait_for_line("generation 0 is skipped")
             t = await told(r, 1)
             assert not t["loaded"]["used"] and "of agent 'n0'" in t["loaded"]["left_aside"][0]["why"]
             door = f"127.0.0.1:{r.agents[0].admin_port}"
@@ -157,8 +157,8 @@
                 capture_output=True,
                 text=True,
             )
-            assert out.returncode == 0 and "began with generation 1" in out.stdout
-            assert "generation 0 left aside" in out.stdout
+            assert out.returncode == 0 and "started with generation 1" in out.stdout
+            assert "generation 0 skipped" in out.stdout
 
     asyncio.run(run())
 
