--- a/lilacsill/agent/peers/agent_bridge.py
+++ b/lilacsill/agent/peers/agent_bridge.py
@@ -63,9 +63,8 @@
     ) -> None:
         self._clock, self._fleet, self._zone, self._warm_up_us = clock, fleet, zone, warm_up_us
         self._post, self._estimates = post, estimates
-        self._requests: OrderedDict[int, tuple[int, int]] = (
-            OrderedDict()
-        )  # tenant and class of the newest requests, by number
+        # Tenant and class of the newest requests, by number.
+        self._requests: OrderedDict[int, tuple[int, int]] = OrderedDict()
         self._zones: dict[str, int] = {}
         self._started_at: dict[str, int] = {}
         self._unhealthy: set[str] = set()
@@ -189,7 +188,8 @@
         if now - self._log_minute_at > MINUTE_US:
             if self._suppressed_lines:
                 log.info(
-                    "%d further state changes of agents were not logged: the limit is exceeded", self._suppressed_lines
+                    "%d further state changes of agents were not logged: more than the limit per minute",
+                    self._suppressed_lines,
                 )
             self._log_minute_at, self._log_lines, self._suppressed_lines = now, 0, 0
         for change in changes:
--- a/lilacsill/agent/peers/channel.py
+++ b/lilacsill/agent/peers/channel.py
@@ -77,7 +77,7 @@
         self._transport.start()
         self._on_event()
         log.info(
-            "joined the fleet: %d other agents, own number %d, incarnation %d",
+            "started the channel between agents: %d other agents, own number %d, incarnation %d",
             self.fleet.settings.agents - 1,
             self.fleet.settings.own_number,
             self.fleet.incarnation,
--- a/lilacsill/agent/peers/fleet.py
+++ b/lilacsill/agent/peers/fleet.py
@@ -34,14 +34,13 @@
 BUDGETS = ("cold", "probes", "retries")
 COUNT_DATAGRAMS_PER_PERIOD = 2  # while there are new counts
 MIN_ROW_BYTES = 16  # of an encoded row of counts; with less space left none is tried
-ROWS_PER_DATAGRAM = 8  # at most so many rows that are sent again
+ROWS_PER_DATAGRAM = 8  # limit for rows that are sent again
 # After dead members are alive again: how many of them get a datagram of counts per period, and for how many periods.
 HEALED_DATAGRAMS_PER_PERIOD, HEALED_PERIODS = 4, 6
 ALIVE_VIEW_PERIODS = 4  # between two alive views, each sent to one member
 CARRY_DELAY_US = 10_000_000  # all members have to be alive for so long before earlier incarnations are carried
-BACKLOG_SHARE = (
-    0.1  # of the length of a stall: datagrams read within this time after it were probably sent before its end
-)
+# Of the length of a stall: datagrams that are read within this time after it were probably sent before its end.
+BACKLOG_SHARE = 0.1
 # In periods. A period may begin together with another event in this range, which saves wake-ups of an idle agent.
 PERIOD_RANGE = 0.75, 1.25
 
@@ -94,9 +93,8 @@
         self.peer_health = PeerHealth(settings.own_number)
         self.size = FleetSize(settings.configured_agents, settings.agents)
         self.changes: list[StateChange] = []
-        self._nonce = rng.getrandbits(
-            31
-        )  # random, hence far from the previous incarnation's: a request must not look older
+        # Random, hence far from the nonces of the previous incarnation: a request must not look older than those.
+        self._nonce = rng.getrandbits(31)
         self._period_from = self._period_at = now  # earliest and latest begin of the next period
         self._periods = 0
         self._backlog_until = 0  # datagrams read before may have waited during a stall
@@ -288,9 +286,8 @@
     def _send_counts(self, alive: list[int]) -> None:
         self._spread_own_counts(changed_only=True)
         if self._healed_periods:
-            if (
-                self._healed_periods == HEALED_PERIODS
-            ):  # for members that missed them while they were dead to this process
+            # Resent once for members that missed rows while this process considered them dead.
+            if self._healed_periods == HEALED_PERIODS:
                 self._spread_own_counts()
             self._healed_periods -= 1
         rediscovered = [member for member in self._rediscovered if self.membership.is_alive_or_suspect(member)]
--- a/lilacsill/agent/peers/membership.py
+++ b/lilacsill/agent/peers/membership.py
@@ -1,12 +1,12 @@
 """Membership and failure detection: SWIM (Das, Gupta and Motivala, 2002) with the three extensions of Lifeguard (2018).
 
 One member is probed in each period, first directly and then through others. A member that does not answer is suspected,
-and dead unless the suspicion is refuted in time. A process that was stalled, or that receives nothing from others,
+and dead unless the suspicion is refuted in time. A process that was stalled, or whose own probes fail,
 raises its health score, which lengthens its probe timeouts and periods. After a stall its suspicions also last longer,
 by the length of the stall.
 
-No I/O; the caller passes the time in. A member is identified by its number in the list of agents. Its stamp
-combines the incarnation of its process with the number of suspicions that the process has refuted (see records.py).
+No I/O; the caller passes the time in. A member is identified by its number in the list of agents. Its stamp combines
+the incarnation of its process with the number of suspicions that the process has refuted (see records.py).
 """
 
 from __future__ import annotations
--- a/lilacsill/agent/peers/peer_health.py
+++ b/lilacsill/agent/peers/peer_health.py
@@ -25,8 +25,8 @@
 EJECTION_WITNESSES = 3  # needed to eject a backend on reports alone
 MAX_EJECTED_SHARE = 0.2  # of all backends: that may be ejected, and that one witness may report as unhealthy
 MAX_CLAIMS_PER_WITNESS = 32  # the newest are kept; a witness with more is itself isolated
-MAX_REPORT_AGE_MS = 30_000  # older reports are ignored
-SUFFICIENT_WITNESSES = 2 * EJECTION_WITNESSES  # with more, reports are neither sent nor forwarded
+MAX_REPORT_AGE_MS = 30_000  # older reports are ignored; longer remaining times are cut to this
+SUFFICIENT_WITNESSES = 2 * EJECTION_WITNESSES  # with so many others, a report is neither sent nor forwarded
 ALL_BACKENDS = 0  # in place of a backend's tag: all backends that the witness has reported so far
 NEVER_US = 2**62  # a time in microseconds that is never reached
 
--- a/lilacsill/agent/recovery/service.py
+++ b/lilacsill/agent/recovery/service.py
@@ -196,7 +196,7 @@
         reason = getattr(error, "strerror", None) or str(error)
         if reason != self._save_error:
             log.error(
-                "recovery: the state cannot be saved in %s, the agent continues without saving: %s",
+                "recovery: the state cannot be saved in %s, the agent continues and retries: %s",
                 self._section.folder,
                 reason,
             )
--- a/lilacsill/agent/recovery/state.py
+++ b/lilacsill/agent/recovery/state.py
@@ -54,9 +54,8 @@
     saved_unix_ms: UnixMs
     boot_id: str = msgspec.field(name="boot")  # id of the machine's boot during which the state was saved
     saved_us: Annotated[int, Meta(ge=0)]  # on the monotonic clock of that boot
-    incarnation: Annotated[int, Meta(ge=0, lt=2**53)] = msgspec.field(
-        name="life"
-    )  # of the process that saved the state
+    # Of the process that saved the state.
+    incarnation: Annotated[int, Meta(ge=0, lt=2**53)] = msgspec.field(name="life")
     revision: Annotated[int, Meta(ge=0)]
     members: Annotated[list[SavedMember], Meta(max_length=MAX_MEMBERS)]
     latency_model: SavedLatencyModel = msgspec.field(default=SavedLatencyModel(), name="pace")
--- a/lilacsill/agent/recovery/trust.py
+++ b/lilacsill/agent/recovery/trust.py
@@ -20,7 +20,7 @@
 from .state import SavedLatencyModel, SavedMember, SavedState
 
 HOUR_S = 3600.0
-LATENCY_HALF_LIFE_S = 24 * HOUR_S  # machines and their workload change over days
+LATENCY_HALVING_S = 24 * HOUR_S  # machines and their workload change over days
 # Weight, in answers, of latencies saved just now; the decision module then learns at a rate of 1/40.
 MAX_LATENCY_ANSWERS = 80
 MIN_WEIGHT = 0.05  # a lower weight counts as 0
@@ -92,11 +92,11 @@
     return age if age >= 0 else None
 
 
-def age_weight(age: float | None, half_life_s: float) -> float:
+def age_weight(age: float | None, halving_s: float) -> float:
     """Return the weight of a measurement in 0..1: it halves in each half-life, and is 0 for an unknown age."""
     if age is None:
         return 0.0
-    weight = 0.5 ** min(1000.0, age / half_life_s)
+    weight = 0.5 ** min(1000.0, age / halving_s)
     return weight if weight >= MIN_WEIGHT else 0.0
 
 
@@ -117,7 +117,7 @@
     disabled_backends: frozenset[str]
     previous_incarnation: int  # the greatest known one before this start; 0: none
     age_s: float | None  # of the saved state; None: unknown, or no saved state
-    reasons: tuple[tuple[str, str], ...]  # a kind of state, and whether or why it was restored
+    reasons: tuple[tuple[str, str], ...]  # a kind of state, and why it was or was not restored
 
 
 def choose_initial_state(
@@ -136,7 +136,7 @@
         return InitialState(configured, ListSource.CONFIGURATION, SavedLatencyModel(), frozenset(), 0, None, reasons)
     age = age_s(saved, now)
     known, source, list_reason = _choose_listing(configured, saved_listing)
-    latency_model = _weighted(saved.latency_model, age_weight(age, LATENCY_HALF_LIFE_S))
+    latency_model = _weighted(saved.latency_model, age_weight(age, LATENCY_HALVING_S))
     return InitialState(
         known,
         source,
--- a/tests/agent/recovery/test_decisions.py
+++ b/tests/agent/recovery/test_decisions.py
@@ -18,7 +18,7 @@
 from lilacsill.agent.recovery.state import SavedLatencyModel, SavedMember, SavedState, StateError, decode, encode
 from lilacsill.agent.recovery.store import StateStore, check_folder
 from lilacsill.agent.recovery.trust import (
-    LATENCY_HALF_LIFE_S,
+    LATENCY_HALVING_S,
     MAX_LATENCY_ANSWERS,
     MIN_WEIGHT,
     RETENTION,
@@ -172,7 +172,7 @@
 
 @pytest.mark.parametrize(
     ("age", "answers"),
-    [(0, MAX_LATENCY_ANSWERS), (LATENCY_HALF_LIFE_S, MAX_LATENCY_ANSWERS // 2), (8 * LATENCY_HALF_LIFE_S, 0)],
+    [(0, MAX_LATENCY_ANSWERS), (LATENCY_HALVING_S, MAX_LATENCY_ANSWERS // 2), (8 * LATENCY_HALVING_S, 0)],
 )
 def test_saved_latencies_weigh_less_the_older_they_are(age: float, answers: int) -> None:
     start = start_of(state(), StartTime(10**12 + int(age * 1000), "b2", 0))
