--- a/tests/relaying/defects.py
+++ b/tests/relaying/defects.py
@@ -53,7 +53,7 @@
 
 
 def a_relay_tries_although_it_is_cut_off(patch: Patch) -> None:
-    patch.setattr(RelayServer, "_may_send", lambda self, address: self._members.knows(address))
+    patch.setattr(RelayServer, "_may_send", lambda self, address: self._members.is_core_address(address))
 
 
 def no_relay_is_kept(patch: Patch) -> None:
@@ -89,7 +89,7 @@
 
 
 def any_address_is_asked(patch: Patch) -> None:
-    patch.setattr(CoreMembers, "knows", lambda self, address: True)
+    patch.setattr(CoreMembers, "is_core_address", lambda self, address: True)
 
 
 def any_number_is_in_flight(patch: Patch) -> None:
