--- a/lilacsill/__main__.py
+++ b/lilacsill/__main__.py
@@ -1,6 +1,7 @@
-"""Starts the agent: ``python -m lilacsill``, configured by RELAY_CONFIG and, beyond the platform, an operator file.
+"""The entry point ``python -m lilacsill``: runs the agent or a sub-command.
 
-SIGHUP reads both again; SIGTERM stops in order.
+The agent is configured by the platform file that RELAY_CONFIG names and by an optional operator file. SIGHUP reloads
+both; SIGTERM drains the clients and stops.
 """
 
 from __future__ import annotations
@@ -16,18 +17,18 @@
 from lilacsill.agent.run import serve
 from lilacsill.clock import Clock
 
-# Sub-commands of hosted mode, which bring a command line of their own.
-HOSTED = frozenset(("hosted", "tenants", "pools", "credentials", "events", "status", "store"))
+# Sub-commands of hosted mode, which parse their own arguments.
+HOSTED_COMMANDS = frozenset(("hosted", "tenants", "pools", "credentials", "events", "status", "store"))
 
 
 def main(argv: list[str]) -> int:
     """Run the command line; return the exit status."""
     logging.basicConfig(stream=sys.stderr, level=logging.INFO, format="%(levelname)s %(name)s: %(message)s")
     clock = Clock()
-    # A SIGHUP before its handler is installed can be ignored: the files are read after this.
+    # Ignoring a SIGHUP that arrives before its handler is installed is safe: the files are read after this line.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     command, path = "run", os.environ.get("LILACSILL_OPERATOR") or None
-    if argv and argv[0] in HOSTED:
+    if argv and argv[0] in HOSTED_COMMANDS:
         from lilacsill.hosted.cli.main import main as hosted
 
         return hosted(argv)
@@ -40,7 +41,8 @@
 
         return recovery(argv[1:])
     if argv:
-        # Imported here: the platform's command has no arguments, and an agent with 32 MB cannot spare the memory.
+        # Imported here, since the platform starts the agent without arguments, and an agent with a memory limit of
+        # 32 MB has no room for argparse.
         from lilacsill.agent.cli import parse
 
         arguments = parse(argv)
@@ -69,7 +71,7 @@
 
 
 def _check_config(options: Options, clock: Clock) -> int:
-    """Read and check all that a start would read."""
+    """Load and validate every file that `run` would load; return the exit status."""
     from lilacsill.agent.cli import report_checked
 
     checked: list[str] = []
--- a/lilacsill/address.py
+++ b/lilacsill/address.py
@@ -1,4 +1,4 @@
-"""The address of a listener."""
+"""Network addresses of the form `host:port`."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parse `host:port`; an IPv6 host stands in brackets.
+    """Parse `host:port`; an IPv6 host is written in brackets.
 
     Raises:
-        ValueError: The text is not an address.
+        ValueError: The host is empty, or the port is not a number from 0 to 65535.
     """
     host, _, port = text.rpartition(":")
     if host.startswith("[") and host.endswith("]"):
--- a/lilacsill/agent/__init__.py
+++ b/lilacsill/agent/__init__.py
@@ -1,1 +1,1 @@
-"""The client-side agent: takes requests over HTTP/1.1, picks a backend for each attempt, answers exactly once."""
+"""The client-side agent: receives HTTP/1.1 requests, selects a backend for each attempt and sends one response."""
--- a/lilacsill/agent/admin/__init__.py
+++ b/lilacsill/agent/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The admin API for operators. Imported only where an address is configured for it."""
+"""The admin API for operators, imported only if its address is configured."""
--- a/lilacsill/agent/admin/calls.py
+++ b/lilacsill/agent/admin/calls.py
@@ -1,4 +1,4 @@
-"""The calls of the admin API: a method and a path become a call, or the error to answer with. No I/O."""
+"""Parses a method and a path into a call of the admin API, or into an error response. No I/O."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Verb(Enum):
-    """What an operator can ask for."""
+    """The operations of the admin API."""
 
     READY = "ready"
     DISABLE = "disable"
@@ -32,11 +32,11 @@
 
 
 class CallRejected(Exception):
-    """A call is not carried out.
+    """A call is rejected and not executed.
 
     Attributes:
-        status: The HTTP status to answer with; the text of the exception is the body.
-        allow: The value of the Allow field for status 405, else empty.
+        status: The HTTP status of the response, whose body contains the message of the exception.
+        allow: The value of the Allow header for status 405, else empty.
     """
 
     def __init__(self, status: int, reason: str, allow: str = "") -> None:
@@ -59,7 +59,7 @@
     """Parse a call. The path is checked first, then the method (RFC 9110, 15.5.5 and 15.5.6).
 
     Raises:
-        CallRejected: There is no such call.
+        CallRejected: The path, the method or the encoding of the backend id is invalid.
     """
     path = target.partition("?")[0]
     if not path.startswith(ROOT):
@@ -79,7 +79,7 @@
 
 
 def _decode_identifier(segment: str) -> str:
-    """Decode an id, which may contain any characters, percent-encoded (RFC 3986, 2.1)."""
+    """Decode a percent-encoded id (RFC 3986, 2.1), which may contain any characters."""
     for escape in segment.split("%")[1:]:
         if len(escape) < 2 or not all(digit in "0123456789abcdefABCDEF" for digit in escape[:2]):
             raise CallRejected(400, "the id is not percent-encoded as it should be")
--- a/lilacsill/agent/admin/client.py
+++ b/lilacsill/agent/admin/client.py
@@ -1,4 +1,4 @@
-"""A client of the admin API, and what the commands that print its responses have in common."""
+"""A client of the admin API, and helpers for the commands that print its responses."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 def get(address: str, call: str) -> dict[str, Any]:
-    """Return the response of the agent whose admin API listens on `address` to a call such as `peers`.
+    """Make a GET call such as `peers` to the admin API at `address` and return the response.
 
     Raises:
-        OSError: The agent cannot be reached, or answers with an error.
-        ValueError: The response is no JSON.
+        OSError: The agent cannot be reached or responds with an error status.
+        ValueError: The response is not valid JSON.
     """
     opener = urllib.request.build_opener(urllib.request.ProxyHandler({}))
     with opener.open(f"http://{address}/-/{call}", timeout=TIMEOUT_S) as response:
@@ -27,22 +27,22 @@
 
 
 def build_parser(command: str, description: str, examples: str) -> argparse.ArgumentParser:
-    """Return the parser of a command that calls one agent; options may be added."""
+    """Return the parser of a command that calls one agent; the caller may add options."""
     parser = argparse.ArgumentParser(
         prog=f"python -m lilacsill {command}",
         epilog=examples,
         description=description,
         formatter_class=argparse.RawDescriptionHelpFormatter,
     )
-    parser.add_argument("door", help="host:port of its operators' door (admin_addr)")
-    parser.add_argument("--json", action="store_true", help="all of it, as the door tells it")
+    parser.add_argument("door", help="host:port of the agent's admin API (admin_addr)")
+    parser.add_argument("--json", action="store_true", help="print the complete response as JSON")
     return parser
 
 
 def print_responses(
     arguments: argparse.Namespace, calls: list[str], format_table: Callable[[dict[str, Any]], str]
 ) -> int:
-    """Make all the calls and print the merged responses; return the exit status."""
+    """Make the calls and print the merged responses; return the exit status."""
     merged: dict[str, Any] = {}
     try:
         for call in calls:
--- a/lilacsill/agent/admin/operations.py
+++ b/lilacsill/agent/admin/operations.py
@@ -1,4 +1,4 @@
-"""What operators' calls do, in this process and in the other one of an upgrade."""
+"""Executes the calls of operators, and applies them also in the other process of an upgrade."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 log = logging.getLogger(__name__)
 
-# Idle connections of a drain are closed after this: the front sends new clients for 0.3 s, and most clients that stay
-# send one more request by then.
+# A drain closes connections that are idle for this time. The front sends new clients for another 0.3 s, and most
+# existing clients send one more request within this time.
 DRAIN_IDLE_S = 1.5
-POLL_S = 0.1  # a call that the other process executed is in force here after this time
+POLL_S = 0.1  # within which a call executed by the other process takes effect here
 
 
 class Clients(Protocol):
-    """The clients' side of the agent."""
+    """The interface for draining clients."""
 
     @property
     def is_draining(self) -> bool:
@@ -33,38 +33,38 @@
         """Start a drain, which closes idle connections after `idle_s` seconds."""
 
     def cancel_drain(self) -> None:
-        """End the drain."""
+        """Cancel the drain."""
 
 
 class Backends(Protocol):
-    """The backends' side of the agent."""
+    """The interface for taking backends out of service."""
 
     def knows_backend(self, backend: str) -> bool:
-        """Return whether the list names a backend."""
+        """Return whether the list contains a backend."""
 
     def set_maintenance(self, backend: str, in_maintenance: bool) -> None:
-        """Take a backend out of service, or back into it."""
+        """Take a backend out of service or return it to service."""
 
 
 class Peers(Protocol):
-    """The channel between agents."""
+    """The interface for describing the channel between agents."""
 
     def describe(self) -> ResponseBody:
-        """Return the response to PEERS."""
+        """Return the response to a PEERS call."""
 
     def notes(self) -> ResponseBody:
-        """Return the response to NOTES."""
+        """Return the response to a NOTES call."""
 
 
 class Recovery(Protocol):
-    """The saved state that the agent started with."""
+    """The interface for describing the saved state that the agent started with."""
 
     def describe(self) -> ResponseBody:
-        """Return the response to RECOVERY."""
+        """Return the response to a RECOVERY call."""
 
 
 class Operations:
-    """Executes calls, one at a time. A change is written to the file first: what cannot be kept is not done."""
+    """Executes calls, one at a time. A change is saved to the file first and is rejected if this fails."""
 
     def __init__(
         self,
@@ -76,7 +76,7 @@
     ) -> None:
         self._clients, self._backends, self._file, self._peers = clients, backends, file, peers
         self._recovery = recovery
-        self._in_force = OperationsState()
+        self._applied_state = OperationsState()
         self._pid = os.getpid()
         self._other_pid = 0  # the predecessor or successor of this process
         self._is_serving = False
@@ -94,10 +94,10 @@
         }
 
     def start(self, disabled_before: frozenset[str] = frozenset()) -> None:
-        """Apply the state of the file, and follow its changes from now on.
+        """Apply the state of the file and start to poll the file for changes.
 
         Args:
-            disabled_before: Backends that were out of service before a power loss; they count if the file was lost.
+            disabled_before: Backends that were out of service before a power loss; used if the file was lost.
         """
         self._poll()
         if disabled_before and not self._file.is_stored:
@@ -106,16 +106,20 @@
                     lambda state: replace(state, disabled_backends=state.disabled_backends | disabled_before)
                 )
             except OSError as error:
-                log.error("backends that were out of service cannot be kept out: %s", error)
+                log.error(
+                    "%d backends that were out of service before the restart serve again, since saving them failed: %s",
+                    len(disabled_before),
+                    error,
+                )
             self._apply()
 
     def disabled_backends(self) -> frozenset[str]:
         """Return the backends that are out of service."""
-        return self._in_force.disabled_backends
+        return self._applied_state.disabled_backends
 
     @property
     def other_pid(self) -> int:
-        """The id of the other process of the agent while it lives; else 0."""
+        """The process id of the predecessor or successor while it runs, else 0."""
         if self._other_pid:
             try:
                 os.kill(self._other_pid, 0)
@@ -124,22 +128,24 @@
         return self._other_pid
 
     def mark_serving(self) -> None:
-        """Announce that this process serves from now on, so that its predecessor may stop accepting."""
+        """Announce that this process now serves, so that its predecessor can stop accepting connections."""
         self._is_serving = True
         try:
             self._file.update(lambda state: replace(state, serving_pid=self._pid))
         except OSError as error:
-            log.error("the process before this one cannot be told to stop accepting: %s", error)
+            log.error(
+                "process %d: failed to notify the predecessor to stop accepting connections: %s", self._pid, error
+            )
         self._apply()
 
     def has_successor(self) -> bool:
-        """Return whether a newer process of the agent serves."""
+        """Return whether a successor of this process serves."""
         self._file.reload()
         self._apply()
         return self._file.state.serving_pid not in (0, self._pid) and self.other_pid != 0
 
     def stop(self) -> None:
-        """Stop following the file."""
+        """Stop polling the file."""
         if self._next_poll is not None:
             self._next_poll.cancel()
 
@@ -160,26 +166,26 @@
         try:
             self._file.update(change)
         except OSError as error:
-            log.error("an operator's call is refused, its change could not be kept: %s", error)
+            log.error("call of an operator rejected: failed to save its change: %s", error)
             raise CallRejected(503, f"the change could not be kept: {error.strerror or error}") from None
         self._apply()
 
     def _apply(self) -> None:
-        """Bring this process from the state in force to the state of the file."""
-        before, now = self._in_force, self._file.state
+        """Apply the differences between the applied state and the state of the file."""
+        before, now = self._applied_state, self._file.state
         if before == now:
             return
-        self._in_force = now
+        self._applied_state = now
         if now.serving_pid not in (0, self._pid):
             self._other_pid = now.serving_pid
         for backend in now.disabled_backends - before.disabled_backends:
-            log.info("backend %s is out of service by an operator", backend)
+            log.info("backend %s taken out of service by an operator", backend)
             self._backends.set_maintenance(backend, True)
         for backend in before.disabled_backends - now.disabled_backends:
-            log.info("backend %s may serve again by an operator", backend)
+            log.info("backend %s returned to service by an operator", backend)
             self._backends.set_maintenance(backend, False)
         if now.draining != before.draining:
-            log.info("clients are %s by an operator", "sent away" if now.draining else "taken back")
+            log.info("drain of clients %s by an operator", "started" if now.draining else "cancelled")
             if now.draining:
                 self._clients.start_drain(DRAIN_IDLE_S)
             else:
@@ -193,7 +199,7 @@
         return {
             "ready": True,
             "draining": self._clients.is_draining,
-            "out": sorted(self._in_force.disabled_backends),
+            "out": sorted(self._applied_state.disabled_backends),
         }
 
     def _drain(self, _: Call) -> ResponseBody:
@@ -225,6 +231,6 @@
         return self._recovery
 
     def _check_known(self, backend: str) -> None:
-        # A backend that left the list while it was out of service can still be enabled.
+        # A backend that was removed from the list while out of service can still be enabled.
         if not self._backends.knows_backend(backend) and backend not in self._file.state.disabled_backends:
             raise CallRejected(404, "no list has named such a backend")
--- a/lilacsill/agent/admin/operations_file.py
+++ b/lilacsill/agent/admin/operations_file.py
@@ -1,6 +1,6 @@
-"""The file through which the processes of an agent share the state of operations.
+"""The file through which the processes of an agent share what operators have requested.
 
-It is read and replaced as a whole. A lock file makes its writers wait for one another.
+The file is always read and replaced as a whole. A lock file serializes its writers.
 """
 
 from __future__ import annotations
@@ -15,35 +15,35 @@
 
 from .operations_state import OperationsState, decode
 
-log = logging.getLogger("lilacsill.agent.admin.file")  # kept when the module was renamed: logs show it
+log = logging.getLogger("lilacsill.agent.admin.file")  # the former module name, which log output shows
 
 FILE_NAME = "lilacsill-operations.json"
-# Another writer needs less than a millisecond; one that hangs must not block this one for long.
+# Another writer holds the lock for less than a millisecond; one that hangs must not block this one for long.
 LOCK_ATTEMPTS, LOCK_RETRY_DELAY_S = 20, 0.002
 
 
 class OperationsFile:
-    """The state of operations in a file in `folder`; None: in memory only.
+    """The state that operators control, in a file in `folder`; None: in memory only.
 
     Attributes:
-        state: The state as it was read or written last.
+        state: The state as last read or written.
     """
 
     def __init__(self, folder: str | None) -> None:
         self._path = Path(folder) / FILE_NAME if folder else None
-        self._version: tuple[int, int, int] | None = None  # inode, time and size of the file, when read or written last
+        self._version: tuple[int, int, int] | None = None  # inode, mtime and size at the last read or write
         self.state = OperationsState()
         self._is_stored = False
 
     @property
     def is_stored(self) -> bool:
-        """Whether the file was there and valid when it was read last."""
+        """Whether the file existed and was valid at the last read or write."""
         return self._is_stored
 
     def reload(self) -> bool:
-        """Read the file if it has changed; return whether the state has.
+        """Read the file if it has changed; return whether the state has changed.
 
-        A file that cannot be read is one line in the log and changes nothing.
+        An unreadable or invalid file is logged and leaves the state unchanged.
         """
         if self._path is None:
             return False
@@ -55,25 +55,25 @@
         except FileNotFoundError:
             self._is_stored = False
             return False
-        except OSError as error:  # where no descriptor is left, the next call tries again
-            log.warning("%s cannot be read: %s", self._path, error)
+        except OSError as error:  # for example no descriptor left; the next call retries
+            log.warning("cannot read %s; keeping the previous state: %s", self._path, error)
             return False
         self._version = version
         try:
             state = decode(data)
         except ValueError as error:
             self._is_stored = False
-            log.error("%s is left aside until the next call writes it anew: %s", self._path, error)
+            log.error("ignoring invalid file %s until the next change replaces it: %s", self._path, error)
             return False
         changed = state != self.state
         self.state, self._is_stored = state, True
         return changed
 
     def update(self, change: Callable[[OperationsState], OperationsState]) -> None:
-        """Replace the state by what `change` makes of it.
+        """Replace the state with the result of `change`.
 
         Raises:
-            OSError: The file cannot be written; the state is unchanged.
+            OSError: The lock or the file cannot be written; the change is not applied.
         """
         if self._path is None:
             self.state = change(self.state)
@@ -81,7 +81,7 @@
         lock = os.open(self._path.with_suffix(".lock"), os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
         try:
             self._acquire(lock)
-            self.reload()  # the other process may have written in the meantime
+            self.reload()  # the other process may have changed the file
             state = change(self.state)
             if state != self.state or not self._is_stored:
                 self._replace(state)
--- a/lilacsill/agent/admin/server.py
+++ b/lilacsill/agent/admin/server.py
@@ -1,4 +1,4 @@
-"""The server of the admin API: one call per connection, few connections, each for a short time."""
+"""The server of the admin API: one call per connection, with few and short-lived connections."""
 
 from __future__ import annotations
 
@@ -18,24 +18,24 @@
 from ..inbound.accept import AcceptLoop, create_listener
 from .calls import JSON, Call, CallRejected, parse_call
 
-MAX_CALLERS = 12  # at once; one more closes the connection that has waited for longest
-CALL_TIMEOUT_S = 2.0  # for a caller to send its call and to read the response
-BODY_LIMIT = 4096  # bytes; calls have no body, and one that is sent is ignored
-DESCRIPTORS = MAX_CALLERS + 2  # the listener, and a connection that is just accepted
+MAX_CALLERS = 12  # concurrent connections; one more closes the oldest
+CALL_TIMEOUT_S = 2.0  # for a caller to send the call and read the response
+MAX_BODY_BYTES = 4096  # a body is ignored, since calls have none
+MAX_DESCRIPTORS = MAX_CALLERS + 2  # plus the listener and a newly accepted connection
 
 ResponseBody = Mapping[str, Any]  # a JSON object
 
 
 class _CallerConnection(Connection):
-    """The connection of one caller, which gets one response and is closed."""
+    """The connection of one caller, which is closed after one response."""
 
     def __init__(self, server: AdminServer) -> None:
         super().__init__()
         self._server = server
-        self._reader = Reader(HttpRequestParser, BODY_LIMIT)
+        self._reader = Reader(HttpRequestParser, MAX_BODY_BYTES)
 
     def on_data(self, data: bytes) -> None:
-        """Read the call and answer it."""
+        """Parse the call and respond to it."""
         complete = self._reader.feed(data)
         if complete:
             message = complete[0]
@@ -44,21 +44,21 @@
             self._respond(self._reader.error.status, {"error": str(self._reader.error)})
 
     def expire(self) -> None:
-        """Close the connection: its time is over."""
+        """Close the connection after CALL_TIMEOUT_S, with status 408 if no response was sent."""
         if not self.discarding:
             self._respond(408, {"error": "no call came in time"})
         self.drop()
 
     def on_fault(self) -> None:
-        """Answer with 500."""
+        """Respond with status 500."""
         self.discarding = False
         self._respond(500, {"error": "internal error"})
 
     def connection_lost(self) -> None:
-        """Release the reader and tell the server."""
+        """Release the reader and remove the connection from the server."""
         super().connection_lost()
         self._reader.end()
-        self._server.caller_gone(self)
+        self._server.remove_caller(self)
 
     def _respond(self, status: int, body: ResponseBody, allow: str = "") -> None:
         self.discarding = True
@@ -67,16 +67,16 @@
             headers.append(("Allow", allow))
         self.send(encode_response(status, headers, json.dumps(body).encode() + b"\n"))
         if self.stream is not None:
-            self.stream.half_close()  # closing a socket with unread bytes would reset the response away
+            self.stream.half_close()  # closing with unread bytes would reset the connection and could lose the response
 
 
 class AdminServer:
-    """Listens for operators.
+    """Accepts the connections of operators and executes their calls.
 
     Args:
-        execute: Carries a call out and returns the response, or raises CallRejected.
-        spare: The spare descriptor, to accept with where there is no other.
-        on_exhausted: Called with what a descriptor was needed for, where there was none.
+        execute: Executes a call and returns the response, or raises CallRejected.
+        spare: The spare descriptor, used to accept a connection if no other is left.
+        on_exhausted: Called with the purpose of the descriptor when none is left.
     """
 
     def __init__(
@@ -88,7 +88,7 @@
         self._accept_loop: AcceptLoop | None = None
 
     def listen(self, address: Address) -> int:
-        """Listen, and return the port, for an address whose port is 0.
+        """Listen on an address and return the port, which the kernel selects if the port of the address is 0.
 
         Raises:
             OSError: The address cannot be listened on.
@@ -106,15 +106,15 @@
             caller.drop()
 
     def handle(self, method: str, target: str) -> tuple[int, ResponseBody, str]:
-        """Carry a call out; return status, body and the value of the Allow field (empty: none)."""
+        """Execute a call; return the status, the body and the value of the Allow header (empty: none)."""
         try:
             body = self._execute(parse_call(method, target))
         except CallRejected as rejection:
             return rejection.status, {"error": str(rejection)}, rejection.allow
         return 200, body, ""
 
-    def caller_gone(self, caller: _CallerConnection) -> None:
-        """Forget a connection."""
+    def remove_caller(self, caller: _CallerConnection) -> None:
+        """Remove a connection and cancel its timer."""
         timer = self._callers.pop(caller, None)
         if timer is not None:
             timer.cancel()
@@ -122,7 +122,7 @@
     def _on_accepted(self, sock: socket.socket, host: str, on_spare: bool) -> None:
         if len(self._callers) >= MAX_CALLERS:
             oldest = next(iter(self._callers))
-            self.caller_gone(oldest)
+            self.remove_caller(oldest)
             oldest.drop()
         sock.setblocking(False)
         caller = _CallerConnection(self)
@@ -130,7 +130,7 @@
         try:
             caller.attach(sock)
         except OSError:
-            self.caller_gone(caller)
+            self.remove_caller(caller)
             raise
         assert caller.stream is not None
-        caller.stream.receive()  # most callers have sent their call by now
+        caller.stream.receive()  # the call has usually arrived already
--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -1,4 +1,4 @@
-"""The agent: the only caller of the decision module, whose actions it carries out."""
+"""The agent: passes events to the decision module and executes the actions that it returns."""
 
 from __future__ import annotations
 
@@ -28,33 +28,36 @@
 
 log = logging.getLogger(__name__)
 
-# The module answers when the time of a request is up. If it fails to, the agent answers this much later, within the
-# 50 ms that the protocol allows.
-OVERDUE_US = 25_000
+# The decision module ends a request at its deadline. If it does not, the agent itself responds with an error this much
+# later, which is within the 50 ms that the protocol allows.
+ANSWER_GRACE_US = 25_000
 
 
 @dataclass(slots=True, eq=False)
 class RequestInFlight:
-    """A request without its final answer."""
+    """A request that has not received its final response."""
 
     call: DownstreamRequest
-    overdue_timer: Timer
+    grace_timer: Timer
     attempts: int = 0
 
 
 class Agent:
-    """Passes events to the decision module one at a time, in order of arrival, and carries out its actions."""
+    """Passes events to the decision module one at a time, in order of arrival, and executes its actions.
+
+    No other object calls the decision module.
+    """
 
     def __init__(self, balancer: Balancer, clock: Clock, backends: Backends, discovery: Discovery) -> None:
         self._balancer, self._clock = balancer, clock
         self._backends, self._discovery = backends, discovery
         self._in_flight: dict[int, RequestInFlight] = {}
-        self._exchanges: dict[tuple[int, int], Exchange] = {}  # attempts that have not ended, by request and attempt
+        self._exchanges: dict[tuple[int, int], Exchange] = {}  # unfinished attempts, by request and attempt number
         self._events: deque[balancing.Event] = deque()
         self._is_handling = False
         self._requests_accepted = 0
         self.observer: Observer | None = None
-        self.backends_known = asyncio.Event()  # set once discovery has answered
+        self.backends_known = asyncio.Event()  # set after the first response of discovery
         self._action_handlers: dict[type, Callable[[Any], None]] = {
             balancing.Send: self._send,
             balancing.Reject: self._reject,
@@ -68,65 +71,65 @@
         }
 
     def start(self, known: Listing) -> None:
-        """Start with the list of backends of the configuration."""
+        """Start with the configured list of backends, and follow discovery."""
         if self.observer is not None:
             self.observer.backends_listed(known)
         self._post(balancing.BackendsChanged(balancing.ListKind.CACHED, self._backends.apply(known)))
         self._discovery.follow(self._on_listing)
 
     def tenant_changed(self, number: int, about: balancing.Tenant | None) -> None:
-        """Note that a tenant is new, has another quota or is gone (None); its requests in flight go on."""
+        """Add a tenant, change its quota, or remove it (None); its requests in flight continue."""
         self._post(balancing.TenantChanged(number, about))
 
     def fleet_changed(self, event: balancing.FleetChanged | balancing.PeerHealthChanged) -> None:
-        """Pass on what other agents have reported."""
+        """Pass a report from other agents to the decision module."""
         self._post(event)
 
     def refresh_backends(self) -> None:
-        """Ask for the complete list now; a watch would wait for a newer revision."""
+        """Request the complete list now instead of waiting for a newer revision."""
         self._discovery.forget_revision()
         self._discovery.watch(self._on_listing)
 
     def set_discovery(self, address: Address) -> None:
-        """Ask discovery at another address from now on."""
+        """Change the address of discovery."""
         self._discovery.set_address(address, self._on_listing)
 
     def knows_backend(self, backend: balancing.BackendId) -> bool:
-        """Return whether the list names a backend."""
+        """Return whether the list contains a backend."""
         return self._backends.knows(backend)
 
     def set_maintenance(self, backend: balancing.BackendId, in_maintenance: bool) -> None:
-        """Take a backend out for an operator, or let it serve again; in force on return."""
+        """Take a backend out of service or return it to service; this is in effect when the call returns."""
         self._backends.set_maintenance(backend, in_maintenance)
         self._post(balancing.MaintenanceChanged(backend, in_maintenance))
 
     def add_observer(self, observer: Observer) -> None:
-        """Report to one more observer what this agent sees."""
+        """Add an observer, which is notified of requests, attempts and lists of backends."""
         self.observer = observer if self.observer is None else CombinedObserver(self.observer, observer)
 
     def restore_latency_model(self, model: balancing.LatencyModelRestored) -> None:
-        """Restore the latencies that an earlier incarnation measured; a model of 0 answers is ignored."""
+        """Restore the latencies that a previous run of the agent measured; a model of 0 responses is ignored."""
         if model.answers:
             self._post(model)
 
     def latency_model(self) -> balancing.LatencyModelRestored:
-        """Return the measured latencies, for a later incarnation."""
+        """Return the measured latencies, which the next run of the agent can restore."""
         return self._balancer.latency_model()
 
     def estimates(self) -> list[balancing.BackendEstimate]:
-        """Return what the decision module estimates of the backends now."""
+        """Return the current estimates of the decision module for the backends."""
         return self._balancer.estimates(self._clock.now())
 
-    # Requests of the application (inbound.downstream.RequestHandler)
+    # Requests of clients (inbound.downstream.RequestHandler)
 
     def handle(self, call: DownstreamRequest) -> None:
-        """Take over a request."""
+        """Number a new request and pass it to the decision module."""
         self._requests_accepted += 1
         call.number = self._requests_accepted
-        # The client's time-out counts from its last byte.
+        # The client's timeout starts when the last byte of the request has been received.
         timeout_us = call.body_timeout_us + call.timeout_us
-        overdue_timer = self._clock.after(timeout_us + OVERDUE_US, self._on_overdue, call.number)
-        self._in_flight[call.number] = RequestInFlight(call, overdue_timer)
+        grace_timer = self._clock.after(timeout_us + ANSWER_GRACE_US, self._on_grace_expired, call.number)
+        self._in_flight[call.number] = RequestInFlight(call, grace_timer)
         if self.observer is not None:
             self.observer.request_arrived(call)
         self._post(
@@ -136,26 +139,26 @@
         )
 
     def client_gone(self, call: DownstreamRequest) -> None:
-        """Give up a request whose client has gone."""
+        """Cancel a request whose client has disconnected."""
         if self._finish_request(call.number) is not None:
             self._post(balancing.ClientDisconnected(call.number))
 
     def fail_all(self) -> None:
-        """Answer all requests in flight with an error."""
+        """Respond to all requests in flight with an error."""
         for number in list(self._in_flight):
-            self._give_up(number)
+            self._fail_request(number)
 
     @property
     def requests_in_flight(self) -> int:
-        """The number of requests without their final answer."""
+        """The number of requests that have not received their final response."""
         return len(self._in_flight)
 
-    def _on_overdue(self, number: int) -> None:
-        log.error("request %d: no answer from the module in time", number)
-        self._give_up(number)
+    def _on_grace_expired(self, number: int) -> None:
+        log.error("request %d: the decision module did not end it by its deadline; responding with status 500", number)
+        self._fail_request(number)
 
-    def _give_up(self, number: int) -> None:
-        """Answer a request that the module gave no answer; an error is always true."""
+    def _fail_request(self, number: int) -> None:
+        """Respond to a request with status 500 because the decision module has failed to end it."""
         if number in self._in_flight:
             self._answer(number, 500, [], b"failed\n")
             self._post(balancing.ClientDisconnected(number))
@@ -168,21 +171,22 @@
             in_flight.call.respond(in_flight.call, status, headers, body)
 
     def _finish_request(self, number: int) -> RequestInFlight | None:
-        """Forget a request and cancel its attempts; the connections are closed before the answer is sent."""
+        """Remove a request and cancel its attempts, whose connections close before the response is sent."""
         in_flight = self._in_flight.pop(number, None)
         if in_flight is not None:
-            in_flight.overdue_timer.cancel()
+            in_flight.grace_timer.cancel()
             for attempt in range(in_flight.attempts):
                 if (number, attempt) in self._exchanges:
                     self._exchanges[number, attempt].cancel()
         return in_flight
 
-    # Events for the module
+    # Events for the decision module
 
     def _post(self, event: balancing.Event) -> None:
-        """Pass an event to the module.
+        """Pass an event to the decision module.
 
-        It is queued while another is handled: an action may end at once, and the module must not be re-entered.
+        While another event is handled, the event is queued: executing an action may post an event at once, and the
+        decision module is not re-entrant.
         """
         self._events.append(event)
         if self._is_handling:
@@ -198,18 +202,18 @@
         try:
             actions = self._balancer.handle(self._clock.now(), event)
         except Exception:
-            # The request that the module failed on still gets an answer, and the others go on.
-            log.exception("the module failed on %s", type(event).__name__)
-            self._give_up(getattr(event, "request", 0))
+            # Respond to the request of the event, if it has one, and continue with the others.
+            log.exception("the decision module raised an exception for event %s", type(event).__name__)
+            self._fail_request(getattr(event, "request", 0))
             return
         for action in actions:
             try:
                 self._action_handlers[type(action)](action)
             except Exception:
-                log.exception("could not carry out %s", type(action).__name__)
-                self._give_up(getattr(action, "request", 0))
+                log.exception("failed to execute action %s", type(action).__name__)
+                self._fail_request(getattr(action, "request", 0))
 
-    # Actions of the module
+    # Actions of the decision module
 
     def _send(self, action: balancing.Send) -> None:
         in_flight = self._in_flight.get(action.request)
@@ -240,7 +244,7 @@
         self._post(balancing.UploadChanged(number, attempt, is_written))
 
     def _begin_response(self, number: int, attempt: int, response: Message) -> ResponseSink | None:
-        """Stream the response of this attempt; no other attempt, and no deadline, can take its place from now on."""
+        """Start to stream the response of this attempt, and cancel the other attempts and the deadline."""
         in_flight = self._in_flight.get(number)
         if in_flight is None or in_flight.call.begin_response is None:
             return None
--- a/lilacsill/agent/assembly.py
+++ b/lilacsill/agent/assembly.py
@@ -1,4 +1,4 @@
-"""The parts of an agent and how they are wired."""
+"""Constructs the components of an agent and connects them."""
 
 from __future__ import annotations
 
@@ -32,19 +32,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Options:
-    """What the command line and the environment name in addition to the platform's configuration."""
+    """The options of the command line and the environment, in addition to the platform's configuration."""
 
     operator_path: str | None = None
-    operator: OperatorFile | None = None  # the file as read at the start
+    operator: OperatorFile | None = None  # the contents of the file at start-up
 
     def admission(self) -> AdmissionSettings:
-        """Return the settings of admission, or their defaults without an operator file."""
+        """Return the admission settings of the operator file, or the defaults if there is no file."""
         return self.operator.admission.settings() if self.operator is not None else AdmissionSettings()
 
 
 @dataclass(slots=True, frozen=True)
 class Parts:
-    """The wired parts of one agent."""
+    """The connected components of one agent."""
 
     agent: Agent
     server: Server
@@ -54,10 +54,10 @@
 
 
 def check_reserve(admission: AdmissionSettings, budget: DescriptorBudget) -> None:
-    """Check that a reserve for known clients leaves descriptors to strangers.
+    """Check that the reserve for known clients leaves enough descriptors for unknown clients.
 
     Raises:
-        ConfigError: It does not.
+        ConfigError: The reserve exceeds half of the shared descriptors.
     """
     max_reserve = DescriptorAccount(budget).shared // 2
     if admission.reserve > max_reserve:
@@ -68,12 +68,14 @@
 
 
 def budget_for(config: Config) -> DescriptorBudget:
-    """Return the budget of descriptors, by what the process uses now and what it is about to open."""
-    base = descriptors.count_open() + 1 + config.peers_allowed  # the listener, and the socket between agents
+    """Return the descriptor budget, which accounts for open descriptors and for the sockets still to be opened."""
+    base = (
+        descriptors.count_open() + 1 + config.peers_allowed
+    )  # plus the client listener and, if allowed, the socket for peers
     if config.admin is not None:
-        from .admin.server import DESCRIPTORS
+        from .admin.server import MAX_DESCRIPTORS
 
-        base += DESCRIPTORS
+        base += MAX_DESCRIPTORS
     return DescriptorBudget(descriptors.effective_limit(config.sockets), base)
 
 
@@ -86,10 +88,10 @@
     admission: AdmissionSettings | None = None,
     budget: DescriptorBudget | None = None,
 ) -> Parts:
-    """Build and wire the parts of an agent; nothing is started.
+    """Construct and connect the components of an agent without starting them.
 
     Raises:
-        ConfigError: The settings of admission do not fit the limit of descriptors.
+        ConfigError: The admission reserve is too large for the descriptor limit.
     """
     settings, admission_settings = config.settings, admission or AdmissionSettings()
     budget = budget or budget_for(config)
@@ -112,7 +114,7 @@
     )
     agent = Agent(Balancer(settings, config.seed), clock, backends, discovery)
     limit = SharedLimit(config.sockets)
-    # An inherited listener means that another process may run at the same time, under the same limit.
+    # With an inherited listener, a predecessor or successor may run at the same time under the same memory limit.
     watermarks = Watermarks(buffer_budget(config.memory_mb, 1 if config.listen_fd is None else 2))
     validator = RequestValidator(settings.classes, settings.tenants)
     max_retry_after_s = settings.max_retry_after_us / 1e6 if settings.can_advise_retry else 0.0
--- a/lilacsill/agent/config.py
+++ b/lilacsill/agent/config.py
@@ -1,4 +1,4 @@
-"""The platform's configuration (the file RELAY_CONFIG) as typed values."""
+"""Parses the platform's configuration, the file that RELAY_CONFIG names, into typed values."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ConfigError(Exception):
-    """The configuration is missing or invalid; the text says what is wrong, in one line."""
+    """The configuration is missing or invalid; the message is one line."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -27,23 +27,23 @@
     name: str
     listen: Address
     discovery: Address
-    seed: int  # of all random numbers
-    sockets: int  # limit of file descriptors
-    memory_mb: float  # limit of memory
-    known: Listing  # the backends to start with
+    seed: int  # of all random number generators
+    sockets: int  # maximum number of file descriptors
+    memory_mb: float  # memory limit
+    known: Listing  # the initial list of backends
     parser: ListingParser
     settings: Settings
     connect_timeout_us: int
     conn_idle_us: int  # after which a backend closes an idle connection
-    admin: Address | None = None  # where operators call; None: there is no admin API
-    listen_fd: int | None = None  # an inherited listener for clients; None: the agent opens its own
-    peers_allowed: bool = False  # whether agents may send each other datagrams
-    peer_listen: Address | None = None  # where datagrams are received
-    peers: tuple[Address, ...] = ()  # of all agents, this one included, by number
+    admin: Address | None = None  # of the admin API; None: disabled
+    listen_fd: int | None = None  # inherited client listener; None: the agent opens `listen`
+    peers_allowed: bool = False  # whether agents may exchange datagrams
+    peer_listen: Address | None = None  # local address for datagrams of other agents
+    peers: tuple[Address, ...] = ()  # addresses of all agents, including this one, by agent number
 
 
 def load(env: Mapping[str, str], clock: Clock) -> Config:
-    """Read the file that RELAY_CONFIG names.
+    """Load the file that RELAY_CONFIG names.
 
     Raises:
         ConfigError: The file is missing or invalid.
@@ -66,9 +66,9 @@
 
 
 def reload(env: Mapping[str, str], clock: Clock) -> Config:
-    """Read the file again while running.
+    """Load the file again while the agent runs.
 
-    RELAY_DISCOVERY is as old as the process, so the file's address is used instead.
+    RELAY_DISCOVERY is ignored, since its value dates from the start of the process; the address in the file is used.
 
     Raises:
         ConfigError: The file is missing or invalid.
@@ -77,10 +77,10 @@
 
 
 def _parse_config(doc: dict[str, Any], env: Mapping[str, str], clock: Clock) -> Config:
-    facts = doc["settings"]
-    allowed = facts["allowed"]
+    settings = doc["settings"]
+    allowed = settings["allowed"]
     admin = env.get("RELAY_ADMIN_ADDR") or doc.get("admin_addr")
-    parser = ListingParser(clock, tuple(facts.get("localities") or ()), tuple(facts.get("skus") or ()))
+    parser = ListingParser(clock, tuple(settings.get("localities") or ()), tuple(settings.get("skus") or ()))
     return Config(
         name=str(doc.get("name") or env.get("RELAY_NAME") or ""),
         listen=parse_address(env.get("RELAY_LISTEN") or doc["listen"]),
@@ -90,8 +90,9 @@
         memory_mb=float((doc.get("limits") or {}).get("memory_mb") or 192),
         known=parser.parse(doc["known"]),
         parser=parser,
-        # The decision module's own messages to other balancers are not carried: `lilacsill.agent.peers` sends them.
-        settings=replace(parse_settings(facts), can_message_peers=False),
+        # The agent does not transport messages of the decision module to other balancers; `lilacsill.agent.peers`
+        # exchanges the agents' reports instead.
+        settings=replace(parse_settings(settings), can_message_peers=False),
         connect_timeout_us=int(allowed["connectTimeoutUs"]),
         conn_idle_us=int(allowed["connIdleUs"]),
         admin=parse_address(admin) if admin else None,
--- a/lilacsill/agent/discovery/__init__.py
+++ b/lilacsill/agent/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""Service discovery: the list of backends, and the watch that keeps it up to date."""
+"""Service discovery: the list of backends and the client that watches it for changes."""
--- a/lilacsill/agent/discovery/listing.py
+++ b/lilacsill/agent/discovery/listing.py
@@ -1,4 +1,4 @@
-"""The list of backends in the JSON form of discovery, and its parser."""
+"""The list of backends: its types, and the conversion from and to the JSON of discovery."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
     backend: Backend
     address: Address
-    started_unix_ms: int = 0  # as discovery states it; 0: long ago
+    started_unix_ms: int = 0  # as reported by discovery; 0: long ago
 
     def same_process(self, other: Member | None) -> bool:
-        """Return whether a connection to one of the two leads to the other."""
+        """Return whether both entries refer to the same process, so that connections to it remain usable."""
         return (
             other is not None and self.address == other.address and self.backend.started_at == other.backend.started_at
         )
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Listing:
-    """An answer of discovery: the complete list, or what has changed."""
+    """A response of discovery: the complete list, or the changed entries."""
 
     revision: int
     complete: bool
@@ -40,7 +40,7 @@
 class ListingParser:
     """Converts between discovery's JSON and listings.
 
-    Zones and kinds are numbered in the order of the settings.
+    Zones and kinds of backends are numbered in the order of the settings.
     """
 
     def __init__(self, clock: Clock, zones: tuple[str, ...], kinds: tuple[str, ...]) -> None:
@@ -50,10 +50,10 @@
         self._zone_names, self._kind_names = zones, kinds
 
     def parse(self, doc: Any) -> Listing:
-        """Parse an answer of discovery.
+        """Parse a response of discovery.
 
         Raises:
-            ValueError: The answer does not have the expected form.
+            ValueError: The response does not have the expected form.
         """
         try:
             members = tuple(self._parse_member(entry) for entry in doc["members"])
@@ -74,7 +74,7 @@
         return Member(backend, parse_address(entry["host_port"]), int(entry.get("up_since_ms") or 0))
 
     def encode(self, member: Member) -> dict[str, Any]:
-        """Return an entry in discovery's form, which `parse` makes the same member of."""
+        """Return an entry in the JSON form of discovery, which `parse` converts back to an equal member."""
         backend, (host, port) = member.backend, member.address
         doc: dict[str, Any] = {
             "id": str(backend.id),
--- a/lilacsill/agent/inbound/accept.py
+++ b/lilacsill/agent/inbound/accept.py
@@ -8,7 +8,7 @@
 import socket
 from collections.abc import Callable
 
-from ..descriptors import EXHAUSTED, SpareDescriptor
+from ..descriptors import EXHAUSTION_ERRNOS, SpareDescriptor
 
 log = logging.getLogger(__name__)
 
@@ -92,7 +92,7 @@
         """Handle an error of accept; return whether the next connection may be accepted at once."""
         if error.errno in TRANSIENT_ERRORS:
             return True
-        if error.errno in EXHAUSTED:
+        if error.errno in EXHAUSTION_ERRNOS:
             self._on_exhausted("a new connection")
             return self._accept_on_spare()
         log.error("cannot accept: %s", error)
@@ -105,7 +105,7 @@
         try:
             connection, peer = self._sock.accept()
         except OSError as error:
-            return error.errno not in EXHAUSTED  # if exhausted, another program took the descriptor
+            return error.errno not in EXHAUSTION_ERRNOS  # if exhausted, another program took the descriptor
         self._hand_over(connection, peer[0], True)
         return True
 
--- a/lilacsill/agent/observers.py
+++ b/lilacsill/agent/observers.py
@@ -1,4 +1,4 @@
-"""Observers of the agent: the recorder, and what is saved for the next start."""
+"""The interface of observers of the agent: the recorder and the saving of state for the next start."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Observer(Protocol):
-    """Is told what the agent sees, and does not influence it."""
+    """Is notified of the events of the agent and does not affect its decisions."""
 
     def request_arrived(self, call: DownstreamRequest) -> None:
-        """Note a new request."""
+        """Handle the arrival of a request."""
 
     def attempt_ended(
         self,
@@ -26,24 +26,24 @@
         latency_us: int,
         report: tuple[float, ...],
     ) -> None:
-        """Note the end of an attempt of the request with this number."""
+        """Handle the end of an attempt of request `number`."""
 
     def request_answered(self, number: int, status: int) -> None:
-        """Note the final answer to a request."""
+        """Handle the final response to a request."""
 
     def backends_listed(self, listing: Listing) -> None:
-        """Note a list of backends."""
+        """Handle a complete list of backends or an update of it."""
 
 
 @dataclass(slots=True, frozen=True)
 class CombinedObserver:
-    """Two observers in the place of one."""
+    """Forwards each notification to two observers."""
 
     first: Observer
     second: Observer
 
     def request_arrived(self, call: DownstreamRequest) -> None:
-        """Tell both."""
+        """Notify both observers."""
         self.first.request_arrived(call)
         self.second.request_arrived(call)
 
@@ -56,16 +56,16 @@
         latency_us: int,
         report: tuple[float, ...],
     ) -> None:
-        """Tell both."""
+        """Notify both observers."""
         self.first.attempt_ended(number, attempt, backend, outcome, latency_us, report)
         self.second.attempt_ended(number, attempt, backend, outcome, latency_us, report)
 
     def request_answered(self, number: int, status: int) -> None:
-        """Tell both."""
+        """Notify both observers."""
         self.first.request_answered(number, status)
         self.second.request_answered(number, status)
 
     def backends_listed(self, listing: Listing) -> None:
-        """Tell both."""
+        """Notify both observers."""
         self.first.backends_listed(listing)
         self.second.backends_listed(listing)
--- a/lilacsill/agent/operator/explain.py
+++ b/lilacsill/agent/operator/explain.py
@@ -1,4 +1,4 @@
-"""Turns msgspec's error texts into lines that name the section and key of a TOML file and what is allowed there."""
+"""Converts error messages of msgspec into one line with the section and key of a TOML file and the allowed values."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 
 def explain(text: str, root: type[msgspec.Struct]) -> str:
-    """Return one line that begins with section and key; it lists the allowed names after an unknown one.
+    """Return one line that begins with section and key; for an unknown name it lists the allowed names.
 
     Args:
-        text: The text of a msgspec.ValidationError.
-        root: The type of the whole file.
+        text: The message of a msgspec.ValidationError.
+        root: The Struct type of the whole file.
     """
     error = _ERROR.match(text)
     assert error is not None
--- a/lilacsill/agent/operator/file.py
+++ b/lilacsill/agent/operator/file.py
@@ -1,4 +1,4 @@
-"""Reading of the operator file: it is valid as a whole, or not used at all."""
+"""Loads the operator file, which is used only if all of it is valid."""
 
 from __future__ import annotations
 
@@ -8,18 +8,18 @@
 import msgspec
 
 from .explain import explain
-from .sections import LIVE, OperatorFile
+from .sections import RELOADABLE_KEYS, OperatorFile
 
 
 class OperatorError(Exception):
-    """The file is missing or invalid; the text says in one line what is wrong and what is allowed."""
+    """The file is missing or invalid; the message states in one line what is wrong and what is allowed."""
 
 
 def load(path: str) -> OperatorFile:
-    """Read and check the file.
+    """Load and validate the file.
 
     Raises:
-        OperatorError: The file is missing or invalid. Its cause is an OSError where the file could not be read.
+        OperatorError: The file is missing or invalid. Its cause is an OSError if the file could not be read.
     """
     try:
         text = Path(path).read_bytes().decode()
@@ -29,14 +29,15 @@
     except msgspec.ValidationError as error:
         raise OperatorError(f"{path}: {explain(str(error), OperatorFile)}") from None
     except (UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
-        raise OperatorError(f"{path}: no TOML: {error}") from None
+        raise OperatorError(f"{path}: invalid TOML: {error}") from None
 
 
 def needs_restart(old: OperatorFile, new: OperatorFile) -> list[str]:
-    """Return the keys that changed and are not applied while running, as `section.key`."""
+    """Return the changed keys that take effect only after a restart, as `section.key`."""
     return [
         f"{section}.{key}"
         for section in OperatorFile.__struct_fields__
         for key in getattr(old, section).__struct_fields__
-        if key not in LIVE[section] and getattr(getattr(old, section), key) != getattr(getattr(new, section), key)
+        if key not in RELOADABLE_KEYS[section]
+        and getattr(getattr(old, section), key) != getattr(getattr(new, section), key)
     ]
--- a/lilacsill/agent/operator/sections.py
+++ b/lilacsill/agent/operator/sections.py
@@ -1,8 +1,9 @@
 """The sections of the operator file, with the types and bounds of their keys.
 
-A section is a msgspec Struct whose fields are the keys. Where its subsystem runs without an operator file, `settings`
-returns plain values, so that such an agent imports neither msgspec nor a TOML reader. To add a section: write the
-Struct here, add it to `OperatorFile`, and name in `LIVE` the keys that SIGHUP applies.
+A section is a msgspec Struct whose fields are the keys. If the subsystem also runs without an operator file, the
+section has a method `settings` that returns plain values, so that an agent without this file imports neither msgspec
+nor a TOML parser. To add a section, define its Struct here, add it to `OperatorFile`, and list in `RELOADABLE_KEYS` the
+keys that SIGHUP applies.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 
 class AdmissionSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """Which clients may connect (docs/admission.md)."""
+    """The admission of client connections (docs/admission.md)."""
 
     per_address: Count = 0
     known: list[str] = []
@@ -40,10 +41,10 @@
         if self.retry_after_s[0] > self.retry_after_s[1]:
             raise ValueError("retry_after_s: the first must not be above the second")
         if self.reserve and not self.known and not self.learn_known_s:
-            raise ValueError("reserve: nobody can be known without `known` or `learn_known_s`")
+            raise ValueError("reserve: no client can be known without `known` or `learn_known_s`")
 
     def settings(self) -> AdmissionSettings:
-        """Return the section as admission uses it."""
+        """Return the section as the settings of the admission controller."""
         return AdmissionSettings(
             per_address=self.per_address,
             known=tuple(map(parse_network, self.known)),
@@ -60,7 +61,7 @@
 
 
 class RecorderSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The recording of what the agent sees, for replays (docs/recording.md)."""
+    """The recording of the agent's events for replays (docs/recording.md)."""
 
     path: str = ""
     max_mb: Annotated[int, msgspec.Meta(ge=1, le=100_000)] = 64
@@ -68,7 +69,7 @@
 
 
 class PeersSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The channel between agents, where the platform allows it."""
+    """The channel between agents, which the platform must also allow."""
 
     enabled: bool = False
     fleet: Annotated[str, msgspec.Meta(max_length=64)] = ""
@@ -85,7 +86,7 @@
 
 
 class RecoverySection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The state that is saved for a start after a power loss (docs/recovery.md)."""
+    """The state that is saved for a restart after a power loss (docs/recovery.md)."""
 
     folder: str = ""
     fleet: Annotated[str, msgspec.Meta(max_length=64)] = ""
@@ -94,7 +95,7 @@
 
 
 class HostedSection(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The service for many tenants; only `python -m lilacsill hosted` reads this section."""
+    """The multi-tenant service; only `python -m lilacsill hosted` reads this section."""
 
     listen: str = "127.0.0.1:8080"
     admin_listen: str = "127.0.0.1:8081"
@@ -108,13 +109,15 @@
         parse_address(self.listen)
         host = parse_address(self.admin_listen).host
         if bool(self.admin_tls_cert) != bool(self.admin_tls_key):
-            raise ValueError("admin_tls_cert: needs admin_tls_key beside it, and the other way round")
+            raise ValueError("admin_tls_cert and admin_tls_key must be set together")
         if host not in ("127.0.0.1", "::1", "localhost") and not self.admin_tls_cert:
-            raise ValueError("admin_listen: beyond loopback it needs admin_tls_cert and admin_tls_key")
+            raise ValueError(
+                f"admin_listen: {host} is not a loopback address, so admin_tls_cert and admin_tls_key are required"
+            )
 
 
 class OperatorFile(msgspec.Struct, forbid_unknown_fields=True, frozen=True, kw_only=True):
-    """The complete file; a section that is left out has its defaults."""
+    """The complete file; an omitted section has its defaults."""
 
     admission: AdmissionSection = msgspec.field(default_factory=AdmissionSection)
     recorder: RecorderSection = msgspec.field(default_factory=RecorderSection)
@@ -124,10 +127,10 @@
 
 
 # The keys that SIGHUP applies, by section; any other key needs a restart.
-LIVE: dict[str, frozenset[str]] = {
+RELOADABLE_KEYS: dict[str, frozenset[str]] = {
     "admission": frozenset(AdmissionSection.__struct_fields__),
     "recorder": frozenset(),
-    "peers": frozenset(),  # the file of secrets itself is read again at each SIGHUP
+    "peers": frozenset(),  # but each SIGHUP reloads the contents of the secrets file
     "recovery": frozenset(),
     "hosted": frozenset(),
 }
--- a/lilacsill/agent/outbound/exchange.py
+++ b/lilacsill/agent/outbound/exchange.py
@@ -13,7 +13,7 @@
 from lilacsill.net.connecting import ConnectAttempt
 from lilacsill.timers import Timer
 
-from ..descriptors import EXHAUSTED
+from ..descriptors import EXHAUSTION_ERRNOS
 from ..discovery.listing import Member
 from ..streaming import ResponseSink, StreamedBody
 from .pool import Pool, UpstreamConnection
@@ -28,7 +28,7 @@
 MAX_BUFFERING_US = 50_000  # after this time a response of unknown length is streamed, however short it is so far
 STALL_TIMEOUT_US = 15_000_000  # a stream without progress on either side ends after this time
 MAX_REPORT_AGE_US = 50_000  # a load report in the head of a response that ended later is out of date
-LOCAL_ERRORS = EXHAUSTED | {errno.EADDRNOTAVAIL}  # what this machine lacks says nothing about the backend
+LOCAL_ERRORS = EXHAUSTION_ERRNOS | {errno.EADDRNOTAVAIL}  # what this machine lacks says nothing about the backend
 
 
 class ExchangeOwner(Protocol):
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -16,7 +16,7 @@
 from lilacsill.timers import Timer
 
 from ..admission.descriptor_account import DescriptorAccount, Side
-from ..descriptors import EXHAUSTED
+from ..descriptors import EXHAUSTION_ERRNOS
 from ..discovery.listing import Member
 
 IDLE_SHARE = 0.7  # of the time after which a backend closes an idle connection: the pool closes it then
@@ -199,7 +199,7 @@
 
         def fail(error: OSError) -> None:
             reservation.release()
-            if error.errno in EXHAUSTED:
+            if error.errno in EXHAUSTION_ERRNOS:
                 self.descriptors_exhausted("a connection to a backend")
             on_failed(error)
 
--- a/lilacsill/agent/recorder/__init__.py
+++ b/lilacsill/agent/recorder/__init__.py
@@ -1,1 +1,1 @@
-"""Recordings of what an agent sees, for replays: arrivals, attempts, answers and lists; no bodies and no keys."""
+"""Recordings of an agent's events for replays: requests, attempts, responses and backends, without bodies or keys."""
--- a/lilacsill/agent/recorder/ring.py
+++ b/lilacsill/agent/recorder/ring.py
@@ -1,4 +1,4 @@
-"""The recorder: it writes a recording to a ring of two files within a bound of size, and never disturbs the agent."""
+"""The recorder: writes a recording to two alternating files of limited size, without affecting the agent."""
 
 from __future__ import annotations
 
@@ -19,24 +19,24 @@
 
 log = logging.getLogger(__name__)
 
-MAX_BUFFERED_BYTES = 64 * 1024  # written when this much is buffered, or
-FLUSH_INTERVAL_US = 1_000_000  # after this time
-REJECTED = 503  # the status of a request that the agent rejects
+MAX_BUFFERED_BYTES = 64 * 1024  # the buffer is written once it holds this much,
+FLUSH_INTERVAL_US = 1_000_000  # or with the first event after this time
+REJECTED_STATUS = 503  # of a response to a request that the agent rejects
 
 
 class Recorder:
-    """An observer of the agent that records what it sees.
+    """An observer of the agent that records its events.
 
-    A disk that fails ends the recording with one line in the log, nothing else.
+    A write error is logged once and ends the recording; the agent continues.
 
     Args:
-        path: The file to write; the older half of a recording is in the same path with `.1` at its end.
-        max_bytes: The bound for both files together.
+        path: The file to write; the older half of a recording is in the file with the suffix `.1`.
+        max_bytes: The maximum size of both files together; a file may exceed its half by the last buffer.
         name: The name of the agent.
-        settings: The settings, whose classes and tenants the recording numbers.
+        settings: The settings; events refer to their classes and tenants by number.
         clock: The agent's clock.
         estimates: Returns the current estimates; called when a request is rejected.
-        estimates_interval_us: How often it is called at most, in microseconds; 0: never.
+        estimates_interval_us: The minimum interval between calls of `estimates`, in microseconds; 0: never called.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         estimates_interval_us: int = 0,
     ) -> None:
         self._estimates, self._estimates_interval_us = estimates, estimates_interval_us
-        self._estimates_at = -estimates_interval_us  # when they were recorded last
+        self._estimates_at = -estimates_interval_us  # time of the last record of estimates
         self._path, self._max_file_bytes = Path(path), max_bytes // 2
         self._clock = clock
         self._started_at = clock.now()
@@ -92,11 +92,11 @@
         self._add([recording.ATTEMPT, self._now(), number, attempt, str(backend), outcome.value, latency_us, report])
 
     def request_answered(self, number: int, status: int) -> None:
-        """Record the answer to a request, and the estimates that explain it where it was rejected."""
+        """Record the response to a request and, if it was rejected, the estimates that explain this."""
         self._add([recording.FINAL, self._now(), number, status])
         now = self._now()
         is_due = now - self._estimates_at >= self._estimates_interval_us > 0
-        if status == REJECTED and is_due and self._estimates is not None:
+        if status == REJECTED_STATUS and is_due and self._estimates is not None:
             self._estimates_at = now
             self._add([recording.ESTIMATES, now, [_estimate_row(estimate) for estimate in self._estimates()]])
 
@@ -116,7 +116,7 @@
         )
 
     def close(self) -> None:
-        """Write what is buffered and close the file."""
+        """Write the buffered events and close the file."""
         self._flush()
         if self._file is not None:
             self._file.close()
@@ -152,7 +152,7 @@
             self._file.write(data)
             self._file_bytes += len(data)
             if self._file_bytes >= self._max_file_bytes:
-                # The older file is replaced.
+                # Rotate: this file replaces the older one, and a new file is opened.
                 self._file.close()
                 os.replace(self._path, self._path.with_name(self._path.name + ".1"))
                 self._open()
@@ -160,7 +160,7 @@
             self._fail(error)
 
     def _fail(self, error: OSError) -> None:
-        log.error("the recording ends: %s: %s", self._path, error.strerror)
+        log.error("recording stopped: %s: %s", self._path, error.strerror)
         if self._file is not None:
             with suppress(OSError):
                 self._file.close()
--- a/lilacsill/agent/reload.py
+++ b/lilacsill/agent/reload.py
@@ -1,4 +1,4 @@
-"""Reload on SIGHUP: the configuration, the operator file and the secrets between agents are read again."""
+"""Reloads the configuration, the operator file and the secrets shared by agents on SIGHUP."""
 
 from __future__ import annotations
 
@@ -14,21 +14,21 @@
 from .admission.settings import DescriptorBudget
 from .assembly import Options, Parts, check_reserve
 from .config import ConfigError
-from .descriptors import EXHAUSTED
+from .descriptors import EXHAUSTION_ERRNOS
 
 if TYPE_CHECKING:
     from .peers.channel import Channel
 
 log = logging.getLogger("lilacsill")
 
-# Where no descriptor is left to read a file with: the delay before another attempt, and how many there are.
+# If no file descriptor is left to read a file: the delay before each retry, and the number of retries.
 RETRY_DELAY_S, MAX_RETRIES = 0.1, 30
 
 
 class Reload:
-    """Reads the files again and applies what they say.
+    """Reads the files again and applies their contents.
 
-    A file that cannot be used is one line in the log and changes nothing; the other files are applied all the same.
+    A file that is missing or invalid is logged and changes nothing; the other files are still applied.
     """
 
     def __init__(
@@ -39,30 +39,30 @@
         self._loop = asyncio.get_running_loop()
 
     def begin(self) -> None:
-        """Read all files again."""
-        self._try(self._reload_configuration, MAX_RETRIES)
+        """Start to reload all files."""
+        self._read_or_retry(self._reload_configuration, MAX_RETRIES)
         if self._operator_path is not None:
-            self._try(self._reload_operator_file, MAX_RETRIES)
+            self._read_or_retry(self._reload_operator_file, MAX_RETRIES)
         if self._peers is not None:
-            self._try(self._peers.read_secrets, MAX_RETRIES)
+            self._read_or_retry(self._peers.read_secrets, MAX_RETRIES)
 
-    def _try(self, read: Callable[[], None], retries_left: int) -> None:
-        """Read a file, on the spare descriptor if need be, and retry later where there is none left at all."""
+    def _read_or_retry(self, read: Callable[[], None], retries_left: int) -> None:
+        """Call `read`, with the spare descriptor released; schedule a retry if no descriptor is left."""
         try:
             with self._parts.spare.released():
                 read()
         except ConfigError as error:
             cause = error.__cause__
-            if isinstance(cause, OSError) and cause.errno in EXHAUSTED and retries_left:
+            if isinstance(cause, OSError) and cause.errno in EXHAUSTION_ERRNOS and retries_left:
                 if retries_left == MAX_RETRIES:
                     self._parts.server.descriptors_exhausted("a file of the configuration")
-                self._loop.call_later(RETRY_DELAY_S, self._try, read, retries_left - 1)
+                self._loop.call_later(RETRY_DELAY_S, self._read_or_retry, read, retries_left - 1)
             else:
-                log.error("the old configuration stays: %s", error)
+                log.error("reload failed; keeping the previous configuration: %s", error)
 
     def _reload_configuration(self) -> None:
         discovery = config.reload(os.environ, self._clock).discovery
-        log.info("configuration read again; discovery at %s:%d", discovery.host, discovery.port)
+        log.info("configuration reloaded; discovery at %s:%d", discovery.host, discovery.port)
         self._parts.agent.set_discovery(discovery)
 
     def _reload_operator_file(self) -> None:
@@ -78,4 +78,4 @@
         later = needs_restart(self._operator, new)
         self._operator = new
         self._parts.admission.apply_settings(admission)
-        log.info("operator file read again%s", f"; a restart is needed for {', '.join(later)}" if later else "")
+        log.info("operator file reloaded%s", f"; changes that need a restart: {', '.join(later)}" if later else "")
--- a/lilacsill/agent/run.py
+++ b/lilacsill/agent/run.py
@@ -1,4 +1,4 @@
-"""The run of one agent from start to stop: signals, optional parts and the order of a stop."""
+"""Runs one agent from start to stop: signals, optional components and the order of shutdown."""
 
 from __future__ import annotations
 
@@ -27,17 +27,17 @@
 
 log = logging.getLogger("lilacsill")
 
-# After SIGTERM new connections arrive for 0.2 to 0.4 s, and SIGKILL comes 0.7 s past the longest deadline.
-IDLE_S, SERVE_S, FINISH_S = 0.1, 0.5, 0.6
-# With a successor no new connections arrive, and the idle ones are the only ones to be closed.
-HANDED_OVER_IDLE_S = 0.5
-# A successor has to be ready within 6 s, and what discovery says is binding 2 s after that.
+# After SIGTERM new connections arrive for another 0.2 to 0.4 s, and SIGKILL follows 0.7 s after the longest deadline.
+DRAIN_IDLE_S, DRAIN_SERVE_S, DRAIN_FINISH_S = 0.1, 0.5, 0.6
+# After a handover to a successor no new connections arrive, and only idle connections are closed.
+HANDOVER_IDLE_S = 0.5
+# A successor must be ready within 6 s, and the list of discovery is binding 2 s after that.
 BACKENDS_KNOWN_TIMEOUT_S = 2.0
 
 
 @dataclass(slots=True)
 class OptionalParts:
-    """The parts that are there only where a configuration asks for them; what is off is not imported."""
+    """The components that the configuration can enable; the modules of disabled ones are not imported."""
 
     recovery: Recovery | None = None
     recorder: Recorder | None = None
@@ -82,7 +82,7 @@
     _start_optional(parts, optional)
     await stop.wait()
     await _shut_down(config, parts, optional)
-    log.info("%s stops", config.name)
+    log.info("%s: stopped", config.name)
     return 0
 
 
@@ -92,7 +92,7 @@
     Raises:
         OSError: An address cannot be listened on.
     """
-    # What operators have asked for is in force from the first request on.
+    # The settings of operators must be in effect before the first request.
     operations = optional.operations = _open_operations(config, parts, optional)
     optional.admin = _open_admin(config, parts, operations)
     if operations is not None and operations.other_pid:
@@ -101,7 +101,7 @@
 
 
 def _start_optional(parts: Parts, optional: OptionalParts) -> None:
-    """Start what runs from the first request on."""
+    """Start the background work of the optional components; the agent serves from now on."""
     operations = optional.operations
     if operations is not None:
         operations.mark_serving()
@@ -116,17 +116,17 @@
 
 
 async def _shut_down(config: Config, parts: Parts, optional: OptionalParts) -> None:
-    """Drain the clients and close the optional parts."""
+    """Drain the clients and close the optional components."""
     if optional.peers is not None:
-        optional.peers.stop()  # before the drain: a successor needs the address
-    end_s = max(c.deadline_us for c in config.settings.classes) / 1e6 + FINISH_S
+        optional.peers.stop()  # before the drain, since a successor binds the same address
+    end_s = max(c.deadline_us for c in config.settings.classes) / 1e6 + DRAIN_FINISH_S
     operations = optional.operations
     if operations is not None and config.listen_fd is not None and operations.has_successor():
-        log.info("%s hands over to process %d", config.name, operations.other_pid)
+        log.info("%s: handing over to process %d", config.name, operations.other_pid)
         parts.server.hand_over()
-        await parts.server.drain(DrainTimes(HANDED_OVER_IDLE_S, HANDED_OVER_IDLE_S, end_s))
+        await parts.server.drain(DrainTimes(HANDOVER_IDLE_S, HANDOVER_IDLE_S, end_s))
     else:
-        await parts.server.drain(DrainTimes(IDLE_S, SERVE_S, end_s))
+        await parts.server.drain(DrainTimes(DRAIN_IDLE_S, DRAIN_SERVE_S, end_s))
     if optional.recorder is not None:
         optional.recorder.close()
     if optional.recovery is not None:
@@ -137,7 +137,7 @@
 
 
 async def _wait_for_backends(agent: Agent, stop: asyncio.Event) -> None:
-    """Wait, while the predecessor still serves, until discovery has answered or a time-out is over."""
+    """Wait for the first response of discovery, a timeout or `stop`, while the predecessor still serves."""
     agent.refresh_backends()
     waits = [asyncio.ensure_future(event.wait()) for event in (agent.backends_known, stop)]
     await asyncio.wait(waits, timeout=BACKENDS_KNOWN_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
@@ -146,7 +146,7 @@
 
 
 def _open_recovery(config: Config, clock: Clock, options: Options) -> Recovery | None:
-    # Platforms without a persistent disk name no folder.
+    # The folder is not set on platforms without a persistent disk.
     if options.operator is None or not options.operator.recovery.folder:
         return None
     from .recovery.service import Recovery
@@ -157,16 +157,16 @@
 def _open_peers(
     config: Config, clock: Clock, options: Options, agent: Agent, recovery: Recovery | None
 ) -> Channel | None:
-    """Open the channel between agents, where the operator file turns it on and the platform allows it.
+    """Open the channel between agents if the operator file enables it and the platform allows it.
 
     Raises:
-        ConfigError: The settings of the channel cannot be used.
+        ConfigError: The settings of the channel are missing or invalid.
         OSError: The address of the channel cannot be opened.
     """
     if options.operator is None or not options.operator.peers.enabled:
         return None
     if not config.peers_allowed:
-        log.info("[peers] is enabled, but the settings forbid agents to talk: it stays off")
+        log.info("%s: [peers] is enabled, but the platform does not allow it; the peer channel stays off", config.name)
         return None
     from .peers.channel import Channel
 
@@ -188,7 +188,7 @@
 
 
 def _open_admin(config: Config, parts: Parts, operations: Operations | None) -> AdminServer | None:
-    """Open the admin API, where it has an address.
+    """Open the admin API if its address is configured.
 
     Raises:
         OSError: The address cannot be listened on.
@@ -223,5 +223,5 @@
 
 
 def _log_unhandled(_: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """Log what no one caught; it ends neither the process nor other requests."""
-    log.error("unhandled: %s", context.get("message"), exc_info=context.get("exception"))
+    """Log an unhandled exception of a callback or task; the process and other requests continue."""
+    log.error("unhandled exception in the event loop: %s", context.get("message"), exc_info=context.get("exception"))
--- a/lilacsill/agent/watermarks.py
+++ b/lilacsill/agent/watermarks.py
@@ -1,51 +1,51 @@
-"""The memory for buffered bodies: one budget for all streams, divided among those that are open. No I/O."""
+"""The memory budget for buffered bodies, which all open streams share. No I/O."""
 
 from __future__ import annotations
 
 MAX_WATERMARK_BYTES, MIN_WATERMARK_BYTES = 64 * 1024, 4 * 1024
-MEMORY_DIVISOR = 4  # the budget is this part of the memory limit
-FREE_DIVISOR = 8  # a watermark is this part of what is free of the budget
-BODY_DIVISOR = 4  # one body that is kept complete may use this part of the budget for such bodies
+MEMORY_DIVISOR = 4  # the budget is 1/4 of the memory limit
+FREE_DIVISOR = 8  # a watermark is 1/8 of the free budget
+BODY_DIVISOR = 4  # one fully buffered body may use 1/4 of the budget for such bodies
 
 
 class Watermarks:
     """The buffered bytes of all streams of a process.
 
-    Invariant: `buffered` never exceeds `budget`, except for `MIN_WATERMARK_BYTES` that any stream may read however
-    little is free: otherwise a few clients that stand still would stop everybody else.
+    Invariant: `buffered` exceeds `budget` by at most `MIN_WATERMARK_BYTES` per stream. Each stream may always read that
+    much, since otherwise a few stalled clients would block all other streams.
     """
 
     def __init__(self, budget: int) -> None:
-        self.budget = budget // 2  # bytes for streams; the other half is for bodies that are kept complete
+        self.budget = budget // 2  # bytes for streams; the other half is for fully buffered bodies
         self._body_budget = budget - self.budget
-        self.streams = 0
-        self.buffered = 0  # bytes that streams hold
-        self.reserved = 0  # bytes for bodies that are kept complete
+        self.streams = 0  # open streams
+        self.buffered = 0  # bytes that all streams buffer
+        self.reserved = 0  # bytes reserved for fully buffered bodies
 
     def open_stream(self) -> StreamShare:
-        """Count one more stream; closing its share ends it."""
+        """Register a stream and return its share; closing the share removes the stream."""
         self.streams += 1
         return StreamShare(self)
 
     @property
     def high_watermark(self) -> int:
-        """The bytes that a stream may buffer now: a part of what is free, bounded by an equal share.
+        """The bytes that a stream may buffer now: a fraction of the free budget, bounded by half of an equal share.
 
-        So neither early nor slow streams get all of the budget.
+        This keeps early or slow streams from using the whole budget.
         """
         free_part = (self.budget - self.buffered) // FREE_DIVISOR
         equal_share = self.budget // (2 * max(1, self.streams))
         return min(MAX_WATERMARK_BYTES, max(MIN_WATERMARK_BYTES, min(free_part, equal_share)))
 
     def reserve_body(self, nbytes: int) -> bool:
-        """Reserve memory to keep a body complete; return whether there is room. `release_body` gives it back."""
+        """Reserve memory to buffer a whole body; return whether there was room. `release_body` frees it."""
         if nbytes > self._body_budget // BODY_DIVISOR or self.reserved + nbytes > self._body_budget:
             return False
         self.reserved += nbytes
         return True
 
     def release_body(self, nbytes: int) -> None:
-        """Give reserved memory back."""
+        """Release memory reserved by `reserve_body`."""
         self.reserved -= nbytes
         assert self.reserved >= 0
 
@@ -59,11 +59,11 @@
         self._watermarks, self._buffered, self._closed = watermarks, 0, False
 
     def high_watermark(self) -> int:
-        """Return the high watermark now, which is also the most to read at once, in bytes."""
+        """Return the current high watermark in bytes, which is also the maximum to read at once."""
         return self._watermarks.high_watermark
 
     def set_buffered(self, nbytes: int) -> bool:
-        """Set how many bytes the stream buffers; return whether that is above the watermark."""
+        """Set the number of bytes that the stream buffers; return whether it exceeds the watermark."""
         if not self._closed:
             self._watermarks.buffered += nbytes - self._buffered
             self._buffered = nbytes
@@ -81,5 +81,5 @@
 
 
 def buffer_budget(memory_mb: float, processes: int) -> int:
-    """Return the bytes that bodies may use in each of `processes` that share a memory limit."""
+    """Return the bytes for buffered bodies per process if `processes` share a memory limit."""
     return int(memory_mb * 2**20 / MEMORY_DIVISOR / processes)
--- a/lilacsill/clock.py
+++ b/lilacsill/clock.py
@@ -1,4 +1,4 @@
-"""The agent's clock: monotonic time in integer microseconds, and the timers that run on it."""
+"""The agent's clock: monotonic time in integer microseconds, and timers based on it."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 
 
 class Clock:
-    """Monotonic time, a fixed mapping of wall-clock times onto it, and one timing wheel for all deadlines."""
+    """Monotonic time, a fixed conversion from wall-clock time, and one timing wheel for all deadlines."""
 
     def __init__(self) -> None:
-        # Fixed at start: if it were measured again, a step of the wall clock would make one start time look like
-        # two, and the decisions would take a running backend for a new process.
+        # Fixed at start: if the offset were measured again after a step of the wall clock, the start time of a backend
+        # would convert to a different value, and the decision module would treat the backend as a new process.
         self._wall_to_monotonic_us = time.monotonic_ns() // 1000 - time.time_ns() // 1000
         self._wheel = TimerWheel()
         self._loop: asyncio.AbstractEventLoop | None = None
@@ -32,17 +32,18 @@
     def from_unix_ms(self, ms: int) -> int:
         """Convert a wall-clock time in milliseconds since 1970 to this clock's microseconds.
 
-        The same value always gives the same time. 0 stands for "long ago": it stays 0, and nothing else becomes 0.
+        The same argument always gives the same result. 0 means an unknown time long ago and is returned as 0; no other
+        argument gives 0.
         """
         return (ms * 1000 + self._wall_to_monotonic_us or 1) if ms else 0
 
     def after(self, delay_us: int, callback: Callable[..., None], *arguments: Any) -> Timer:
         """Schedule `callback(*arguments)` on the running event loop.
 
-        It is called after `delay_us` microseconds, or up to a millisecond later.
+        The callback runs between `delay_us` microseconds and a millisecond more from now, if the loop is not busy.
         """
         loop = asyncio.get_running_loop()
-        if loop is not self._loop:  # timers of a loop that has ended are never called
+        if loop is not self._loop:  # pending timers of a previous loop are dropped
             self._loop, self._wheel, self._wakeup = loop, TimerWheel(), None
         at_us = time.monotonic_ns() // 1000 + delay_us
         timer = self._wheel.add(at_us, callback, arguments)
@@ -57,7 +58,7 @@
         if self._wakeup is not None:
             self._wakeup.cancel()
         assert self._loop is not None
-        # The loop's clock is the same one, in seconds.
+        # The loop's clock is the same monotonic clock, in seconds.
         self._wakeup, self._wakeup_at_us = self._loop.call_at(due_us / 1e6, self._fire_due), due_us
 
     def _fire_due(self) -> None:
@@ -66,7 +67,7 @@
             for timer in self._wheel.pop_due(self.now()):
                 try:
                     timer.fire()
-                except Exception:  # one timer's fault must not keep the others from firing
-                    log.exception("a timer failed")
+                except Exception:  # an exception in one callback must not keep the other timers from firing
+                    log.exception("timer callback raised an exception; the other timers still fire")
         finally:
             self._schedule_wakeup()
--- a/lilacsill/http1/connection.py
+++ b/lilacsill/http1/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection: what servers and clients of HTTP/1.1 have in common."""
+"""The base class of HTTP/1.1 connections, for servers and clients."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Connection:
-    """A TCP connection that knows whether all that was sent has been written.
+    """A TCP connection that tracks whether all sent bytes have been written.
 
     Subclasses override `on_data`, `on_fault` and `on_end`.
     """
@@ -23,7 +23,7 @@
         """Take over a connected non-blocking socket.
 
         Raises:
-            OSError: The event loop cannot watch the socket; it is still the caller's then.
+            OSError: The event loop cannot watch the socket; the caller still owns the socket.
         """
         self.stream = Stream(sock, self)
 
@@ -33,7 +33,7 @@
         """Handle bytes from the peer."""
 
     def on_fault(self) -> None:
-        """Handle an exception that `on_data` raised; it is logged already."""
+        """Handle an exception that `on_data` raised and `data_received` has logged."""
 
     def on_end(self) -> None:
         """Handle the end of the connection, by either side. May be called twice."""
@@ -41,27 +41,27 @@
     # Called by the stream (net.stream.StreamHandler)
 
     def data_received(self, data: bytes) -> None:
-        """Pass bytes from the peer to `on_data`; an exception there ends the reading."""
+        """Pass bytes from the peer to `on_data`; after an exception there, further bytes are discarded."""
         if self.discarding:
             return
         try:
             self.on_data(data)
-        except Exception:  # a fault here must not look like a disconnect by the peer, nor go unseen
-            import logging  # imported late: it costs 1 MB in processes that log nothing else
+        except Exception:  # must neither look like a disconnect by the peer nor remain unlogged
+            import logging  # imported here: it costs 1 MB in processes that log nothing else
 
-            logging.getLogger(__name__).exception("connection failed")
+            logging.getLogger(__name__).exception("connection failed: exception in on_data; discarding further data")
             self.discarding = True
             self.on_fault()
 
     def eof_received(self) -> None:
-        """Report the end of the peer's sending, or its reset, to `on_end`."""
+        """Report the end of the peer's data, or a reset, to `on_end`."""
         self.on_end()
 
     def connection_lost(self) -> None:
-        """Mark the connection as closed and let go of the stream."""
+        """Mark the connection as closed and drop the reference to the stream."""
         self.closed = True
         self.on_end()
-        self.stream = None  # a reference cycle: only the garbage collector would free the two
+        self.stream = None  # breaks a reference cycle, which only the garbage collector would free
 
     def flushed(self) -> None:
         """Note that the kernel has accepted all bytes sent."""
@@ -76,14 +76,14 @@
 
     @property
     def open(self) -> bool:
-        """Whether what is sent now can still reach the peer."""
+        """Whether bytes sent now can still reach the peer."""
         return not self.closed and self.stream is not None and not self.stream.closing
 
     def send(self, data: bytes) -> None:
         """Send bytes."""
         assert self.stream is not None
         self.stream.send(data)
-        # A write that fails empties the buffer too: then the stream is closing.
+        # A failed write also empties the buffer, but then the stream is closing.
         self.written = not self.stream.closing and not self.stream.unsent
 
     def nothing_to_read(self) -> bool:
@@ -91,12 +91,12 @@
         return self.stream is not None and self.stream.nothing_to_read()
 
     def close(self) -> None:
-        """Close when all is written."""
+        """Close once all bytes are written."""
         if self.stream is not None:
             self.stream.close()
 
     def drop(self) -> None:
-        """Close at once; the peer sees it at once, too."""
+        """Close the socket at once, without waiting for buffered bytes."""
         self.discarding = self.closed = True
         if self.stream is not None:
             self.stream.abort()
--- a/lilacsill/http1/message.py
+++ b/lilacsill/http1/message.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 messages: reading them with llhttp within limits of size, and encoding them (RFC 9112)."""
+"""HTTP/1.1 messages (RFC 9112): parsing with llhttp within size limits, and encoding."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser, HttpResponseParser
 
-MAX_HEAD_BYTES = 32 * 1024  # of the request or status line and the header fields
-MAX_INTERIM_RESPONSES = 16  # responses 1xx ahead of the final one
+MAX_HEAD_BYTES = 32 * 1024  # maximum size of the start line and the header fields
+MAX_INTERIM_RESPONSES = 16  # 1xx responses accepted before the final response
 
 Headers = list[tuple[str, str]]
 REASON_PHRASES = {
@@ -28,11 +28,11 @@
 
 
 class InvalidMessageError(Exception):
-    """The bytes received are no message that can be used.
+    """The received bytes are not a valid or supported message.
 
     Attributes:
         status: The HTTP status that reports the error to a client.
-        reason: The error in words.
+        reason: A description of the error.
     """
 
     def __init__(self, status: int, reason: str) -> None:
@@ -62,33 +62,33 @@
     def __init__(self) -> None:
         self.method = self.target = b""
         self.status = 0
-        self.fields: dict[bytes, bytes] = {}  # header fields by name in lower case; the first of each name
-        self.repeated: set[bytes] = set()  # names of the fields that came more than once
-        self.body = bytearray()  # bytes of the body that have come and were not taken yet
-        self.received = 0  # bytes of the body that have come, taken ones included
-        self.length: int | None = None  # Content-Length in bytes; None where the head has none
+        self.fields: dict[bytes, bytes] = {}  # first value of each header field, by lower-case name
+        self.repeated: set[bytes] = set()  # names of the fields that occur more than once
+        self.body = bytearray()  # received bytes of the body that `take_body` has not returned
+        self.received = 0  # number of received bytes of the body
+        self.length: int | None = None  # Content-Length in bytes; None if absent
         self.until_close = False  # whether the end of the connection ends the body
         self.keep_alive = False
         self.version = "1.1"
-        self.header_lines: list[tuple[bytes, bytes]] | None = None  # in order, as they came; None: not kept
+        self.header_lines: list[tuple[bytes, bytes]] | None = None  # in the order received; None: not kept
 
     def take_body(self) -> bytes:
-        """Return the bytes of the body that have come since the last call, and forget them."""
+        """Remove and return the bytes of the body received since the last call."""
         data = bytes(self.body)
         self.body.clear()
         return data
 
     def header(self, name: bytes) -> str | None:
-        """Return the value of a header field by its name in lower case; None where there is none."""
+        """Return the value of a header field by its name in lower case; None if absent."""
         value = self.fields.get(name)
         return None if value is None else value.decode("latin-1")
 
 
 class Reader:
-    """An incremental parser: bytes in, complete messages out. After an error it reads no more.
+    """An incremental parser, which returns complete messages. After an error it ignores further bytes.
 
-    llhttp checks the syntax: characters, lengths, Content-Length beside Transfer-Encoding. It does not limit sizes,
-    and it accepts responses that end with their connection; the reader sees to both.
+    llhttp validates the syntax: characters, lengths, Content-Length together with Transfer-Encoding. It does not limit
+    sizes and accepts responses delimited by the end of the connection; the reader checks both.
     """
 
     def __init__(
@@ -99,28 +99,28 @@
         keep_header_lines: bool = False,
         head_limit: int = MAX_HEAD_BYTES,
     ) -> None:
-        """Start a reader at the begin of a connection.
+        """Initialize a reader for a new connection.
 
         Args:
-            parser: llhttp's parser for the direction that is read.
-            body_limit: The longest body that is accepted, in bytes.
-            until_close: Whether a response may end with its connection; `close` then completes it.
-            keep_header_lines: Whether `Message.header_lines` is filled, for heads that are passed on as they came.
-            head_limit: The longest head that is accepted, in bytes.
+            parser: The llhttp parser class, for requests or for responses.
+            body_limit: The maximum size of a body, in bytes.
+            until_close: Whether the end of the connection may delimit a response; `close` then completes it.
+            keep_header_lines: Whether to fill `Message.header_lines`, for heads that are forwarded unchanged.
+            head_limit: The maximum size of a head, in bytes.
         """
         self._parser = parser(self)
         self._body_limit, self._until_close, self._keep_header_lines = body_limit, until_close, keep_header_lines
         self._head_limit = head_limit
         self._complete: list[Message] = []
         self.in_body = False
-        self._head_bytes = 0  # of the current head: bytes of its parsed lines
-        self._unparsed_head_bytes = 0  # of the current head: all bytes fed while its end has not come
-        self._interim_responses = 0  # in a row
-        self.current: Message | None = None  # begun and not complete
+        self._head_bytes = 0  # bytes of the parsed lines of the current head
+        self._unparsed_head_bytes = 0  # all bytes fed for the current head until its end is received
+        self._interim_responses = 0  # consecutive
+        self.current: Message | None = None  # the message being received, if any
         self.error: InvalidMessageError | None = None
 
     def feed(self, data: bytes) -> list[Message]:
-        """Return the messages that these bytes complete; sets `error` where what follows them is invalid."""
+        """Return the messages that these bytes complete; set `error` if the bytes after them are invalid."""
         if self.error is not None:
             return []
         try:
@@ -129,7 +129,7 @@
             self.error = InvalidMessageError(400, "no other protocol is spoken here")
             self._complete.clear()
         except HttpParserError as error:
-            # The parser wraps an error that a callback raised for a limit.
+            # If a callback raised an error, for example for a limit, the parser wraps it; `_stop` has already set it.
             self.error = self.error or InvalidMessageError(400, f"malformed message: {error}")
         if self.current is not None and not self.in_body:
             self._unparsed_head_bytes += len(data)
@@ -139,7 +139,7 @@
         return complete
 
     def close(self) -> Message | None:
-        """Note that the peer has closed the connection; return the message that this completes, if any."""
+        """Handle the end of the connection; return the message that it completes, if any."""
         message = self.current
         if message is None or not message.until_close or not self.in_body or self.error is not None:
             return None
@@ -147,9 +147,9 @@
         return message
 
     def end(self) -> None:
-        """Release the parser; nothing more may be fed.
+        """Release the parser; `feed` then ignores all bytes.
 
-        Parser and reader form a reference cycle, which only the garbage collector would free otherwise.
+        Parser and reader form a reference cycle, which otherwise only the garbage collector would free.
         """
         self.error = self.error or InvalidMessageError(400, "the connection is over")
         del self._parser
@@ -187,7 +187,7 @@
             message.fields[name] = value
 
     def on_headers_complete(self) -> None:
-        """Check the head and fill in what it says of the body."""
+        """Check the head and set the attributes of the message that describe its body and version."""
         message, parser = self.current, self._parser
         assert message is not None
         self.in_body = True
@@ -199,7 +199,7 @@
             message.status = parser.get_status_code()
             bodiless = message.status < 200 or message.status in (204, 304)
             if not bodiless and message.fields.keys().isdisjoint((b"content-length", b"transfer-encoding")):
-                # It ends with the connection: a truncated response looks like a complete one.
+                # The end of the connection delimits it, so a truncated response cannot be told from a complete one.
                 if not self._until_close:
                     self._stop(502, "answer of unknown length")
                 message.until_close = True
@@ -219,7 +219,7 @@
             self._stop(413, "body too large")
 
     def on_message_complete(self) -> None:
-        """Note that the message is complete; interim responses are dropped."""
+        """Store the complete message; interim (1xx) responses are only counted."""
         message, self.current = self.current, None
         assert message is not None
         if 100 <= message.status < 200:
@@ -245,7 +245,7 @@
     if target[:7].lower() != b"http://":
         return target
     authority, slash, rest = target[7:].partition(b"/")
-    path, question_mark, query = authority.partition(b"?")  # no path at all
+    path, question_mark, query = authority.partition(b"?")  # the path may be empty
     return slash + rest if slash and not question_mark else b"/" + question_mark + query + slash + rest
 
 
@@ -270,7 +270,7 @@
         status: The HTTP status.
         headers: Header fields without Content-Length, which is added.
         body: The body.
-        bodiless: Whether the body is left out, as in a response to HEAD.
+        bodiless: Whether to omit the body, as in a response to HEAD.
     """
     return encode_response_head(status, [*headers, ("Content-Length", str(len(body)))]) + (b"" if bodiless else body)
 
--- a/lilacsill/net/__init__.py
+++ b/lilacsill/net/__init__.py
@@ -1,1 +1,1 @@
-"""Byte streams over TCP on the event loop: all sockets of the agent but the listener."""
+"""Byte streams over TCP on the event loop: used for all sockets of the agent except its listeners."""
--- a/lilacsill/net/connecting.py
+++ b/lilacsill/net/connecting.py
@@ -1,6 +1,6 @@
-"""Opening TCP connections.
+"""Opens TCP connections.
 
-A connection that the kernel completes at once, as on loopback, is reported in the same iteration of the loop.
+A connection that the kernel establishes at once, as on loopback, is reported in the same iteration of the event loop.
 """
 
 from __future__ import annotations
@@ -20,10 +20,10 @@
 
 
 def new_socket(family: int) -> socket.socket:
-    """Return a non-blocking TCP socket without Nagle's algorithm.
+    """Return a non-blocking TCP socket with TCP_NODELAY set.
 
     Raises:
-        OSError: The kernel has no socket to give; so too where the process has no descriptor left.
+        OSError: The socket cannot be created, for example because the process has no file descriptor left.
     """
     sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -49,27 +49,27 @@
         self._on_connected, self._on_failed = on_connected, on_failed
         self._loop = running_loop()
         self._sock: socket.socket | None = None
-        self._awaits_writable = False  # whether the loop watches the socket
+        self._awaits_writable = False  # whether a writer callback is registered for the socket
         self._timer: Timer | None = None
         self._resolution: asyncio.Task[None] | None = None
         self._done = False
 
     def begin(self) -> None:
-        """Start to connect; the time-out runs from now on."""
+        """Start to connect; the timeout starts now."""
         host, port = self._address.host, self._address.port
         self._timer = self._clock.after(
             int(self._timeout_s * 1e6), self._fail, TimeoutError(errno.ETIMEDOUT, "timed out")
         )
         family = address_family(host)
         if family is None:
-            import asyncio  # imported here: the mesh's processes have numeric addresses only, and do without it
+            import asyncio  # imported here: processes of the mesh use only numeric addresses and never load asyncio
 
             self._resolution = asyncio.get_running_loop().create_task(self._resolve(host, port))
         else:
             self._connect(family, (host, port))
 
     def cancel(self) -> None:
-        """Give the attempt up: `on_failed` gets ECANCELED. Has no effect on one that is done."""
+        """Cancel the attempt: `on_failed` is called with ECANCELED. Has no effect on a completed attempt."""
         self._fail(OSError(errno.ECANCELED, os.strerror(errno.ECANCELED)))
 
     async def _resolve(self, host: str, port: int) -> None:
@@ -140,7 +140,7 @@
 
 
 def address_family(host: str) -> int | None:
-    """Return the address family of a numeric address; None for a name."""
+    """Return the address family of a numeric address; None for a host name."""
     for family in (socket.AF_INET, socket.AF_INET6):
         try:
             socket.inet_pton(family, host)
@@ -154,7 +154,7 @@
     """Connect to an address and return the socket.
 
     Raises:
-        OSError: The connection could not be opened; TimeoutError where it took longer than `timeout_s`.
+        OSError: The connection could not be opened; a TimeoutError if that took longer than `timeout_s`.
     """
     import asyncio
 
--- a/lilacsill/net/reactor.py
+++ b/lilacsill/net/reactor.py
@@ -1,6 +1,7 @@
-"""The event loop that watches descriptors: the process's own where one is installed, else the running asyncio loop.
+"""Selects the event loop of the process: the loop passed to `install`, else the running asyncio loop.
 
-Importing asyncio costs 7 MB and 87 ms of a start. The mesh's processes are priced for both and bring their own loop.
+Importing asyncio costs 7 MB of memory and 87 ms of start-up time. Both count as costs of the mesh's processes, which
+therefore install an event loop of their own.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class EventLoop(Protocol):
-    """What streams need of an event loop; asyncio's loops have it."""
+    """The methods of an event loop that streams use; asyncio's loops provide them."""
 
     def add_reader(self, fd: int, callback: Callable[..., Any], *args: Any) -> Any:
         """Call `callback(*args)` whenever the descriptor is readable."""
@@ -31,7 +32,7 @@
 
 
 class TimerScheduler(Protocol):
-    """What sets timers: a clock or a reactor."""
+    """Schedules timers; implemented by the clock and by the reactor."""
 
     def after(self, delay_us: int, callback: Callable[..., None], *arguments: Any) -> Timer:
         """Schedule `callback(*arguments)` in `delay_us` microseconds."""
@@ -41,7 +42,7 @@
 
 
 def install(loop: EventLoop | None) -> None:
-    """Make `loop` this process's event loop; None: asyncio's again."""
+    """Make `loop` the event loop of this process; None restores asyncio's."""
     global _installed
     _installed = loop
 
--- a/lilacsill/net/stream.py
+++ b/lilacsill/net/stream.py
@@ -1,8 +1,8 @@
 """One TCP stream, with one buffer for the bytes that the kernel has not accepted yet.
 
-asyncio's own transports take two to four iterations of the event loop to set a connection up, and as many tasks and
-futures. On a busy core an iteration takes 50 ms: health checks ran into their time-out before their connection was up,
-each of them then cost another connection, and nothing was served any more.
+asyncio's transports need two to four iterations of the event loop, and as many tasks and futures, to set up a
+connection. On a busy core an iteration takes 50 ms: health checks timed out before their connection was established,
+each of them then opened another connection, and no request was served any more.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 from .reactor import running_loop
 
-MAX_READ_BYTES = 256 * 1024  # read at once
-# One buffer for all streams: what was read is copied out before the next read.
+MAX_READ_BYTES = 256 * 1024  # per system call
+# Shared by all streams: the bytes are copied out before the next read.
 _BUFFER = memoryview(bytearray(MAX_READ_BYTES))
 
 
@@ -25,20 +25,20 @@
         """Handle bytes from the peer."""
 
     def eof_received(self) -> None:
-        """Handle the end of the peer's sending, or a reset. The stream then closes by itself."""
+        """Handle the end of the peer's data, or a reset. The stream then closes itself."""
 
     def flushed(self) -> None:
-        """Handle that the kernel has accepted all bytes sent, after some had to be buffered."""
+        """Handle an empty send buffer: the kernel has accepted all bytes, after some had to be buffered."""
 
     def connection_lost(self) -> None:
-        """Handle the end of the stream, the last call: it is closed and its descriptor is free."""
+        """Handle the end of the stream, whose socket is closed. No other method is called after this."""
 
 
 class Stream:
-    """A connected non-blocking socket, which the stream owns from its construction on.
+    """A connected non-blocking socket, which the stream owns once it is constructed.
 
     Raises:
-        OSError: The event loop cannot watch the socket (at construction); the socket is still the caller's then.
+        OSError: The event loop cannot watch the socket (at construction); the caller still owns the socket.
     """
 
     __slots__ = (
@@ -60,10 +60,10 @@
         self._sock, self._fd, self._handler = sock, sock.fileno(), handler
         self._unsent = bytearray()
         self._half_closing = self._closed = False
-        self.closing = False  # nothing more is read, and the stream closes when all is written
+        self.closing = False  # no more reads; the stream closes once all bytes are written
         self.paused = False
         self.reset = False  # whether the peer has reset the connection
-        self.read_limit: Callable[[], int] | None = None  # bytes to read at once; None: MAX_READ_BYTES
+        self.read_limit: Callable[[], int] | None = None  # returns the maximum bytes per read; None: MAX_READ_BYTES
         self._loop.add_reader(self._fd, self.receive)
 
     @property
@@ -72,7 +72,7 @@
         return len(self._unsent)
 
     def receive(self) -> None:
-        """Read once, and pass on what was read, if anything."""
+        """Read once and pass any data, or the end of the stream, to the handler."""
         try:
             nbytes = self._sock.recv_into(_BUFFER, self.read_limit() if self.read_limit is not None else MAX_READ_BYTES)
         except (BlockingIOError, InterruptedError):
@@ -80,7 +80,7 @@
         except OSError:
             nbytes = 0
             self.reset = True
-            self._unsent.clear()  # nobody receives it any more
+            self._unsent.clear()  # the peer no longer receives it
         if nbytes:
             self._handler.data_received(bytes(_BUFFER[:nbytes]))
         else:
@@ -100,19 +100,19 @@
         return False
 
     def pause(self) -> None:
-        """Read nothing until `resume`; TCP's flow control then slows the peer down."""
+        """Stop reading until `resume`, so that TCP flow control slows down the peer."""
         if not self.closing and not self.paused:
             self.paused = True
             self._loop.remove_reader(self._fd)
 
     def resume(self) -> None:
-        """Read again after `pause`."""
+        """Resume reading after `pause`."""
         if not self.closing and self.paused:
             self.paused = False
             self._loop.add_reader(self._fd, self.receive)
 
     def send(self, data: bytes) -> None:
-        """Write now what the kernel accepts, and the rest when it accepts more."""
+        """Write what the kernel accepts now and buffer the rest until the socket is writable."""
         if self._closed:
             return
         if not self._unsent:
@@ -147,7 +147,7 @@
             self.abort()
 
     def half_close(self) -> None:
-        """Shut down the sending side when all is written; the stream still reads."""
+        """Shut down the sending side once all bytes are written; the stream still reads."""
         self._half_closing = True
         if not self._unsent:
             self._shut_down()
@@ -156,11 +156,11 @@
         if not self._closed:
             try:
                 self._sock.shutdown(socket.SHUT_WR)
-            except OSError:  # the peer has reset it
+            except OSError:  # the peer has reset the connection
                 self.abort()
 
     def close(self) -> None:
-        """Close when all is written."""
+        """Stop reading, and close once all bytes are written."""
         if not self.closing:
             self.closing = True
             self._loop.remove_reader(self._fd)
@@ -170,7 +170,8 @@
     def abort(self) -> None:
         """Close at once.
 
-        The peer sees it at once, too: the next attempt of the same request may go out in this iteration of the loop.
+        The socket is closed before this returns, not in a later iteration of the event loop, since the next attempt of
+        the same request may be sent in this iteration.
         """
         if self._closed:
             return
--- a/lilacsill/timers.py
+++ b/lilacsill/timers.py
@@ -1,8 +1,8 @@
-"""A timing wheel: deadlines by the thousand, in slots a millisecond wide. No I/O; the caller passes the time in.
+"""A timing wheel for thousands of deadlines, with slots of one millisecond. No I/O; the caller passes the time.
 
-Four of five timers of a request are cancelled before they are due. In a heap each of them costs a sift on its way in
-and another on its way out (Varghese and Lauck, Hashed and Hierarchical Timing Wheels, SOSP 1987, scheme 4). Here a
-timer is an entry of a list, and cancelling it empties the entry.
+Four of the five timers of a request are cancelled before they are due. In a heap, each timer costs one sift on
+insertion and another on removal. Here a timer is an entry of a list, and cancelling it clears the entry (Varghese and
+Lauck, Hashed and Hierarchical Timing Wheels, SOSP 1987, scheme 4).
 """
 
 from __future__ import annotations
@@ -11,25 +11,25 @@
 from heapq import heapify, heappop, heappush
 from typing import Any
 
-SLOT_US = 1_000  # width of a slot in microseconds
-SWEEP_THRESHOLD = 512  # cancelled entries that may stay in the wheel before they are swept out
+SLOT_US = 1_000  # width of a slot
+SWEEP_THRESHOLD = 512  # cancelled entries above which the wheel may be swept
 
 
 class Timer:
     """One deadline.
 
-    It fires at most once, never early, and the wheel adds less than the width of a slot to its time.
+    It fires at most once and never early. The wheel rounds its time up by less than the width of a slot.
     """
 
     __slots__ = ("_callback", "_arguments", "wheel")
 
     def __init__(self, wheel: TimerWheel, callback: Callable[..., None], arguments: tuple[Any, ...]) -> None:
-        self.wheel: TimerWheel | None = wheel  # None once the wheel has handed it out
+        self.wheel: TimerWheel | None = wheel  # None once `TimerWheel.pop_due` has returned the timer
         self._arguments = arguments
         self._callback: Callable[..., None] | None = callback
 
     def cancel(self) -> None:
-        """Cancel the timer. Has no effect on one that has fired or was cancelled before."""
+        """Cancel the timer. Has no effect if it has fired or was cancelled before."""
         if self._callback is not None:
             self._callback, self._arguments = None, ()
             if self.wheel is not None:
@@ -51,14 +51,14 @@
 class TimerWheel:
     """All deadlines of a process.
 
-    `next_due_us` says when to call `pop_due` next.
+    The caller calls `pop_due` at the time `next_due_us`.
     """
 
     def __init__(self) -> None:
         self._slots: dict[int, list[Timer]] = {}
         self._slot_heap: list[int] = []  # numbers of the slots in use
         self._entries = 0  # timers in the slots, cancelled ones included
-        self.cancelled = 0  # of these, the cancelled ones
+        self.cancelled = 0  # cancelled timers in the slots
 
     def __len__(self) -> int:
         """Return the number of timers that are not cancelled."""
@@ -66,7 +66,7 @@
 
     @property
     def next_due_us(self) -> int | None:
-        """The time at which the next slot is due, in microseconds; None where no timer is set."""
+        """The time at which the next slot is due, in microseconds; None if no timer is set."""
         return self._slot_heap[0] * SLOT_US if self._slot_heap else None
 
     def add(self, at_us: int, callback: Callable[..., None], arguments: tuple[Any, ...] = ()) -> Timer:
@@ -87,7 +87,7 @@
     def pop_due(self, now_us: int) -> list[Timer]:
         """Remove and return the timers that are due, in order of their slots.
 
-        The caller calls `fire` on each. A timer that an earlier one cancels in between stays silent.
+        The caller calls `fire` on each; this does nothing for a timer that an earlier callback has cancelled.
         """
         due: list[Timer] = []
         while self._slot_heap and self._slot_heap[0] * SLOT_US <= now_us:
@@ -99,7 +99,8 @@
         return due
 
     def _sweep(self) -> None:
-        # A client may state a deadline a day ahead and be answered at once: its timer must not stay until then.
+        # A request may have a deadline a day ahead and be answered at once; its cancelled timer must not use memory
+        # until then.
         live = {number: [t for t in slot if not t.is_done] for number, slot in self._slots.items()}
         self._slots = {number: slot for number, slot in live.items() if slot}
         self._slot_heap = list(self._slots)
--- a/tests/agent/test_admission_storm.py
+++ b/tests/agent/test_admission_storm.py
@@ -227,7 +227,7 @@
         for text, line in (
             ("[admission]\nknown = [7]", "[admission] known[0]: Expected `str`, got `int`"),
             ("[admission]\nreserve = 400\nknown = ['127.9.0.0/16']", "reserve: 400 is above"),
-            (OPERATOR + "per_address = 2\n", "operator file read again"),
+            (OPERATOR + "per_address = 2\n", "operator file reloaded"),
         ):
             scene.agent.operator(text)
             scene.agent.process.send_signal(signal.SIGHUP)
--- a/tests/agent/test_operator.py
+++ b/tests/agent/test_operator.py
@@ -14,7 +14,7 @@
 
 from lilacsill.agent.admission.settings import AdmissionSettings
 from lilacsill.agent.operator.file import OperatorError, load, needs_restart
-from lilacsill.agent.operator.sections import LIVE, AdmissionSection, OperatorFile
+from lilacsill.agent.operator.sections import RELOADABLE_KEYS, AdmissionSection, OperatorFile
 from tests.agent.loopback import Peer, Running, config_doc
 
 ROOT = Path(__file__).parents[2]
@@ -29,12 +29,12 @@
     "[admission]\nnew_burst = 0": "[admission] new_burst: Expected `int` >= 1",
     "[admission]\nknown = ['10.4.0.1/16']": "[admission] '10.4.0.1/16' is no address or CIDR",
     "[admission]\nknown = ['2001:db8::1']": "name a /64",
-    "[admission]\nreserve = 5": "[admission] reserve: nobody can be known without `known` or `learn_known_s`",
+    "[admission]\nreserve = 5": "[admission] reserve: no client can be known without `known` or `learn_known_s`",
     "[admission]\nretry_after_s = [2, 1]": ("[admission] retry_after_s: the first must not be above the second"),
     "[admission]\nretry_after_s = [2]": "[admission] retry_after_s: Expected `array` of length 2",
-    "[admission\n": "no TOML: ",
-    "[admission]\nknown = []\nknown = []": "no TOML: ",
-    "\0": "no TOML: ",
+    "[admission\n": "invalid TOML: ",
+    "[admission]\nknown = []\nknown = []": "invalid TOML: ",
+    "\0": "invalid TOML: ",
 }
 
 
@@ -52,7 +52,7 @@
         with pytest.raises(OperatorError, match=f"^{path}: "):
             load(str(path))
     (tmp_path / "latin").write_bytes(b"# \xe9")
-    with pytest.raises(OperatorError, match="no TOML"):
+    with pytest.raises(OperatorError, match="invalid TOML"):
         load(str(tmp_path / "latin"))
 
 
@@ -91,8 +91,8 @@
 def test_what_needs_a_restart_is_named(monkeypatch: pytest.MonkeyPatch) -> None:
     old, new = OperatorFile(), OperatorFile(admission=AdmissionSection(per_address=4, new_burst=9))
     assert needs_restart(old, new) == []
-    live = {**LIVE, "admission": frozenset({"per_address"})}
-    monkeypatch.setattr("lilacsill.agent.operator.file.LIVE", live)
+    live = {**RELOADABLE_KEYS, "admission": frozenset({"per_address"})}
+    monkeypatch.setattr("lilacsill.agent.operator.file.RELOADABLE_KEYS", live)
     assert needs_restart(old, new) == ["admission.new_burst"]
 
 
--- a/tests/agent/test_recorder.py
+++ b/tests/agent/test_recorder.py
@@ -69,20 +69,20 @@
         for number in range(9000):
             r.request_answered(number, 200)
         r.close()
-    assert [m.split(":")[0] for m in caplog.messages] == ["the recording ends"] * 2
+    assert [m.split(":")[0] for m in caplog.messages] == ["recording stopped"] * 2
 
 
 @pytest.mark.parametrize(
     "data, why",
     [
-        (b"", "no recording"),
-        (b"{}\n", "no recording"),
-        (b"[]\n", "no recording"),
-        (b"\xff\n", "n0:1: no JSON"),
+        (b"", "not a recording"),
+        (b"{}\n", "not a recording"),
+        (b"[]\n", "not a recording"),
+        (b"\xff\n", "n0:1: invalid JSON"),
         (HEAD.replace(b'"version":2', b'"version":3'), "version 3; this program reads version 2"),
-        (HEAD + b"{\n", "n0:2: no JSON"),
-        (HEAD + b"[]\n", "n0:2: no event"),
-        (HEAD + b'["q","soon",1]\n', "n0:2: no event"),
+        (HEAD + b"{\n", "n0:2: invalid JSON"),
+        (HEAD + b"[]\n", "n0:2: not an event"),
+        (HEAD + b'["q","soon",1]\n', "n0:2: not an event"),
     ],
 )
 def test_what_is_no_recording_is_named(data: bytes, why: str) -> None:
--- a/tests/agent/test_reload.py
+++ b/tests/agent/test_reload.py
@@ -68,7 +68,7 @@
         for text in ("{", "", json.dumps(doc | {"discovery": "nowhere"})):
             agent.write(text)
             agent.process.send_signal(signal.SIGHUP)
-            await agent.line("the old configuration stays")
+            await agent.line("reload failed; keeping the previous configuration: ")
         assert not watch.peer.told_of_close()
         for peer in (between, last):
             agent.write(json.dumps(doc | {"discovery": f"127.0.0.1:{peer.port}"}))
