--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -70,11 +70,11 @@
             balancing.Log: self._log,
         }
 
-    def start(self, known: Listing) -> None:
+    def start(self, listing: Listing) -> None:
         """Start with the configured list of backends, and follow discovery."""
         if self.observer is not None:
-            self.observer.backends_listed(known)
-        self._post(balancing.BackendsChanged(balancing.ListKind.CACHED, self._backends.apply(known)))
+            self.observer.backends_listed(listing)
+        self._post(balancing.BackendsChanged(balancing.ListKind.CACHED, self._backends.apply(listing)))
         self._discovery.follow(self._on_listing)
 
     def tenant_changed(self, number: int, about: balancing.Tenant | None) -> None:
--- a/lilacsill/http1/connection.py
+++ b/lilacsill/http1/connection.py
@@ -64,7 +64,7 @@
         self.stream = None  # breaks a reference cycle, which only the garbage collector would free
 
     def flushed(self) -> None:
-        """Note that the kernel has accepted all bytes sent."""
+        """Record that the kernel has accepted all bytes sent."""
         self.written = True
 
     # For subclasses and their users
--- a/lilacsill/net/stream.py
+++ b/lilacsill/net/stream.py
@@ -15,7 +15,7 @@
 
 MAX_READ_BYTES = 256 * 1024  # per system call
 # Shared by all streams: the bytes are copied out before the next read.
-_BUFFER = memoryview(bytearray(MAX_READ_BYTES))
+_READ_BUFFER = memoryview(bytearray(MAX_READ_BYTES))
 
 
 class StreamHandler(Protocol):
@@ -74,7 +74,7 @@
     def receive(self) -> None:
         """Read once and pass any data, or the end of the stream, to the handler."""
         try:
-            nbytes = self._sock.recv_into(_BUFFER, self.read_limit() if self.read_limit is not None else MAX_READ_BYTES)
+            nbytes = self._sock.recv_into(_READ_BUFFER, self.read_limit() if self.read_limit is not None else MAX_READ_BYTES)
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -82,7 +82,7 @@
             self.reset = True
             self._unsent.clear()  # the peer no longer receives it
         if nbytes:
-            self._handler.data_received(bytes(_BUFFER[:nbytes]))
+            self._handler.data_received(bytes(_READ_BUFFER[:nbytes]))
         else:
             self._handler.eof_received()
             self.close()
