--- a/lilacsill/net/stream.py
+++ b/lilacsill/net/stream.py
@@ -74,7 +74,9 @@
     def receive(self) -> None:
         """Read once and pass any data, or the end of the stream, to the handler."""
         try:
-            nbytes = self._sock.recv_into(_READ_BUFFER, self.read_limit() if self.read_limit is not None else MAX_READ_BYTES)
+            nbytes = self._sock.recv_into(
+                _READ_BUFFER, self.read_limit() if self.read_limit is not None else MAX_READ_BYTES
+            )
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
