--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -158,7 +158,10 @@
         self._fail_request(number)
 
     def _fail_request(self, number: int) -> None:
-        """Respond to a request with status 500 because the decision module has failed to end it."""
+        """Respond with status 500 to a request that the decision module failed to end.
+
+        An error is a valid response whatever the result of the attempts.
+        """
         if number in self._in_flight:
             self._answer(number, 500, [], b"failed\n")
             self._post(balancing.ClientDisconnected(number))
--- a/lilacsill/agent/watermarks.py
+++ b/lilacsill/agent/watermarks.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 MAX_WATERMARK_BYTES, MIN_WATERMARK_BYTES = 64 * 1024, 4 * 1024
-MEMORY_DIVISOR = 4  # the budget is 1/4 of the memory limit
-FREE_DIVISOR = 8  # a watermark is 1/8 of the free budget
-BODY_DIVISOR = 4  # one fully buffered body may use 1/4 of the budget for such bodies
+MEMORY_DIVISOR = 4  # memory limit / budget for bodies
+FREE_DIVISOR = 8  # free budget / watermark of one stream
+BODY_DIVISOR = 4  # budget for fully buffered bodies / maximum size of one such body
 
 
 class Watermarks:
