--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -16,7 +16,7 @@
 from lilacsill.timers import Timer
 
 from ..admission.descriptor_account import DescriptorAccount, Side
-from ..descriptors import EXHAUSTED
+from ..descriptors import EXHAUSTION_ERRNOS
 from ..discovery.listing import Member
 
 IDLE_TIMEOUT_SHARE = 0.7  # of the idle time-out of the backends, after which the pool closes an idle connection
@@ -199,7 +199,7 @@
 
         def fail(error: OSError) -> None:
             reservation.release()
-            if error.errno in EXHAUSTED:
+            if error.errno in EXHAUSTION_ERRNOS:
                 self.descriptors_exhausted("a connection to a backend")
             on_failed(error)
 
