--- a/lilacsill/mesh/credit/__init__.py
+++ b/lilacsill/mesh/credit/__init__.py
@@ -1,4 +1,5 @@
-"""Burst credit: rate limits with saved-up bursts that hold over all proxies together.
+"""Burst credit: rate limits with accumulated bursts that are enforced over all proxies together.
 
-A caller's account has one home node; proxies spend leases on it.
+Each caller has an account at one owner node. The owner grants proxies leases on the credit of the account, and proxies
+spend them.
 """
--- a/lilacsill/mesh/credit/contract.py
+++ b/lilacsill/mesh/credit/contract.py
@@ -1,4 +1,4 @@
-"""Contracts, a kind of configuration of their own: tiers, costs of routes, and the tier of each caller. No I/O.
+"""Contracts, a separate kind of configuration: tiers, costs of routes, and the tier of each caller. No I/O.
 
 {"Header": "Caller-Key",
  "Tiers": [{"Name": "counter", "Rate": 20, "Burst": 120, "LastsS": 60, "Costs": {"tyre-reserve": 2}},
@@ -16,9 +16,9 @@
 if TYPE_CHECKING:
     from cerberus import Validator
 
-RESERVE_SHARE = 0.01  # of rate and burst, set aside for nodes that get no answer from a home node
+RESERVE_SHARE = 0.01  # of rate and burst, reserved for nodes that get no answer from an account owner
 MAX_NODES = 256  # each has an equal share of the reserve
-MAX_KEY_BYTES = 128  # of a caller's key; the rest is dropped
+MAX_KEY_BYTES = 128  # maximum length of a caller's key; the rest is truncated
 MAX_CREDITS = 1e9
 _NAME = {"type": "string", "required": True, "minlength": 1, "maxlength": 64}
 CONTRACTS_SCHEMA = {
@@ -54,42 +54,42 @@
 
 
 class Tier(msgspec.Struct, frozen=True):
-    """What a group of callers may spend."""
+    """The credit limits of a group of callers."""
 
     name: str
-    rate: float  # credits a second
+    rate: float  # credits per second
     burst: float  # credits
-    costs: dict[str, float]  # credits for a request, by route; 1 for all others
+    costs: dict[str, float]  # credits per request, by route; 1 for routes that are not listed
 
     def cost(self, route: str) -> float:
         """Return the credits for one request."""
         return self.costs.get(route, 1.0)
 
     @property
-    def home_rate(self) -> float:
-        """Credits a second that home nodes lend; the rest is the reserve."""
+    def account_rate(self) -> float:
+        """Credits per second that the account accrues; the rest is the reserve."""
         return self.rate * (1 - RESERVE_SHARE)
 
     @property
-    def home_burst(self) -> float:
-        """The most credit that an account can have."""
+    def account_burst(self) -> float:
+        """The maximum credit of an account."""
         return self.burst * (1 - RESERVE_SHARE)
 
     @property
-    def floor_rate(self) -> float:
-        """Credits a second of one node's share of the reserve."""
+    def reserve_rate(self) -> float:
+        """Credits per second of one node's share of the reserve."""
         return self.rate * RESERVE_SHARE / MAX_NODES
 
     @property
-    def floor_burst(self) -> float:
-        """The most credit that one node can save of its share."""
+    def reserve_burst(self) -> float:
+        """The maximum credit that one node can accumulate from its share of the reserve."""
         return self.burst * RESERVE_SHARE / MAX_NODES
 
 
 class Contracts(msgspec.Struct, frozen=True):
     """All tiers, and the tier of each caller."""
 
-    header: bytes  # that names the caller, in lower case; empty: the service of the machine is the caller
+    header: bytes  # that identifies the caller, in lower case; if empty, the service of the machine is the caller
     tiers: dict[str, Tier]
     callers: dict[str, str]  # names of tiers
     default: str  # the tier of all other callers
@@ -99,18 +99,18 @@
         return self.tiers[self.callers.get(caller, self.default)]
 
     def caller(self, key: bytes, service: str) -> str:
-        """Return who pays for a request.
+        """Return the caller whose account is charged for a request.
 
-        A key may be any bytes: it is shortened to its limit and decoded byte by byte.
+        A key may be any bytes: it is truncated to `MAX_KEY_BYTES` and decoded as Latin-1.
         """
         return key[:MAX_KEY_BYTES].decode("latin-1") if key else service
 
 
 def parse_contracts(body: bytes) -> Result[Contracts, str]:
-    """Read and check contracts.
+    """Parse and validate contracts.
 
     Returns:
-        A Failure says what is wrong, with its path and limit.
+        The contracts, or a Failure that describes the error with its path and limit.
     """
     try:
         document = msgspec.json.decode(body)
@@ -127,7 +127,7 @@
 def _load_validator() -> Validator:
     global _validator
     if _validator is None:
-        from cerberus import Validator  # 7 MB that only a check needs
+        from cerberus import Validator  # 7 MB of memory, needed only for validation
 
         _validator = Validator(CONTRACTS_SCHEMA)
     return _validator
@@ -140,8 +140,8 @@
         if tier.name in tiers:
             return Failure(f"Tiers: {tier.name} is named twice")
         for route, cost in tier.costs.items():
-            if cost > tier.home_burst:
-                limit = f"{tier.home_burst:.6g} is the most that can be saved"
+            if cost > tier.account_burst:
+                limit = f"{tier.account_burst:.6g} is the most that can be saved"
                 return Failure(f"Tiers.{tier.name}.Costs.{route}: costs {cost}, {limit}")
         tiers[tier.name] = tier
     callers = document.get("Callers", {})
--- a/lilacsill/mesh/operations/__init__.py
+++ b/lilacsill/mesh/operations/__init__.py
@@ -1,4 +1,5 @@
-"""Operations that run once, whichever proxies receive their copies.
+"""Operations that run at most once, even if several proxies receive copies of the request.
 
-The chain keeps which proxy may run an operation; that proxy keeps its response. Nothing here knows HTTP or sockets.
+The chain stores which proxy may run an operation; that proxy stores its response. This package is independent of HTTP
+and sockets.
 """
--- a/lilacsill/mesh/operations/claim_client.py
+++ b/lilacsill/mesh/operations/claim_client.py
@@ -1,7 +1,7 @@
-"""Asks the members of the store for the right to run an operation, and the owner what became of it. No I/O.
+"""Claims operations at the members of the store, and queries the outcome from the owner of an operation. No I/O.
 
-A claim may be repeated without harm, so a question that has no answer, or an uncertain one, is asked again within the
-patience of the request: at the head of the newest view, or at another member if the head does not answer.
+Claims are idempotent, so a claim with no answer or an inconclusive one is retried until the request times out: at the
+head of the newest view, or at another member if the head does not answer.
 """
 
 from __future__ import annotations
@@ -23,29 +23,29 @@
 from lilacsill.mesh.runtime.records import OperationOwner, StoredResponse
 
 CLAIM_TIMEOUT_US = 100_000  # a commit takes two syncs and some hops; a head that needs longer may be lost
-QUERY_TIMEOUT_US = 200_000  # of the question to the owner
-FIRST_PAUSE_US = 4_000  # before a question is repeated; it doubles
-MAX_PAUSE_US = 64_000
-MIN_TIMEOUT_US = 1_000  # with less time left no question is sent
+QUERY_TIMEOUT_US = 200_000  # of the query to the owner
+INITIAL_BACKOFF_US = 4_000  # before a claim is retried; doubles after each retry
+MAX_BACKOFF_US = 64_000
+MIN_TIMEOUT_US = 1_000  # with less time left no claim or query is sent
 
 
 class ClaimOutcome(Enum):
-    """The decision on a claim. Where another proxy has answered the operation, its `StoredResponse` is the decision."""
+    """The decision on a claim. If another proxy has answered the operation, its `StoredResponse` is the decision."""
 
     GRANTED = "granted"
-    IN_PROGRESS = "in progress"  # another proxy owns the operation, which is not over
+    IN_PROGRESS = "in progress"  # another proxy owns the operation, which has not ended
     UNKNOWN = "unknown"  # another proxy owns it, and it is not known whether it ran
-    FULL = "full"  # no more operations are taken for now
+    FULL = "full"  # the store accepts no further operations for now
     UNAVAILABLE = "unavailable"  # neither the members of the store nor the owner decided in time
 
 
 Decision = ClaimOutcome | StoredResponse
 OnGranted = Callable[[str, OperationOwner], None]
-"""Takes each grant, by operation and claim, also one that comes after the request has given up."""
+"""Called with the operation and claim of each grant, also if it arrives after the request was cancelled."""
 
 
 class ClaimClient:
-    """Makes the claims of one proxy."""
+    """Sends the claims of one proxy."""
 
     def __init__(self, environment: Environment, members: CoreMembers, on_granted: OnGranted) -> None:
         self.environment, self.members, self.on_granted = environment, members, on_granted
@@ -55,38 +55,38 @@
         operation: str,
         owner: OperationOwner,
         replaces: OperationOwner | None,
-        patience_us: int,
+        timeout_us: int,
         on_decision: Callable[[Decision], None],
     ) -> PendingClaim:
-        """Ask for the right to run an operation.
+        """Claim the right to run an operation.
 
         Args:
-            operation: Its name.
+            operation: The name of the operation.
             owner: The claim.
-            replaces: The claim that it replaces, whose owner has stated that it will never run the operation.
-            patience_us: After which the decision is `UNAVAILABLE`.
+            replaces: The claim that it replaces, whose owner has reported that it will never run the operation.
+            timeout_us: Time after which the decision is `UNAVAILABLE`.
             on_decision: Called once, later, unless the claim is cancelled.
         """
-        return PendingClaim(self, Claim(operation, owner, replaces), patience_us, on_decision)
+        return PendingClaim(self, Claim(operation, owner, replaces), timeout_us, on_decision)
 
 
 class PendingClaim:
-    """One claim on its way to a decision."""
+    """One claim that is not decided yet."""
 
     def __init__(
-        self, client: ClaimClient, claim: Claim, patience_us: int, on_decision: Callable[[Decision], None]
+        self, client: ClaimClient, claim: Claim, timeout_us: int, on_decision: Callable[[Decision], None]
     ) -> None:
         """Send the claim."""
         self._client, self._environment, self._claim = client, client.environment, claim
         self._on_decision: Callable[[Decision], None] | None = on_decision
-        self._end_at = self._environment.now() + patience_us
-        self._pause_us = FIRST_PAUSE_US
-        self._asks_head = True  # until it does not answer
-        self._timer = self._environment.after(patience_us, self._decide, ClaimOutcome.UNAVAILABLE)
+        self._deadline_at = self._environment.now() + timeout_us
+        self._backoff_us = INITIAL_BACKOFF_US
+        self._asks_head = True  # until a claim gets no answer
+        self._timer = self._environment.after(timeout_us, self._decide, ClaimOutcome.UNAVAILABLE)
         self._send_claim()
 
     def cancel(self) -> None:
-        """Give the claim up; it may still be granted, which `ClaimClient.on_granted` then reports."""
+        """Cancel the claim. It may still be granted; `ClaimClient.on_granted` is then called."""
         self._on_decision = None
         self._timer.cancel()
 
@@ -97,7 +97,7 @@
             on_decision(decision)
 
     def _timeout_us(self, longest_us: int) -> int:
-        return min(longest_us, self._end_at - self._environment.now())
+        return min(longest_us, self._deadline_at - self._environment.now())
 
     # The claim
 
@@ -114,8 +114,8 @@
             self._environment.ask(address, self._claim, timeout_us, lambda reply: self._on_claim_reply(address, reply))
 
     def _retry_later(self) -> None:
-        self._environment.after(self._pause_us, self._send_claim)
-        self._pause_us = min(MAX_PAUSE_US, 2 * self._pause_us)
+        self._environment.after(self._backoff_us, self._send_claim)
+        self._backoff_us = min(MAX_BACKOFF_US, 2 * self._backoff_us)
 
     def _on_claim_reply(self, address: str, reply: Message | None) -> None:
         if not isinstance(reply, ClaimReply):
@@ -135,7 +135,7 @@
             self._on_undecided(address)
 
     def _on_undecided(self, address: str) -> None:
-        """Ask the head at once if another member named it, else later."""
+        """Retry at once if another member has named the head, else after a backoff."""
         head = self._client.members.head()
         is_redirected = head is not None and head != address and self._asks_head
         self._asks_head = True
--- a/lilacsill/mesh/operations/operation_gate.py
+++ b/lilacsill/mesh/operations/operation_gate.py
@@ -1,4 +1,4 @@
-"""The one place where a request asks whether it may run its operation, and reports what became of it. No I/O."""
+"""Decides whether a request may run its operation, and records the outcome of the run. No I/O."""
 
 from __future__ import annotations
 
@@ -22,11 +22,11 @@
 
 
 class OperationRun:
-    """The right to run an operation once. Its holder reports one outcome; a second report changes nothing."""
+    """The right to run an operation once. Its holder reports one outcome; later reports are ignored."""
 
     def __init__(self, table: OperationTable, record: OperationRecord, environment: Environment) -> None:
         self._table, self._environment = table, environment
-        self._record: OperationRecord | None = record  # None: the outcome is known
+        self._record: OperationRecord | None = record  # None once the outcome is reported
 
     def _end(self) -> OperationRecord | None:
         record, self._record = self._record, None
@@ -39,13 +39,13 @@
             self._table.answer(record, response, self._environment.now())
 
     def release(self) -> None:
-        """Note that the operation has not run and will not run for this request."""
+        """Record that the operation has not run and will not run for this request."""
         record = self._end()
         if record is not None:
             self._table.release(record, self._environment.now())
 
     def record_unknown(self) -> None:
-        """Note that the operation may have run, and has no response."""
+        """Record that the operation may have run, and that there is no response."""
         record = self._end()
         if record is not None:
             self._table.record_unknown(record, self._environment.now())
@@ -60,18 +60,16 @@
 
     def __init__(self, gate: OperationGate, record: OperationRecord, on_permission: OnPermission) -> None:
         self._gate, self._record = gate, record
-        self._on_permission: OnPermission | None = on_permission  # None: there was a decision, or it was withdrawn
+        self._on_permission: OnPermission | None = on_permission  # None once decided or cancelled
         self._claim: PendingClaim | None = None
 
-    def start(self, patience_us: int) -> None:
+    def start(self, timeout_us: int) -> None:
         """Send the claim."""
         record = self._record
-        self._claim = self._gate.claims.claim(
-            record.name, record.claim, record.replaces, patience_us, self._on_decision
-        )
+        self._claim = self._gate.claims.claim(record.name, record.claim, record.replaces, timeout_us, self._on_decision)
 
     def cancel(self) -> None:
-        """Withdraw the request: its operation has not run, and a grant that is still to come does not run it."""
+        """Cancel the request: its operation has not run, and a later grant does not run it."""
         if self._on_permission is None:
             return
         self._on_permission = None
@@ -87,12 +85,12 @@
 
 
 class OperationGate:
-    """The operations of one proxy.
+    """Admits the operations of one proxy.
 
     Attributes:
-        table: What is known of them.
-        claims: Makes the claims on them.
-        replays: How many were answered with a stored response.
+        table: The records of the operations.
+        claims: Sends claims to the store.
+        replays: Number of requests answered with a stored response.
     """
 
     def __init__(self, table: OperationTable, environment: Environment, members: CoreMembers) -> None:
@@ -101,46 +99,47 @@
         self.replays = 0
 
     def request(
-        self, tenant: str, key: bytes, patience_us: int, on_permission: OnPermission
+        self, tenant: str, key: bytes, timeout_us: int, on_permission: OnPermission
     ) -> PendingPermission | None:
-        """Ask for the right to run an operation.
+        """Request the right to run an operation.
 
         Args:
-            tenant: The name of its tenant; empty: none.
-            key: The value of `Operation-Key`.
-            patience_us: How long the decision may take.
-            on_permission: Called once, with the right, the response of the first run, or a refusal; perhaps at once.
+            tenant: The name of the tenant; empty if there is none.
+            key: The value of the header `Operation-Key`.
+            timeout_us: The maximum time until the decision.
+            on_permission: Called once, possibly from inside this call, with the right to run, the response of the first
+                run, or a refusal.
 
         Returns:
-            The request while it waits; None if `on_permission` was called.
+            The pending request, or None if `on_permission` was already called.
         """
         now = self.environment.now()
-        beginning = self.table.begin(operation_name(tenant, key), now)
-        if isinstance(beginning, StoredResponse | Refusal):
-            on_permission(self._count(beginning))
+        result = self.table.begin(operation_name(tenant, key), now)
+        if isinstance(result, StoredResponse | Refusal):
+            on_permission(self._count(result))
             return None
-        record = beginning.record
+        record = result.record
         if record.is_granted:
             on_permission(self._run(record))
             return None
         pending = PendingPermission(self, record, on_permission)
-        pending.start(patience_us)
+        pending.start(timeout_us)
         return pending
 
     def conclude(self, record: OperationRecord, decision: Decision) -> Permission:
-        """Turn the decision on a claim into what the request may do, and keep the table in step."""
+        """Convert the decision on a claim into a permission, and update the table."""
         if decision is ClaimOutcome.GRANTED:
             return self._run(record)
         if decision is ClaimOutcome.IN_PROGRESS or isinstance(decision, StoredResponse):
-            self.table.discard(record)  # the other owner has spoken for the operation
+            self.table.discard(record)  # the other proxy is known to own the operation
         else:
-            # The claim may be in force all the same, so the record stays: others may ask about it. Even where another
-            # owner was named, it may have been by a head that has lost its place.
+            # The claim may be in force nevertheless, so the record is kept for queries of other proxies. This also
+            # applies if another owner was named, since that answer may come from a head that has been replaced.
             self.table.release(record, self.environment.now())
         return self._count(decision if isinstance(decision, StoredResponse) else REFUSALS[decision])
 
     def reply_to(self, query: OperationQuery) -> OperationReply:
-        """Tell another proxy what became of an operation."""
+        """Return the state of an operation for the query of another proxy."""
         return self.table.reply_to(query, self.environment.now())
 
     def _run(self, record: OperationRecord) -> OperationRun | Refusal:
--- a/lilacsill/mesh/operations/operation_table.py
+++ b/lilacsill/mesh/operations/operation_table.py
@@ -1,8 +1,8 @@
-"""What a proxy knows of the operations that it owns, or tries to own. No I/O; the caller passes the time.
+"""The operations that a proxy owns or has claimed. No I/O; the caller passes the time.
 
-A claim lets its owner run the operation, and only one claim is in force at any time. The owner may run it again under
-the same claim only while it has not run and no other proxy was notified of that: one that was may have replaced the
-claim, so from then on the record is surrendered and its claim never runs, even if its grant comes later.
+A claim lets its owner run the operation, and only one claim is in force at any time. The owner may reuse the claim only
+while the operation has not run and no other proxy was notified of that. A notified proxy may have replaced the claim,
+so from then on the record is surrendered: the operation never runs under this claim, even if its grant arrives later.
 """
 
 from __future__ import annotations
@@ -15,23 +15,23 @@
 from lilacsill.mesh.runtime.messages import OperationQuery, OperationReply, OperationState
 from lilacsill.mesh.runtime.records import OperationOwner, StoredResponse
 
-RETENTION_MARGIN_US = 10_000_000  # beyond the key window: the clock of a client starts earlier than a record
-# The members of the store keep a claim for the key window and a margin, from its first request on. A run that begins
-# under an older claim would be forgotten before its own window is over.
+RETENTION_MARGIN_US = 10_000_000  # added to the key window: a client's window starts before the record is created
+# The members of the store keep a claim for the key window and a margin, counted from its first request. A run under an
+# older claim would outlast it: the claim would expire before the key window of the run ends.
 CLAIM_REUSE_US = 5_000_000
-MAX_STORED_BYTES = 16 * 1024 * 1024  # of responses, over all records
-MAX_RESPONSE_BYTES = 1024 * 1024  # of one response; a longer one is not stored
+MAX_STORED_BYTES = 16 * 1024 * 1024  # total size of stored responses over all records
+MAX_RESPONSE_BYTES = 1024 * 1024  # size of one response; larger ones are not stored
 MAX_RECORDS = 16_384
-RECORD_OVERHEAD_BYTES = 64  # of one header line of a stored response, beside its text
+RECORD_OVERHEAD_BYTES = 64  # per header line of a stored response, in addition to its text
 
 
 class RecordState(Enum):
-    """What has become of an operation under its present claim."""
+    """The state of an operation under its current claim."""
 
     CLAIMING = "claiming"  # a request waits for the decision on the claim
-    RUNNING = "running"  # a backend may be at work on it
+    RUNNING = "running"  # a backend may be executing it
     ANSWERED = "answered"
-    RELEASED = "released"  # it has not run
+    RELEASED = "released"  # it has not run, and no request is running it
     UNKNOWN = "unknown"  # it may have run, and there is no response
 
 
@@ -45,10 +45,10 @@
         name: See `operation_name`.
         claim: The claim of this proxy on it.
         replaces: The claim that this one replaces, whose owner never ran the operation.
-        claimed_at: When this claim was made, in microseconds.
+        claimed_at: The time at which the claim was created, in microseconds.
         is_granted: Whether the claim is known to be in force.
         is_surrendered: Whether another proxy was notified that the operation never runs under this claim.
-        response: Of a backend, once the operation is answered.
+        response: The response of the backend, once the operation is answered.
     """
 
     __slots__ = (
@@ -72,7 +72,7 @@
 
     @property
     def is_in_progress(self) -> bool:
-        """Whether a request of this proxy is concerned with the operation now."""
+        """Whether a request of this proxy is claiming or running the operation."""
         return self.state in IN_PROGRESS_STATES
 
 
@@ -81,29 +81,29 @@
 
     IN_PROGRESS = "in progress"
     UNKNOWN = "unknown"  # it is not known whether the operation ran
-    FULL = "full"  # no more operations can be remembered
+    FULL = "full"  # the table has no room for another operation
     UNAVAILABLE = "unavailable"  # the members of the store or the owner did not answer in time
 
 
 class Begin(msgspec.Struct, frozen=True):
-    """The request goes on: with the operation if the record's claim is granted, else with the claim."""
+    """The request may proceed: it runs the operation if the record's claim is granted, else it sends the claim."""
 
     record: OperationRecord
 
 
-Beginning = Begin | StoredResponse | Refusal
+BeginResult = Begin | StoredResponse | Refusal
 
 
 class OperationTable:
-    """The operations of one run of one proxy, by name, the longest unchanged first."""
+    """The operations of one incarnation of a proxy, by name, least recently changed first."""
 
     def __init__(self, address: str, incarnation: int, key_window_us: int) -> None:
-        """Begin without operations.
+        """Start without operations.
 
         Args:
-            address: At which this proxy answers other proxies (host:port).
-            incarnation: Identifies this run (`runtime.incarnation.incarnation_id`).
-            key_window_us: For how long after its first request an operation may not run a second time.
+            address: The address at which this proxy answers other proxies (host:port).
+            incarnation: Identifies this process run (`runtime.incarnation.incarnation_id`).
+            key_window_us: The time after its first request in which an operation must not run a second time.
         """
         self._address, self._incarnation = address, incarnation
         self._retention_us = key_window_us + RETENTION_MARGIN_US
@@ -115,13 +115,13 @@
         return len(self._records)
 
     def count_states(self) -> dict[str, int]:
-        """Return how many records are in each state; for operators, since it takes a walk over all of them."""
+        """Return the number of records in each state. Only for operators, since it iterates over all records."""
         return dict(Counter(record.state.value for record in self._records.values()))
 
     # Requests of this proxy
 
-    def begin(self, name: str, now: int) -> Beginning:
-        """Decide on a request for an operation: it goes on, is answered with the stored response, or is refused."""
+    def begin(self, name: str, now: int) -> BeginResult:
+        """Decide on a request for an operation: it proceeds, gets the stored response, or is refused."""
         self._expire(now)
         record = self._records.get(name)
         if record is None:
@@ -138,20 +138,20 @@
         return Begin(record)
 
     def record_granted(self, name: str, claim: OperationOwner) -> None:
-        """Note that a claim is in force. It may come late, and changes nothing else."""
+        """Record that a claim is in force. The grant may arrive late; the state of the record does not change."""
         record = self._records.get(name)
         if record is not None and record.claim == claim:
             record.is_granted = True
 
     def start(self, record: OperationRecord, now: int) -> bool:
-        """Return whether the operation may run now; then it counts as running."""
+        """Return whether the operation may run now; if so, mark it as running."""
         may_run = record.state is RecordState.CLAIMING and record.is_granted and not record.is_surrendered
         if may_run:
             self._change(record, RecordState.RUNNING, now)
         return may_run
 
     def answer(self, record: OperationRecord, response: StoredResponse, now: int) -> None:
-        """Store the response of the operation; where there is no room for it, the outcome counts as unknown."""
+        """Store the response of the operation; if there is no room for it, the outcome becomes unknown."""
         size = response_bytes(response)
         if size > MAX_RESPONSE_BYTES or self.stored_bytes + size > MAX_STORED_BYTES:
             self._change(record, RecordState.UNKNOWN, now)
@@ -161,22 +161,22 @@
         self._change(record, RecordState.ANSWERED, now)
 
     def release(self, record: OperationRecord, now: int) -> None:
-        """Note that the operation has not run, and that nobody runs it now."""
+        """Record that the operation has not run, and that no request is running it."""
         self._change(record, RecordState.RELEASED, now)
 
     def record_unknown(self, record: OperationRecord, now: int) -> None:
-        """Note that the operation may have run, and that its response will not come."""
+        """Record that the operation may have run, and that no response will arrive."""
         self._change(record, RecordState.UNKNOWN, now)
 
     def discard(self, record: OperationRecord) -> None:
-        """Forget a record whose operation belongs to another proxy."""
+        """Remove a record whose operation is owned by another proxy."""
         if self._records.get(record.name) is record:
             self._remove(record)
 
-    # Questions of other proxies
+    # Queries of other proxies
 
     def reply_to(self, query: OperationQuery, now: int) -> OperationReply:
-        """Tell another proxy what became of an operation. After `RELEASED`, the claim is surrendered for good."""
+        """Reply to the query of another proxy. After a `RELEASED` reply the claim is permanently surrendered."""
         self._expire(now)
         record = self._records.get(query.operation)
         if record is None or record.claim != query.owner:
@@ -218,7 +218,7 @@
             self.stored_bytes -= response_bytes(record.response)
 
     def _expire(self, now: int) -> None:
-        """Remove the records that have not changed for long; each costs one step when it is due."""
+        """Remove the records unchanged for the retention period, except those in progress. O(1) per removed record."""
         while self._records:
             oldest = next(iter(self._records.values()))
             if now - oldest.changed_at < self._retention_us:
@@ -230,6 +230,6 @@
 
 
 def response_bytes(response: StoredResponse) -> int:
-    """Return how much memory a stored response counts for."""
+    """Return the memory accounted for a stored response, in bytes."""
     headers = sum(len(name) + len(value) + RECORD_OVERHEAD_BYTES for name, value in response.headers)
     return headers + len(response.body)
--- a/lilacsill/mesh/quota/__init__.py
+++ b/lilacsill/mesh/quota/__init__.py
@@ -1,5 +1,5 @@
-"""Quotas of tenants that hold over all proxies together.
+"""Tenant quotas that are enforced over all proxies together.
 
-One member of the store owns the token bucket of a tenant; proxies ask it for tokens. Nothing here knows HTTP or
-sockets.
+One member of the store owns the token bucket of each tenant; proxies request tokens from it. This package is
+independent of HTTP and sockets.
 """
--- a/lilacsill/mesh/quota/quota_decision.py
+++ b/lilacsill/mesh/quota/quota_decision.py
@@ -1,4 +1,4 @@
-"""What a request of a limited tenant waits for: the decision on its token."""
+"""Decisions on token requests of limited tenants, and the requests that wait for them."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 
 class QuotaVerdict(Enum):
-    """What became of a request for a token."""
+    """The outcome of a request for a token."""
 
     GRANTED = auto()  # the request may be forwarded, once
-    DENIED = auto()  # it is beyond the quota
-    UNAVAILABLE = auto()  # nobody who may decide has answered in time
+    DENIED = auto()  # the quota is exhausted
+    UNAVAILABLE = auto()  # no member that may decide answered in time
 
 
 class QuotaDecision(msgspec.Struct, frozen=True):
     """The decision on one request.
 
     Attributes:
-        verdict: What became of it.
-        retry_after_us: With DENIED, how long it is until the tenant has another token.
+        verdict: The outcome.
+        retry_after_us: With DENIED, the time until the tenant has another token.
     """
 
     verdict: QuotaVerdict
@@ -37,12 +37,12 @@
 
 
 class PendingToken:
-    """One request that waits for a token. Its callback is called at most once."""
+    """One client request that waits for a token. Its callback is called at most once."""
 
     def __init__(self, tenant: str, on_decision: OnDecision) -> None:
         self.tenant = tenant
         self._on_decision: OnDecision | None = on_decision
-        self.timer: Timer | None = None  # of its patience
+        self.timer: Timer | None = None  # decides UNAVAILABLE when the request times out
 
     @property
     def is_pending(self) -> bool:
@@ -50,13 +50,13 @@
         return self._on_decision is not None
 
     def cancel(self) -> None:
-        """Wait no longer: the callback is not called. A token that is granted meanwhile is lost."""
+        """Cancel the wait; the callback is not called. A token granted for this request is lost."""
         self._on_decision = None
         if self.timer is not None:
             self.timer.cancel()
 
     def decide(self, decision: QuotaDecision) -> None:
-        """Pass the decision on, unless the request waits no longer."""
+        """Call the callback with the decision, unless the request was decided or cancelled before."""
         on_decision = self._on_decision
         if on_decision is not None:
             self.cancel()
--- a/lilacsill/mesh/quota/quota_limits.py
+++ b/lilacsill/mesh/quota/quota_limits.py
@@ -1,9 +1,9 @@
-"""How much a bucket holds, and with how much it opens, so that the bound on a tenant's requests is kept. No I/O.
+"""Capacities and opening balances of token buckets, chosen so that the bound on a tenant's requests holds. No I/O.
 
 The bound: in any window of W seconds at most (rate x W + burst) x (1 + over) + slack requests of a tenant arrive at
-backends. What it allows beyond rate x W + burst is the extra. Half of it may go to openings, since tokens of at most
-two openings count in one window (`quota_owner`), a quarter makes the bucket larger, and a quarter is set aside for
-requests that arrive at two backends and for clocks that run at different speeds.
+backends. The excess of this bound over rate x W + burst is the tolerance. Half of it is available for opening balances,
+since the opening balances of at most two buckets are spent in one window (`quota_owner`). A quarter increases the
+capacity of the bucket. A quarter is reserved for requests that arrive at two backends and for clock drift.
 """
 
 from __future__ import annotations
@@ -14,16 +14,16 @@
 
 from .token_bucket import US_PER_S, TokenBucket
 
-CAPACITY_SHARE = 0.25  # of the extra, by which a bucket is larger than the burst
-OPENING_SHARE = 0.25  # of the extra, with which a bucket opens
+CAPACITY_SHARE = 0.25  # of the tolerance; the capacity of a bucket exceeds the burst by this share
+OPENING_SHARE = 0.25  # of the tolerance; the opening balance of a bucket
 
 
 class TenantLimit(msgspec.Struct, frozen=True):
     """The quota of one tenant.
 
     Attributes:
-        rate: Requests a second; 0: the tenant has no limit.
-        burst: Requests beyond that.
+        rate: Requests per second; 0 if the tenant is unlimited.
+        burst: Requests allowed in addition to the rate.
     """
 
     rate: float
@@ -36,10 +36,10 @@
 
 
 class QuotaLimits:
-    """The settings' bounds, applied to the limits of tenants.
+    """Applies the quota bounds of the settings to the limits of tenants.
 
     Attributes:
-        window_us: Over which the requests of a tenant are counted.
+        window_us: The window over which the requests of a tenant are counted.
     """
 
     def __init__(self, timing: TimingBounds) -> None:
@@ -47,24 +47,24 @@
         self._over, self._slack = timing.quota_over, timing.quota_slack
 
     def max_requests(self, limit: TenantLimit) -> float:
-        """Return the most requests that may arrive in any window."""
+        """Return the maximum number of requests that may arrive at backends in any window."""
         return self._quota(limit) * (1 + self._over) + self._slack
 
     def capacity(self, limit: TenantLimit) -> float:
-        """Return how many tokens a bucket holds: one at least, or nothing would ever be granted."""
-        return max(1.0, limit.burst + CAPACITY_SHARE * self._extra(limit))
+        """Return the capacity of a bucket in tokens. It is at least 1, since a smaller bucket never grants a token."""
+        return max(1.0, limit.burst + CAPACITY_SHARE * self._tolerance(limit))
 
     def opening_balance(self, limit: TenantLimit) -> float:
-        """Return the tokens that an owner may begin with, whatever its predecessor has granted."""
-        return OPENING_SHARE * self._extra(limit)
+        """Return the tokens that a new owner may start with, regardless of what its predecessor has granted."""
+        return OPENING_SHARE * self._tolerance(limit)
 
     def open_bucket(self, limit: TenantLimit, opens_with_balance: bool, since_us: int) -> TokenBucket:
-        """Return the bucket of an owner that may grant tokens since this time."""
+        """Return a new bucket for an owner that has been allowed to grant tokens since `since_us`."""
         balance = self.opening_balance(limit) if opens_with_balance else 0.0
         return TokenBucket(limit.rate, self.capacity(limit), balance, since_us)
 
     def _quota(self, limit: TenantLimit) -> float:
         return limit.rate * self.window_us / US_PER_S + limit.burst
 
-    def _extra(self, limit: TenantLimit) -> float:
+    def _tolerance(self, limit: TenantLimit) -> float:
         return self._quota(limit) * self._over + self._slack
--- a/lilacsill/mesh/quota/quota_owner.py
+++ b/lilacsill/mesh/quota/quota_owner.py
@@ -1,15 +1,16 @@
-"""The owner's part: one member of the store grants the tokens of the tenants that it owns. No I/O.
+"""The owner side of quotas: a member of the store grants tokens to the tenants that it owns. No I/O.
 
-Each member of the chain owns the tenants that rendezvous hashing over the chain gives it. It grants only while no later
-view can be in force, so of the members that believe to own a tenant one at most grants.
+Rendezvous hashing over the members of the chain assigns each tenant an owner. A member grants tokens only while no
+later view can be in force, so at most one of the members that consider themselves the owner of a tenant grants.
 
-A bucket lives as long as its owner certainly was the only one: through a view change only if the view's number went up
-by one and the member owns the tenant before and after. Otherwise it is opened anew, and has earned tokens since the
-member entered the view, or began its run.
+A bucket is kept only while its member was certainly the sole owner. Across a view change this holds only if the view
+number increased by one and the member owns the tenant in both views. Otherwise a new bucket is created, which accrues
+tokens from the time at which the member entered the view or its process started.
 
-A new bucket opens with a balance if the member has known the view before for a complete window, and without one if not.
-So tokens of at most two openings count in one window: if the owner in view c opens with a balance, view c - 1 was
-agreed on a window before it entered c, and in views before c - 1 nothing was granted since.
+A new bucket gets an opening balance only if the member had known the previous view for a complete window. So the
+opening balances of at most two buckets are spent in one window: if the owner in view c uses an opening balance, view
+c - 1 was agreed on at least one window before the member entered c, and no tokens were granted in views before c - 1
+since then.
 """
 
 from __future__ import annotations
@@ -37,32 +38,32 @@
     """A view of the chain.
 
     Attributes:
-        number: Of the view; -1: none is known.
-        addresses: Control addresses of its chain, head first.
+        number: The view number; -1 if no view is known.
+        addresses: Control addresses of the members of the chain, head first.
     """
 
     number: int
     addresses: list[str]
 
 
-class OwnerSurroundings(Protocol):
-    """What an owner needs of its member."""
+class QuotaOwnerEnvironment(Protocol):
+    """What a quota owner needs from the member of the store that runs it."""
 
     def now(self) -> int:
         """Return the time of a monotonic clock in microseconds."""
         ...
 
     def may_grant(self) -> bool:
-        """Return whether the present view is certainly in force, this member is in its chain and knows the limits."""
+        """Return whether the current view is certainly in force, and this member is in its chain and has the limits."""
         ...
 
     def limit_of(self, tenant: str) -> TenantLimit | None:
-        """Return the limit of a tenant; None: no such tenant is known."""
+        """Return the limit of a tenant, or None if the tenant is unknown."""
         ...
 
 
 class TenantUsage(msgspec.Struct):
-    """What became of the requests of one tenant at this owner, for operators."""
+    """Counts of granted and denied requests of one tenant at this owner, for operators."""
 
     granted: int = 0
     denied: int = 0
@@ -72,22 +73,22 @@
     """Grants the tokens of the tenants that one member owns.
 
     Attributes:
-        usage: By name of the tenant, since the start of the process.
-        unknown_tenants: Requests of tenants that the configuration does not have.
+        usage: Counts by tenant name, since the start of the process.
+        unknown_tenants: Number of requests of tenants that are not in the configuration.
     """
 
-    def __init__(self, address: str, view: ChainView, limits: QuotaLimits, surroundings: OwnerSurroundings) -> None:
-        """Begin a run of the process, in the view that its disk names."""
-        self._address, self._view, self._limits, self._surroundings = address, view, limits, surroundings
+    def __init__(self, address: str, view: ChainView, limits: QuotaLimits, environment: QuotaOwnerEnvironment) -> None:
+        """Start in the view that was read from disk."""
+        self._address, self._view, self._limits, self._environment = address, view, limits, environment
         self._buckets: dict[str, TokenBucket] = {}
-        self._entered_at_us = surroundings.now()
+        self._entered_at_us = environment.now()
         self._opens_with_balance = False
         self.usage: dict[str, TenantUsage] = {}
         self.unknown_tenants = 0
 
     def on_view_change(self, view: ChainView) -> None:
-        """Enter a later view: keep only the buckets that nobody else can have owned meanwhile."""
-        now = self._surroundings.now()
+        """Enter a later view, and keep only the buckets that no other member can have owned in between."""
+        now = self._environment.now()
         is_next = view.number == self._view.number + 1
         known_for_us = now - self._entered_at_us
         retained = {tenant: bucket for tenant, bucket in self._buckets.items() if is_next and self._owns(tenant)}
@@ -100,15 +101,16 @@
         return owner_of(tenant, self._view.addresses) == self._address
 
     def handle_token_request(self, request: TokenRequest, reply: Replier) -> None:
-        """Answer a proxy. What this member may not decide on gets no grant."""
-        now = self._surroundings.now()  # before the check: a process that is suspended behind it earns nothing more
+        """Reply to a proxy. Demands that this member may not decide on get no grant."""
+        # Before the check, so that a process that is suspended after the check accrues no further tokens.
+        now = self._environment.now()
         grants: list[TokenGrant] = []
-        if self._surroundings.may_grant():
+        if self._environment.may_grant():
             grants = [self._decide(demand, now) for demand in request.demands if self._owns(demand.tenant)]
         reply(TokenReply(grants, self._view.number, self._view.addresses))
 
     def _decide(self, demand: TokenDemand, now: int) -> TokenGrant:
-        limit = self._surroundings.limit_of(demand.tenant)
+        limit = self._environment.limit_of(demand.tenant)
         if limit is None:
             self.unknown_tenants += demand.count
             return TokenGrant(demand.tenant, 0, UNKNOWN_TENANT_RETRY_MS)
@@ -136,6 +138,6 @@
         return bucket
 
     def balances(self) -> Mapping[str, float]:
-        """Return for operators the tokens of each open bucket, by name of the tenant."""
-        now = self._surroundings.now()
+        """Return the balance of each bucket in tokens by tenant name, for operators."""
+        now = self._environment.now()
         return {tenant: bucket.balance(now) for tenant, bucket in self._buckets.items()}
--- a/lilacsill/mesh/quota/view_probe.py
+++ b/lilacsill/mesh/quota/view_probe.py
@@ -1,4 +1,4 @@
-"""Asks core machines for the view that they know, where the owners do not answer or none is known. No I/O."""
+"""Asks core machines for the current view when no view is known or quota owners do not answer. No I/O."""
 
 from __future__ import annotations
 
@@ -9,38 +9,38 @@
 from lilacsill.mesh.runtime.messages import Message, TokenReply, TokenRequest
 
 PROBE_TIMEOUT_US = 300_000
-MIN_PAUSE_US = 20_000  # after a question that brought no decision
-MAX_PAUSE_US = 160_000
+MIN_BACKOFF_US = 20_000  # after a request that did not yield a decision
+MAX_BACKOFF_US = 160_000
 
 
 class ViewProbe:
-    """One question at a time, each to another machine.
+    """Sends one probe at a time, each to another core machine.
 
     Args:
-        environment: clock, timers and the way to the members.
-        members: learns the views of the answers.
-        on_result: called after each question, and a pause if it brought no later view.
+        environment: clock, timers and the links to the members of the store.
+        members: updated with the views in the answers.
+        on_result: called after each probe; if the probe did not yield a later view, after a backoff.
     """
 
     def __init__(self, environment: Environment, members: CoreMembers, on_result: Callable[[], None]) -> None:
         self._environment, self._members, self._on_result = environment, members, on_result
-        self._is_open = False
-        self._pause_us = MIN_PAUSE_US
+        self._is_in_flight = False
+        self._backoff_us = MIN_BACKOFF_US
 
-    def next_pause_us(self) -> int:
-        """Return how long to wait before the next question; the pauses grow until a decision comes."""
-        pause_us, self._pause_us = self._pause_us, min(2 * self._pause_us, MAX_PAUSE_US)
-        return pause_us
+    def next_backoff_us(self) -> int:
+        """Return the delay before the next request. It doubles on each call until `reset_backoff`."""
+        backoff_us, self._backoff_us = self._backoff_us, min(2 * self._backoff_us, MAX_BACKOFF_US)
+        return backoff_us
 
-    def on_decision(self) -> None:
-        """Begin with the shortest pause again: an owner has decided."""
-        self._pause_us = MIN_PAUSE_US
+    def reset_backoff(self) -> None:
+        """Return to the shortest delay, because an owner has decided."""
+        self._backoff_us = MIN_BACKOFF_US
 
     def ask(self) -> None:
-        """Ask the next machine, unless a question is open."""
-        if self._is_open:
+        """Ask the next core machine, unless a probe is in flight."""
+        if self._is_in_flight:
             return
-        self._is_open = True
+        self._is_in_flight = True
         address = self._members.any_candidate()
         if address is None:
             self._on_answer(None)
@@ -52,8 +52,8 @@
             self._members.learn(answer.view_number, answer.members)
             self._end()
             return
-        self._environment.after(self.next_pause_us(), self._end)
+        self._environment.after(self.next_backoff_us(), self._end)
 
     def _end(self) -> None:
-        self._is_open = False
+        self._is_in_flight = False
         self._on_result()
--- a/lilacsill/mesh/relaying/__init__.py
+++ b/lilacsill/mesh/relaying/__init__.py
@@ -1,5 +1,5 @@
-"""Questions of a proxy to core machines go through another proxy while it cannot reach them itself. No I/O.
+"""Relays requests to core machines through another proxy while this proxy cannot reach them directly. No I/O.
 
-`RelayedLinks` takes the questions of quotas and operations. `CoreLinks` asks directly and notes which core machines
-answer, `RelaySelector` chooses the other proxy, and `RelayServer` is that proxy's side.
+`RelayedLinks` accepts the requests of quotas and operations. `CoreLinks` sends requests directly and records which core
+machines answer, `RelaySelector` chooses the proxy that relays, and `RelayServer` serves the requests of other proxies.
 """
--- a/lilacsill/mesh/relaying/core_links.py
+++ b/lilacsill/mesh/relaying/core_links.py
@@ -1,4 +1,4 @@
-"""Direct questions to core machines, whose answers say which of them this proxy reaches. No I/O."""
+"""Direct requests to core machines; their answers show which core machines are reachable. No I/O."""
 
 from __future__ import annotations
 
@@ -7,32 +7,32 @@
 from lilacsill.mesh.runtime.environment import Answered, Environment
 from lilacsill.mesh.runtime.messages import Message, TokenRequest
 
-from .reachability import UNPROVEN_TIMEOUT_US, Reachability
+from .reachability import UNCONFIRMED_TIMEOUT_US, Reachability
 
 
 class CoreLinks:
-    """The direct way to all core machines.
+    """Direct links to all core machines.
 
     Attributes:
-        reachability: What their answers have shown.
+        reachability: The reachability of each core machine, as observed from answers and timeouts.
     """
 
     def __init__(self, environment: Environment) -> None:
-        """Begin without knowledge of any core machine."""
+        """Start with all core machines presumed reachable."""
         self._environment = environment
         self.reachability = Reachability()
 
     def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
-        """Ask directly; `answered` is called once, later."""
+        """Send a request directly; `answered` is called once, later, with None if there is no answer in time."""
         now = self._environment.now()
         timeout_us = self.reachability.timeout_us(address, timeout_us, now)
         on_reply = partial(self._on_reply, address, now, answered)
         self._environment.ask(address, message, timeout_us, on_reply)
 
     def probe(self, address: str) -> None:
-        """Try a core machine that does not answer, if it is time to, with a question for nothing."""
+        """Send an empty token request to an unreachable core machine if its next probe is due."""
         if self.reachability.take_probe(address, self._environment.now()):
-            self.ask(address, TokenRequest([]), UNPROVEN_TIMEOUT_US, _ignore)
+            self.ask(address, TokenRequest([]), UNCONFIRMED_TIMEOUT_US, _ignore)
 
     def _on_reply(self, address: str, sent_at: int, answered: Answered, reply: Message | None) -> None:
         now = self._environment.now()
@@ -44,4 +44,4 @@
 
 
 def _ignore(_reply: Message | None) -> None:
-    """Take the answer to a probe: that there is one has been noted."""
+    """Ignore the content of the answer to a probe; `_on_reply` has recorded its arrival."""
--- a/lilacsill/mesh/relaying/counters.py
+++ b/lilacsill/mesh/relaying/counters.py
@@ -1,4 +1,4 @@
-"""What operators see of relayed questions."""
+"""Counters of relayed requests, for operators."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 
 class RelayCounters(msgspec.Struct):
-    """Of one proxy, since its start."""
+    """The counters of one proxy since its start."""
 
-    answered: int = 0  # own questions whose answer came through another proxy
-    unanswered: int = 0  # own questions that other proxies brought no answer to
-    served: int = 0  # questions of other proxies that were sent to core machines
-    refused: int = 0  # questions of other proxies that were not
+    answered: int = 0  # own requests that were answered through another proxy
+    unanswered: int = 0  # own requests that were relayed and got no answer
+    served: int = 0  # requests of other proxies that were sent to core machines
+    refused: int = 0  # requests of other proxies that were not sent to core machines
--- a/lilacsill/mesh/relaying/reachability.py
+++ b/lilacsill/mesh/relaying/reachability.py
@@ -1,49 +1,49 @@
-"""Which core machines answer this proxy directly, and when one that did not is tried again. No I/O."""
+"""Tracks which core machines answer this proxy directly, and when to probe unreachable ones. No I/O."""
 
 from __future__ import annotations
 
-FRESH_US = 200_000  # a core machine that answered so lately gets all the time that its question allows
-UNPROVEN_TIMEOUT_US = 100_000  # for the answer of any other: what waits has 140 to 300 ms in all
-PROBE_PERIOD_US = 500_000  # between attempts to reach one that does not answer
+RECENT_ANSWER_US = 200_000  # after an answer this recent, a request may use its whole timeout
+UNCONFIRMED_TIMEOUT_US = 100_000  # otherwise; the waiting client requests have 140 to 300 ms in total
+PROBE_PERIOD_US = 500_000  # between probes of an unreachable core machine
 
 
 class Reachability:
-    """What the answers of core machines, and those that did not come, say of the direct way to each."""
+    """The reachability of each core machine, derived from answers and timeouts of direct requests."""
 
     def __init__(self) -> None:
-        """Begin without knowledge: every address counts as reachable."""
+        """Start with every address presumed reachable."""
         self._answered_at: dict[str, int] = {}
-        self._next_probe_at: dict[str, int] = {}  # of those that are unreachable
+        self._next_probe_at: dict[str, int] = {}  # of unreachable addresses
 
     @property
     def unreachable(self) -> list[str]:
-        """The addresses that do not answer, in order."""
+        """The unreachable addresses, sorted."""
         return sorted(self._next_probe_at)
 
     def is_reachable(self, address: str) -> bool:
-        """Return whether questions to the address go the direct way."""
+        """Return whether requests to the address are sent directly."""
         return address not in self._next_probe_at
 
     def timeout_us(self, address: str, longest_us: int, now: int) -> int:
-        """Return how long to wait for a direct answer, where the question allows `longest_us`."""
+        """Return the timeout of a direct request whose own timeout is `longest_us`."""
         answered_at = self._answered_at.get(address)
-        if answered_at is not None and now - answered_at <= FRESH_US:
+        if answered_at is not None and now - answered_at <= RECENT_ANSWER_US:
             return longest_us
-        return min(longest_us, UNPROVEN_TIMEOUT_US)
+        return min(longest_us, UNCONFIRMED_TIMEOUT_US)
 
     def on_answer(self, address: str, now: int) -> None:
-        """Note a direct answer."""
+        """Record that a direct request was answered."""
         self._answered_at[address] = now
         self._next_probe_at.pop(address, None)
 
     def on_no_answer(self, address: str, sent_at: int, now: int) -> None:
-        """Note that a direct question had no answer, unless another one was answered since it was sent."""
+        """Mark the address unreachable after a timeout, unless another answer has arrived since `sent_at`."""
         answered_at = self._answered_at.get(address)
         if answered_at is None or answered_at < sent_at:
             self._next_probe_at.setdefault(address, now)
 
     def take_probe(self, address: str, now: int) -> bool:
-        """Return whether an unreachable address is to be tried now; the next time is half a second later."""
+        """Return whether to probe an unreachable address now; if so, schedule the next probe in `PROBE_PERIOD_US`."""
         next_probe_at = self._next_probe_at.get(address)
         if next_probe_at is None or now < next_probe_at:
             return False
--- a/lilacsill/mesh/relaying/relay_server.py
+++ b/lilacsill/mesh/relaying/relay_server.py
@@ -1,4 +1,7 @@
-"""Asks core machines for other proxies that cannot reach them: once, directly, and few at a time. No I/O."""
+"""Sends requests to core machines on behalf of proxies that cannot reach them. No I/O.
+
+Each request is sent once and directly. The number in flight is limited.
+"""
 
 from __future__ import annotations
 
@@ -12,28 +15,28 @@
 from .counters import RelayCounters
 
 MAX_RELAYS_IN_FLIGHT = 64
-MAX_TIMEOUT_US = 300_000  # no request waits for longer
+MAX_TIMEOUT_US = 300_000  # no client request waits longer than this
 US_PER_MS = 1_000
 
 SendReply = Callable[[Message], None]
 
 
 class RelayServer:
-    """One proxy's service to the others."""
+    """Relays the requests of other proxies at this proxy."""
 
     def __init__(self, core_links: CoreLinks, members: CoreMembers, counters: RelayCounters) -> None:
-        """Begin with nothing in flight.
+        """Start with no requests in flight.
 
         Args:
-            core_links: The direct way to core machines.
-            members: The core machines that this proxy knows; no other address is asked.
-            counters: Count what was relayed.
+            core_links: Direct links to core machines.
+            members: The core machines known to this proxy; requests to other addresses are refused.
+            counters: Counters of relayed requests.
         """
         self._core_links, self._members, self._counters = core_links, members, counters
         self._in_flight = 0
 
     def relay(self, relay: Relay, send_reply: SendReply) -> None:
-        """Ask the core machine, or reply at once that it is not asked."""
+        """Send the request to the core machine, or reply at once that it was not sent."""
         if not self._may_send(relay.address):
             self._counters.refused += 1
             send_reply(RelayReply(False, None))
--- a/lilacsill/mesh/relaying/relayed_links.py
+++ b/lilacsill/mesh/relaying/relayed_links.py
@@ -1,7 +1,7 @@
-"""The way of a proxy's questions to core machines: direct, or through another proxy. No I/O.
+"""Sends the requests of a proxy to core machines, directly or through a relay (another proxy). No I/O.
 
-A question that may have been sent is never sent again here: those who ask have rules of their own for that. Only one
-that a relay states not to have sent goes through the next.
+A request that may have been sent is never repeated here, since the callers have their own retry rules. Only a request
+that a relay reports as not sent is tried through the next relay.
 """
 
 from __future__ import annotations
@@ -13,33 +13,33 @@
 from .counters import RelayCounters
 from .relay_selector import RelaySelector
 
-RELAYED_TIMEOUT_US = 100_000  # for an answer through other proxies, however many are asked
-RELAY_MARGIN_US = 10_000  # a relay stops to wait so much earlier, so that its own answer comes in time
-MIN_TIMEOUT_US = 2 * RELAY_MARGIN_US  # with less time left no relay is asked
-MAX_RELAYS = 3  # that are asked for one question
+RELAYED_TIMEOUT_US = 100_000  # for the answer to a relayed request, over all relays that are tried
+RELAY_MARGIN_US = 10_000  # a relay times out this much earlier, so that its reply arrives in time
+MIN_TIMEOUT_US = 2 * RELAY_MARGIN_US  # with less time left no other relay is tried
+MAX_RELAYS = 3  # tried for one request
 US_PER_MS = 1_000
 
 
 class RelayedLinks:
-    """The links of a process, as quotas and operations use them."""
+    """The links to core machines that quotas and operations use."""
 
     def __init__(
         self, environment: Environment, core_links: CoreLinks, selector: RelaySelector, counters: RelayCounters
     ) -> None:
-        """Begin with the direct way to all core machines.
+        """Start with all core machines presumed reachable.
 
         Args:
             environment: Clock, timers and links.
-            core_links: The direct way.
+            core_links: Direct links to core machines.
             selector: Chooses the relays.
-            counters: Count what was relayed.
+            counters: Counters of relayed requests.
         """
         self.now, self.after, self.call_soon = environment.now, environment.after, environment.call_soon
         self.environment, self.selector, self.counters = environment, selector, counters
         self._core_links = core_links
 
     def ask(self, address: str, message: Message, timeout_us: int, answered: Answered) -> None:
-        """Send a question; `answered` is called once, later, with None if there was no answer in time."""
+        """Send a request; `answered` is called once, later, with None if there was no answer in time."""
         if not isinstance(message, TokenRequest | Claim):
             self.environment.ask(address, message, timeout_us, answered)
         elif self._core_links.reachability.is_reachable(address):
@@ -55,23 +55,23 @@
         if relay is None:
             self._core_links.ask(address, message, timeout_us, answered)
         else:
-            _RelayedQuestion(self, address, message, timeout_us, answered).send(relay)
+            _RelayedRequest(self, address, message, timeout_us, answered).send(relay)
 
 
-class _RelayedQuestion:
-    """One question on its way through other proxies."""
+class _RelayedRequest:
+    """One request in flight through relays."""
 
     def __init__(
         self, links: RelayedLinks, member: str, request: TokenRequest | Claim, timeout_us: int, answered: Answered
     ) -> None:
         self._links, self._member, self._request, self._answered = links, member, request, answered
-        self._end_at = links.now() + min(timeout_us, RELAYED_TIMEOUT_US)
+        self._deadline_at = links.now() + min(timeout_us, RELAYED_TIMEOUT_US)
         self._relays_left = MAX_RELAYS
 
     def send(self, relay: str) -> None:
-        """Send it to this relay."""
+        """Send the request to this relay."""
         self._relays_left -= 1
-        timeout_us = self._end_at - self._links.now()
+        timeout_us = self._deadline_at - self._links.now()
         timeout_ms = max(1, (timeout_us - RELAY_MARGIN_US) // US_PER_MS)
         message = Relay(self._member, self._request, timeout_ms)
         self._links.environment.ask(relay, message, timeout_us, lambda reply: self._on_reply(relay, reply))
@@ -89,10 +89,10 @@
             self._on_no_answer(reply.is_sent)
 
     def _on_no_answer(self, is_sent: bool) -> None:
-        """Ask the next relay, if nothing was sent and there is time."""
+        """Try the next relay if the request was not sent and enough time is left; otherwise give no answer."""
         now = self._links.now()
         relay = self._links.selector.select(self._member, now)
-        if is_sent or relay is None or self._relays_left == 0 or self._end_at - now < MIN_TIMEOUT_US:
+        if is_sent or relay is None or self._relays_left == 0 or self._deadline_at - now < MIN_TIMEOUT_US:
             self._finish(None)
         else:
             self.send(relay)
--- a/lilacsill/mesh/simulation/credit.py
+++ b/lilacsill/mesh/simulation/credit.py
@@ -11,11 +11,11 @@
 from random import Random
 from typing import Any
 
+from lilacsill.mesh.credit.account_owner import AccountOwner
 from lilacsill.mesh.credit.allowance import MAX_WAIT_US, Allowance, Payment
 from lilacsill.mesh.credit.contract import Contracts, Tier
-from lilacsill.mesh.credit.home import HomeNode
+from lilacsill.mesh.credit.membership import Membership
 from lilacsill.mesh.credit.messages import Handover, LeaseGrant, LeaseRejection, LeaseRequest, Message, Mirror
-from lilacsill.mesh.credit.roster import Roster
 from lilacsill.mesh.runtime.callbacks import once
 
 from .network import MS, SECOND, Time
@@ -34,7 +34,7 @@
         self.street, self.name, self.region = street, name, region
         self.run_number = 0
         self.frozen_until = 0
-        self.home: HomeNode | None = None
+        self.home: AccountOwner | None = None
         self.allowance: Allowance | None = None
         self.waiting: dict[str, list[tuple[float, int]]] = {}  # requests: cost, until when
 
@@ -90,7 +90,7 @@
         """Start the process of this node; `first`: it has never run before."""
         self.run_number += 1
         if self.name.startswith("home"):
-            self.home = HomeNode(self, self.name, self.street.contracts, self.street.roster, first)
+            self.home = AccountOwner(self, self.name, self.street.contracts, self.street.roster, first)
             self._confirm()
         else:
             self.allowance = Allowance(f"{self.name}/{self.run_number}")
@@ -107,7 +107,7 @@
         self.after(CONFIRM_US, self._confirm)
         asked_at = self.now()
 
-        def answered(roster: Roster) -> None:
+        def answered(roster: Membership) -> None:
             assert self.home is not None
             self.home.contracts = self.street.contracts
             self.home.enter_epoch(roster)
@@ -127,7 +127,7 @@
         if allowance is None:
             return
         for want in allowance.due_requests(self.now()):
-            home = roster.place_account(want.caller).home
+            home = roster.place_account(want.caller).owner
             self.ask(home, want, WANT_US, partial(self._granted, allowance, want.caller))
 
     def _granted(self, allowance: Allowance, caller: str, message: Message | None) -> None:
@@ -146,14 +146,14 @@
         self.nodes: dict[str, Node] = {}
         self.partitions: set[tuple[str, str]] = set()
         self.alone: set[str] = set()  # nodes that nothing reaches and that reach nothing
-        self.known: dict[str, Roster] = {}  # proxies that believe in an older one
+        self.known: dict[str, Membership] = {}  # proxies that believe in an older one
         self.sent = 0
         for region in REGIONS:
             for i in range(homes):
                 self.nodes[f"home-{region}-{i}"] = Node(self, f"home-{region}-{i}", region)
             for i in range(proxies):
                 self.nodes[f"proxy-{region}-{i}"] = Node(self, f"proxy-{region}-{i}", region)
-        self.roster = Roster(0, {n: node.region for n, node in self.nodes.items() if n.startswith("home")})
+        self.roster = Membership(0, {n: node.region for n, node in self.nodes.items() if n.startswith("home")})
         self.spent: dict[str, list[tuple[int, float]]] = {}
         self.asked: dict[str, dict[str, list[int]]] = {}  # caller, region: asked, admitted, waited
         for node in self.nodes.values():
@@ -292,7 +292,7 @@
 
     def _replace_home(self, kind: str, homes: list[str], for_us: int) -> None:
         street, time, rng = self.street, self.street.time, self.rng
-        gone = rng.choice([*homes, street.roster.place_account("c0").home, street.roster.place_account("c1").home])
+        gone = rng.choice([*homes, street.roster.place_account("c0").owner, street.roster.place_account("c1").owner])
         nodes = {n: r for n, r in street.roster.nodes.items() if n != gone}
         if len(nodes) < 2:
             return
--- a/lilacsill/mesh/tenants/__init__.py
+++ b/lilacsill/mesh/tenants/__init__.py
@@ -1,1 +1,1 @@
-"""Tenants: whose keys they are, how urgent, and what their quotas are. No I/O."""
+"""Tenants: their API keys, priority ranks and quotas. No I/O."""
--- a/lilacsill/mesh/tenants/directory.py
+++ b/lilacsill/mesh/tenants/directory.py
@@ -1,4 +1,4 @@
-"""The tenants that are in force, and whose each key is. No I/O."""
+"""The active tenants, and the tenant of each API key. No I/O."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 class TenantDirectory:
     """Tenants by name and by key.
 
-    Items of one update may come in any order: a key that moves from one tenant to another belongs to its new owner as
-    soon as the item of that one is here, and the item that takes it from the old owner leaves it there.
+    Items of one update may arrive in any order. A key that moves to another tenant belongs to its new owner as soon as
+    the new owner's item is applied; applying the old owner's item later does not remove it from the new owner.
     """
 
     def __init__(self) -> None:
         self._tenants: dict[str, Tenant] = {}
-        self._keys: dict[str, tuple[bytes, ...]] = {}  # by name of the tenant
-        self._owners: dict[bytes, str] = {}  # name of the tenant, by key
+        self._keys: dict[str, tuple[bytes, ...]] = {}  # by tenant name
+        self._owners: dict[bytes, str] = {}  # tenant name, by key
 
     def __len__(self) -> int:
         return len(self._tenants)
 
     def apply(self, item: Item) -> None:
-        """Put the item of a tenant in force; one without a body removes the tenant.
+        """Apply the item of a tenant; an item without a body removes the tenant.
 
-        The cost depends on the keys of this tenant alone.
+        The cost depends only on the number of keys of this tenant.
         """
         self._release_keys(item.name)
         if item.body is None:
@@ -37,7 +37,7 @@
             self._owners[key] = item.name
 
     def find_by_key(self, key: bytes) -> Tenant | None:
-        """Return the tenant that has the key; None where nobody has it."""
+        """Return the tenant of the key, or None if no tenant has it."""
         name = self._owners.get(key)
         return None if name is None else self._tenants[name]
 
--- a/lilacsill/mesh/tenants/tenant.py
+++ b/lilacsill/mesh/tenants/tenant.py
@@ -1,4 +1,4 @@
-"""A tenant as the configuration has it, and the parse of its item. No I/O."""
+"""A tenant of the configuration, and the parser of its configuration item. No I/O."""
 
 from __future__ import annotations
 
@@ -9,20 +9,20 @@
 from lilacsill.mesh.runtime.messages import Item
 
 TENANT = "tenant"
-"""The value of `Item.kind` of a tenant."""
+"""The value of `Item.kind` for tenants."""
 
-DEFAULT_RANK = 1  # as of a route without a rank
+DEFAULT_RANK = 1  # the same as for a route without a rank
 UNLIMITED = 0.0
-_CONTROL_CHARACTER = re.compile("[\x00-\x08\x0a-\x1f\x7f]")  # those of RFC 9110, 5.5; a tab is allowed
+_CONTROL_CHARACTER = re.compile("[\x00-\x08\x0a-\x1f\x7f]")  # invalid in field values (RFC 9110, 5.5); tabs are valid
 
 
 class Tenant(msgspec.Struct, frozen=True):
-    """One tenant. Its keys are not here, so that no log line or status can show them."""
+    """One tenant. It does not contain the keys, so that log lines and status pages cannot show them."""
 
     name: str
-    rank: int  # 0 is the most urgent; it comes before the rank of a route
-    rate_per_s: float  # requests; `UNLIMITED`: there is no quota
-    burst: float  # requests beyond the rate
+    rank: int  # 0 is the most urgent; compared before the rank of the route
+    rate_per_s: float  # requests per second; `UNLIMITED` if the tenant has no quota
+    burst: float  # requests allowed in addition to the rate
 
     @property
     def is_limited(self) -> bool:
@@ -31,7 +31,7 @@
 
 
 class _Body(msgspec.Struct, rename="pascal"):
-    """The parts of an item's body that matter here."""
+    """The fields of an item's body that are used here."""
 
     rank: int = DEFAULT_RANK
     rate_per_s: float = UNLIMITED
@@ -49,14 +49,15 @@
 
 
 class InvalidTenantName(ValueError):
-    """A tenant's name has characters that no header field can carry, so no backend could be told it."""
+    """The name contains characters that a header field cannot carry, so it could not be sent to backends."""
 
 
 def parse_tenant(item: Item) -> Tenant:
-    """Read the tenant out of an item that the store has validated.
+    """Parse a tenant from an item that the store has validated.
 
     Raises:
-        InvalidTenantName: A line break in a name would end the header field and begin another one.
+        InvalidTenantName: The name has a control character; a line break would end the header field and start
+                another one.
     """
     assert item.body is not None
     if _CONTROL_CHARACTER.search(item.name):
@@ -66,12 +67,12 @@
 
 
 def encode_key(key: str) -> bytes:
-    """Return the bytes of a key as a request carries them."""
+    """Return the bytes of a key as they appear in a request."""
     return key.encode()
 
 
 def keys_of(item: Item | None) -> tuple[bytes, ...]:
-    """Return the keys of a tenant's item, each once; none if it is no tenant or was removed."""
+    """Return the distinct keys of a tenant's item; empty if the item is not a tenant or was removed."""
     if item is None or item.kind != TENANT or item.body is None:
         return ()
     return tuple({encode_key(key): None for key in _keys_decoder.decode(item.body).api_keys})
--- a/tests/credit/test_credit.py
+++ b/tests/credit/test_credit.py
@@ -9,13 +9,13 @@
 from returns.result import Failure
 
 from lilacsill.mesh.credit import account as accounts
-from lilacsill.mesh.credit import allowance, contract, home
+from lilacsill.mesh.credit import account_owner, allowance, contract
 from lilacsill.mesh.credit.account import Account, account_from_state
 from lilacsill.mesh.credit.allowance import PAID, PENDING, Allowance, Payment
 from lilacsill.mesh.credit.contract import Contracts, Tier, parse_contracts
-from lilacsill.mesh.credit.home import HomeNode
+from lilacsill.mesh.credit.account_owner import AccountOwner
 from lilacsill.mesh.credit.messages import LeaseGrant, LeaseRejection
-from lilacsill.mesh.credit.roster import Roster
+from lilacsill.mesh.credit.membership import Membership
 from lilacsill.mesh.simulation.credit import REGIONS, Day, Street
 from lilacsill.mesh.simulation.network import MS, SECOND
 from lilacsill.mesh.simulation.store_fleet import RuleBroken
@@ -44,28 +44,28 @@
 
 
 def what_is_lent_does_not_count(patch: Patch) -> None:
-    patch.setattr(Account, "lent", lambda self: 0.0)
+    patch.setattr(Account, "outstanding", lambda self: 0.0)
 
 
 def a_grant_does_not_wait_for_its_copy(patch: Patch) -> None:
-    def grant(self: HomeNode, message: Any, slot: Any, copy: str, reply: Callable[[Any], None]) -> None:
+    def grant(self: AccountOwner, message: Any, slot: Any, copy: str, reply: Callable[[Any], None]) -> None:
         real(self, message, slot, "", reply)
 
-    real = HomeNode._grant
-    patch.setattr(HomeNode, "_grant", grant)
+    real = AccountOwner._grant
+    patch.setattr(AccountOwner, "_grant", grant)
 
 
 def an_unsure_home_grants(patch: Patch) -> None:
-    patch.setattr(HomeNode, "may_grant", property(lambda self: True))
+    patch.setattr(AccountOwner, "may_grant", property(lambda self: True))
     a_grant_does_not_wait_for_its_copy(patch)
 
 
 def a_new_home_begins_full(patch: Patch) -> None:
-    def on_recovered(self: HomeNode, caller: str, slot: Any, states: Any, unknown: bool) -> None:
+    def on_recovered(self: AccountOwner, caller: str, slot: Any, states: Any, unknown: bool) -> None:
         real(self, caller, slot, [], False)
 
-    real = HomeNode._on_recovered
-    patch.setattr(HomeNode, "_on_recovered", on_recovered)
+    real = AccountOwner._on_recovered
+    patch.setattr(AccountOwner, "_on_recovered", on_recovered)
 
 
 def a_copy_has_earned_since_ever(patch: Patch) -> None:
@@ -75,7 +75,7 @@
         return account
 
     real = accounts.account_from_state
-    patch.setattr(home, "account_from_state", account_from_state)
+    patch.setattr(account_owner, "account_from_state", account_from_state)
 
 
 def what_is_given_back_is_spent(patch: Patch) -> None:
@@ -99,8 +99,8 @@
 
 
 def the_floor_is_not_set_aside(patch: Patch) -> None:
-    patch.setattr(Tier, "floor_rate", property(lambda self: self.rate * 0.2))
-    patch.setattr(Tier, "floor_burst", property(lambda self: self.burst * 0.2))
+    patch.setattr(Tier, "reserve_rate", property(lambda self: self.rate * 0.2))
+    patch.setattr(Tier, "reserve_burst", property(lambda self: self.burst * 0.2))
 
 
 def a_restart_keeps_the_name_of_the_holder(patch: Patch) -> None:
@@ -110,15 +110,15 @@
     real = Allowance.__init__
     patch.setattr(Allowance, "__init__", made)
 
-    def lend(self: Account, holder: str, spent: float, *rest: Any) -> float:
+    def grant(self: Account, holder: str, spent: float, *rest: Any) -> float:
         lease = self.leases.get(holder)
         if lease is not None and spent < lease.reported:
-            self.credit += min(lease.reported - spent, max(0.0, self.burst - self.credit - self.lent()))
+            self.credit += min(lease.reported - spent, max(0.0, self.burst - self.credit - self.outstanding()))
             lease.granted = lease.reported = spent
         return was(self, holder, spent, *rest)
 
-    was = Account.lend
-    patch.setattr(Account, "lend", lend)
+    was = Account.grant
+    patch.setattr(Account, "grant", grant)
 
 
 DEFECTS = [
@@ -197,18 +197,18 @@
 
 def test_a_lower_tier_takes_nothing_that_is_lent_and_a_copy_earns_nothing_on_its_way() -> None:
     account = Account(20.0, 60.0, 60.0, 0)
-    assert account.lend("a", 0.0, 40.0, False, 2 * SECOND, 0) == 30.0
+    assert account.grant("a", 0.0, 40.0, False, 2 * SECOND, 0) == 30.0
     account.change_tier(5.0, 10.0, SECOND)
-    assert account.lent() == 30.0 and account.credit == 0.0
+    assert account.outstanding() == 30.0 and account.credit == 0.0
     other = account_from_state(account.to_state(1, "t", SECOND), 5.0, 10.0, 9 * SECOND)
-    assert other.credit == 0.0 and other.lent() == 30.0
+    assert other.credit == 0.0 and other.outstanding() == 30.0
     other.advance(11 * SECOND)
     other.advance(12 * SECOND)
-    assert other.lent() == 0.0 and 0 < other.credit <= 10.0
+    assert other.outstanding() == 0.0 and 0 < other.credit <= 10.0
 
 
 def test_a_million_callers_of_whom_few_are_active_are_bounded(monkeypatch: Patch) -> None:
-    monkeypatch.setattr(home, "MAX_ACCOUNTS", 50)
+    monkeypatch.setattr(account_owner, "MAX_ACCOUNTS", 50)
     street = Street(5, Contracts(b"", {"t": TIER}, {}, "t"), homes=1)
     time = street.time
     time.run(time.now + SECOND)
@@ -228,7 +228,7 @@
         assert roster.nodes[one] != roster.nodes[other]
         moved += smaller.place_account(f"c{i}") != (one, other)
     assert len(REGIONS) == 3 and 300 / 6 < moved < 300 * 0.55
-    assert smaller.past == ((0, roster.nodes),) and Roster(9, {}, (), True).successor({}).is_truncated
+    assert smaller.past == ((0, roster.nodes),) and Membership(9, {}, (), True).successor({}).is_truncated
 
 
 # Contracts
@@ -266,5 +266,5 @@
     assert (
         made.caller(b"\xff" * 70_000, "desk") == "\xff" * contract.MAX_KEY_BYTES and made.caller(b"", "desk") == "desk"
     )
-    assert abs(tier.home_rate + tier.floor_rate * contract.MAX_NODES - tier.rate) < 1e-9
-    assert allowance.LEASE_US < home.RECOVERY_US
+    assert abs(tier.account_rate + tier.reserve_rate * contract.MAX_NODES - tier.rate) < 1e-9
+    assert allowance.LEASE_US < account_owner.RECOVERY_US
--- a/tests/mesh/test_quota.py
+++ b/tests/mesh/test_quota.py
@@ -9,7 +9,7 @@
 import msgspec
 import pytest
 
-from lilacsill.mesh.quota.quota_client import MAX_DENIED_US, QUESTION_TIMEOUT_US, QuotaClient
+from lilacsill.mesh.quota.quota_client import MAX_DENIAL_CACHE_US, TOKEN_REQUEST_TIMEOUT_US, QuotaClient
 from lilacsill.mesh.quota.quota_decision import QuotaDecision, QuotaVerdict
 from lilacsill.mesh.quota.quota_limits import QuotaLimits, TenantLimit
 from lilacsill.mesh.quota.quota_owner import UNKNOWN_TENANT_RETRY_MS, ChainView, QuotaOwner
@@ -258,7 +258,7 @@
     members.run()
     assert members.verdicts() == [DENIED, DENIED]
     assert len(members.asked) == 1
-    members.run(MAX_DENIED_US)
+    members.run(MAX_DENIAL_CACHE_US)
     members.request()
     members.run()
     assert len(members.asked) == 2
@@ -309,7 +309,7 @@
 def test_after_an_owner_that_does_not_answer_another_member_is_asked_for_the_view() -> None:
     members = Members()
     members.request()
-    members.run(QUESTION_TIMEOUT_US + 5 * MS)
+    members.run(TOKEN_REQUEST_TIMEOUT_US + 5 * MS)
     owner = members.asked[0][0]
     others = [address for address in ADDRESSES if address != owner]
     members.request()
--- a/tests/relaying/defects.py
+++ b/tests/relaying/defects.py
@@ -28,12 +28,12 @@
 
 
 def each_way_is_unproven(patch: Patch) -> None:
-    patch.setattr(reachability, "FRESH_US", -1)
+    patch.setattr(reachability, "RECENT_ANSWER_US", -1)
 
 
 def what_was_sent_is_sent_again(patch: Patch) -> None:
-    real = relayed_links._RelayedQuestion._on_no_answer
-    patch.setattr(relayed_links._RelayedQuestion, "_on_no_answer", lambda self, is_sent: real(self, False))
+    real = relayed_links._RelayedRequest._on_no_answer
+    patch.setattr(relayed_links._RelayedRequest, "_on_no_answer", lambda self, is_sent: real(self, False))
     patch.setattr(relayed_links, "MIN_TIMEOUT_US", 0)
 
 
@@ -77,7 +77,7 @@
 
 
 def all_proxies_are_candidates(patch: Patch) -> None:
-    patch.setattr(relay_selector, "CANDIDATES", 1_000)
+    patch.setattr(relay_selector, "MAX_CANDIDATES", 1_000)
 
 
 def relays_wait_for_all_the_time(patch: Patch) -> None:
@@ -114,5 +114,5 @@
         if self._known_peers is None:
             real(self)
 
-    real = RelaySelector._follow_peers
-    patch.setattr(RelaySelector, "_follow_peers", follow_peers)
+    real = RelaySelector._update_candidates
+    patch.setattr(RelaySelector, "_update_candidates", follow_peers)
--- a/tests/relaying/test_relaying.py
+++ b/tests/relaying/test_relaying.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from lilacsill.mesh.relaying.relay_selector import CANDIDATES, PASSED_OVER_US, RelaySelector
+from lilacsill.mesh.relaying.relay_selector import MAX_CANDIDATES, RELAY_SKIP_US, RelaySelector
 from lilacsill.mesh.relaying.relay_server import MAX_RELAYS_IN_FLIGHT
 from lilacsill.mesh.relaying.relayed_links import MAX_RELAYS, RELAYED_TIMEOUT_US
-from lilacsill.mesh.relaying.reachability import FRESH_US, PROBE_PERIOD_US, UNPROVEN_TIMEOUT_US
+from lilacsill.mesh.relaying.reachability import RECENT_ANSWER_US, PROBE_PERIOD_US, UNCONFIRMED_TIMEOUT_US
 from lilacsill.mesh.runtime.messages import (
     Claim,
     ClaimReply,
@@ -69,14 +69,14 @@
     world = World()
     world.cut(world.asker.address)
     answers = world.begin()
-    world.run(UNPROVEN_TIMEOUT_US + 2_000)
+    world.run(UNCONFIRMED_TIMEOUT_US + 2_000)
     assert answers == [None]
 
 
 def test_a_core_machine_that_has_just_answered_gets_all_the_time() -> None:
     world = World()
-    world.question(run_us=FRESH_US // 2)
-    world.reply_delay_us = UNPROVEN_TIMEOUT_US + 50_000
+    world.question(run_us=RECENT_ANSWER_US // 2)
+    world.reply_delay_us = UNCONFIRMED_TIMEOUT_US + 50_000
     assert isinstance(world.question(), TokenReply)
 
 
@@ -149,7 +149,7 @@
     world.question()
     world.broken.clear()
     world.cut(world.asker.address)
-    world.run(2 * PASSED_OVER_US)
+    world.run(2 * RELAY_SKIP_US)
     world.question()
     assert world.relays_asked() == [first, second, second]
 
@@ -186,7 +186,7 @@
     for _ in range(20):
         world.begin()
         world.run(20_000)
-    assert len(world.relays_asked()) <= CANDIDATES
+    assert len(world.relays_asked()) <= MAX_CANDIDATES
 
 
 def test_a_proxy_without_others_asks_directly() -> None:
