--- a/lilacsill/mesh/proxy/backend_lifecycle.py
+++ b/lilacsill/mesh/proxy/backend_lifecycle.py
@@ -1,4 +1,4 @@
-"""The lifecycle of the backend beside a proxy: its incarnation, its state, and the start of its drain. No I/O.
+"""The lifecycle of the backend of a proxy: its incarnation, its state, and the start of its drain. No I/O.
 
 A backend has a new server name after each start: the name identifies one incarnation. The proxy learns it from
 heartbeats, or from a health check if the proxy itself was started later than the backend.
@@ -50,7 +50,7 @@
 
 
 def parse_heartbeat(server: str, body: Any) -> BackendHeartbeat | None:
-    """Parse the JSON body of a heartbeat call; None if it is not a complete heartbeat."""
+    """Parse the JSON body of a heartbeat call. Return None if it is not a complete heartbeat."""
     try:
         details, condition = body["Details"], body["Condition"]
         return BackendHeartbeat(
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -2,7 +2,7 @@
 
 A rejected request has not reached a backend and is offered to the next endpoint without using the retry budget. A
 request that may have run is retried only if its route is idempotent and the retry budget allows it; otherwise its
-client gets an error that does not guarantee whether it ran. An operation that runs once continues after its client has
+client gets an error that does not say whether it ran. An operation that runs once continues after its client has
 disconnected, since repeats of the operation get its response. No other module sends a client's request again;
 `retry_decision` decides whether it may be sent.
 """
@@ -26,7 +26,7 @@
 from .request_offer import OfferTemplate
 from .request_owner import RequestOwner
 from .request_permission import RequestPermission, permit_needs
-from .request_permits import OwnResponse
+from .request_permits import LocalResponse
 from .response_stream import ResponseStream
 from .response_writer import ResponseWriter, retry_after
 from .retry_decision import MIN_ATTEMPT_US, RetryDecision
@@ -48,7 +48,7 @@
         is_complete: bool,
         tenant: Tenant | None,
     ) -> None:
-        """Create the state of a request that may use its route; `tenant` is the owner of its key."""
+        """Create the state of a request that may use its route; `tenant` is the owner of its key, if any."""
         self._owner, self._request, self._route, self._tenant = owner, request, route, tenant
         self._response = ClientResponse(response, owner.counters)
         self._service = route.split.choose(owner.rng)
@@ -56,7 +56,7 @@
         self._template = OfferTemplate(owner, request, route, tenant)
         self._deadline = self._template.deadline
         self._body = RequestBody(request.take_body(), is_complete)
-        self._body.is_waiting = True  # until the request has its permits
+        self._body.is_awaiting_permits = True  # until the request has its permits
         self._history = AttemptHistory()
         self._failures = FailureRecord(owner, self._table, self._history, attempt_id(request))
         self._retries = RetryDecision(owner, route, self._service, self._history, self._body, self._deadline)
@@ -82,11 +82,11 @@
         if run is not None:
             self._permission.begin_run(run)
             self._response.start_recording(run)
-        self._body.is_waiting = False
+        self._body.is_awaiting_permits = False
         self._owner.upstreams.budget(self._service).record_request(self._owner.reactor.now())
         self._start_attempt()
 
-    def on_answered(self, response: OwnResponse) -> None:
+    def on_answered(self, response: LocalResponse) -> None:
         """Send a response without an attempt."""
         self._respond(response.status, response.headers, response.body)
 
@@ -102,7 +102,7 @@
         """Bytes of the request body that the receiver of the exchange has not accepted."""
         if self.is_over:
             return 0  # the rest of the body is read and discarded
-        if self._body.is_waiting:
+        if self._body.is_awaiting_permits:
             return len(self._body.data)
         return self._current.unsent
 
@@ -123,12 +123,16 @@
         self._finish()
         self._current.cancel()
 
-    def break_off(self) -> None:
-        """Answer at once, since the process is about to exit. The request may have run, unless it waits for permits."""
+    def abort_for_shutdown(self) -> None:
+        """End the request at once, since the process is about to exit.
+
+        The client gets an error, or a truncated response if the response has begun. The request may have run, unless it
+        waits for its permits.
+        """
         if self._permission.is_pending:
             self._refuse_unless_suspects()
             return
-        self._failures.record_broken_off()
+        self._failures.record_aborted_for_shutdown()
         self._on_timeout()
 
     # Attempts
@@ -136,7 +140,7 @@
     def _start_attempt(self) -> None:
         now = self._owner.reactor.now()
         entry = None
-        if self._deadline - now >= MIN_ATTEMPT_US and self._body.is_kept:
+        if self._deadline - now >= MIN_ATTEMPT_US and self._body.is_replayable:
             entry = self._history.choose_next(self._table, now)
         if entry is None:
             self._refuse_unless_suspects()
@@ -165,7 +169,7 @@
     def on_suspected(self, message: Suspected) -> None:
         """Try a read at another backend, too, if one more attempt is allowed. The first may still answer in time."""
         attempt, exchange = self._current.attempt, self._current.exchange
-        if self.is_over or attempt is None or exchange is None or not self._retries.beside_suspected(self._table):
+        if self.is_over or attempt is None or exchange is None or not self._retries.after_suspicion(self._table):
             return
         self._suspects.add(SuspectedAttempt(self, attempt, exchange))
         self._current.detach()
@@ -173,7 +177,7 @@
         self._start_attempt()
 
     def on_suspect_answered(self, suspect: SuspectedAttempt, response: Response) -> None:
-        """Handle the response of a suspected backend. An error counts only if no other response can arrive."""
+        """Handle the response of a suspected backend. A 5xx counts only if no other response can arrive."""
         if self.is_over:
             return
         is_alone = self._current.attempt is None and self._suspects.is_only(suspect)
@@ -181,7 +185,7 @@
             suspect.exchange.cancel()
             self.on_suspect_failed(suspect)
             return
-        self._suspects.take(suspect)
+        self._suspects.remove(suspect)
         self._current.cancel()
         self._current.attach(suspect.attempt, suspect.exchange, self)
         self._on_response(response)
@@ -254,7 +258,7 @@
             self._fail()
 
     def _fail(self) -> None:
-        """Send an error: no attempt got a response, and the request may have run."""
+        """Send an error: there is no response to forward, and the request may have run."""
         if self._owner.reactor.now() >= self._deadline:
             self._respond(504, [], b"no answer in time\n")
         else:
@@ -263,7 +267,7 @@
     # End of the request
 
     def _refuse_unless_suspects(self) -> None:
-        """Refuse the request, which no backend accepts now, unless a suspected attempt may still be answered."""
+        """Refuse the request, as no further attempt is made, unless a suspected attempt may still be answered."""
         if self._suspects:
             return
         self._permission.release_run()
