--- a/lilacsill/mesh/registry/config_cache.py
+++ b/lilacsill/mesh/registry/config_cache.py
@@ -8,7 +8,7 @@
 from lilacsill.mesh.runtime.messages import Item
 from lilacsill.mesh.runtime.sequence import Items, highest_seq, items_after, set_newest, sorted_by_seq
 
-MAX_BATCH_BYTES = 12_000  # per reply; on a slow link the proxy would time out before a larger reply has arrived
+MAX_BATCH_BYTES = 12_000  # per reply; a larger one is requested again before it has arrived over a slow link
 ITEM_OVERHEAD_BYTES = 40  # encoded size of an item without its body
 MAX_TOMBSTONES = 4096  # kept after a collection
 TOMBSTONE_SLACK = 256  # tombstones above MAX_TOMBSTONES before a collection; makes its scan of all items rare
@@ -59,7 +59,7 @@
         self._tombstones = MAX_TOMBSTONES
 
     def next_batch(self, seq: int) -> ConfigBatch:
-        """Return the items after a sequence number, up to `MAX_BATCH_BYTES`.
+        """Return the first items after a sequence number: up to `MAX_BATCH_BYTES`, but at least one if there are any.
 
         Args:
             seq: Sequence number of the receiver's copy; 0: its copy is empty, so tombstones are left out.
--- a/lilacsill/mesh/registry/config_follower.py
+++ b/lilacsill/mesh/registry/config_follower.py
@@ -1,4 +1,4 @@
-"""Follows the configuration by long-polling the store replica on this machine."""
+"""Follows the configuration by long-polling the store member on this machine."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from .core_hosts import CoreHosts
 from .local_config import LocalConfig
 
-POLL_WAIT_MS = 400  # the store replies within this time; the proof in the reply must not be older than 0.9 s
-REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # 500 ms for the store to reach a replica with a read lease
+POLL_WAIT_MS = 400  # maximum hold time at the store; the proof in the reply must not be older than 0.9 s
+REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # the wait, and 500 ms to reach a member with a read lease
 RETRY_DELAY_US = 100_000  # after a request without a reply, or a reply without an update
 
 
@@ -32,7 +32,7 @@
 
         Args:
             environment: Provides the clock, timers and requests.
-            store: Address of the store replica on this machine.
+            store: Address of the store member on this machine.
             config: Updated with each change of the configuration.
             core_hosts: Updated with each reply.
             on_core_hosts: Called after each update of `core_hosts`.
@@ -46,7 +46,10 @@
         self._on_change = on_change
 
     def start(self) -> None:
-        """Send the first request; the next one is sent after each reply, or without a reply after `RETRY_DELAY_US`."""
+        """Send the first request.
+
+        Each reply with an update is followed by the next request at once; other outcomes, after `RETRY_DELAY_US`.
+        """
         self._request()
 
     def _request(self) -> None:
--- a/lilacsill/mesh/registry/core_hosts.py
+++ b/lilacsill/mesh/registry/core_hosts.py
@@ -8,7 +8,7 @@
 
 
 class CoreHosts:
-    """The hosts of all core machines; each runs a registry and a store replica.
+    """The hosts of all core machines; each runs a registry and a store member.
 
     Attributes:
         own: The host of this registry.
--- a/lilacsill/mesh/registry/directory.py
+++ b/lilacsill/mesh/registry/directory.py
@@ -20,7 +20,7 @@
 DIRECT_CONTACT_US = 900_000  # reports are ignored for a node that this registry heard from within this time
 TOMBSTONE_LIFETIME_US = 60_000_000  # for which the removal of a node is kept for readers
 MAX_CHANGES_PER_REPLY = 128  # about 11 KB; a larger reply would exceed the reader's time-out on a slow link
-CHANGE_LOG_SLACK = 64  # the change log is compacted when it exceeds two changes per entry by this many
+CHANGE_LOG_SLACK = 64  # the change log is compacted when it exceeds two changes per entry by more than this
 SHUTDOWN_STATES = (EndpointState.DRAINING, EndpointState.GONE)
 
 
@@ -91,8 +91,9 @@
             if current.incarnation == endpoint.incarnation and current.version >= endpoint.version:
                 return False
             if current.incarnation > endpoint.incarnation:
-                # The record with the higher incarnation wins. It gets a new change number, so that the proxy with the
-                # lower incarnation receives it and raises its own (`lilacsill.mesh.runtime.incarnation`).
+                # The record with the higher incarnation wins. It gets a new change number, so that it is sent again,
+                # also to all that know the lower incarnation. If the proxy with the lower one is alive, it then raises
+                # its own above the higher one (`lilacsill.mesh.runtime.incarnation`).
                 self._change(entry, endpoint.node, current)
                 return False
         self._change(entry, endpoint.node, endpoint)
--- a/lilacsill/mesh/registry/gossip_client.py
+++ b/lilacsill/mesh/registry/gossip_client.py
@@ -12,8 +12,8 @@
 from .directory import Directory
 from .poll_server import PollServer
 
-POLL_WAIT_MS = 300  # the other registry replies within this time; each reply lists the nodes that are alive
-REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # 500 ms for the round trip
+POLL_WAIT_MS = 300  # maximum hold time at the other registry; each reply lists the nodes that are alive
+REPLY_TIMEOUT_US = POLL_WAIT_MS * 1000 + 500_000  # the wait, and 500 ms for the round trip
 RETRY_DELAY_US = 300_000  # after a request without a reply
 
 
@@ -28,7 +28,7 @@
 
 
 class GossipClient:
-    """Long-polls all other registries, with one request in flight per registry.
+    """Long-polls all other registries: each gets the next request after its reply to the previous one.
 
     Attributes:
         positions: By host; contains the hosts that are being polled.
@@ -48,7 +48,7 @@
             environment: Provides the clock, timers and requests.
             core_hosts: Hosts of the registries to poll.
             registry_port: Port of all registries.
-            directory: Updated with the endpoints of each reply.
+            directory: Updated with the endpoints and the live nodes of each reply.
             poll_server: Handles forwarded reports, and notifies proxies of changes.
         """
         self.positions: dict[str, DirectoryPosition] = {}
--- a/lilacsill/mesh/registry/gossip_server.py
+++ b/lilacsill/mesh/registry/gossip_server.py
@@ -21,7 +21,7 @@
         self._polls: LongPolls[Gossip] = LongPolls(environment, self._reply)
 
     def handle(self, gossip: Gossip, send_reply: SendReply) -> None:
-        """Reply at once if there are changes, otherwise with the next change or when the poll's wait time expires."""
+        """Reply at once if there are changes, otherwise with the next change or report or when the wait expires."""
         poll = LongPoll(gossip, send_reply, self._environment.now())
         if self._is_outdated(gossip):
             self._reply(poll)
--- a/lilacsill/mesh/registry/operator_api.py
+++ b/lilacsill/mesh/registry/operator_api.py
@@ -17,7 +17,7 @@
 from .core_hosts import CoreHosts
 
 CALL_TIMEOUT_US = 950_000  # operators get a response within one second
-MIN_ATTEMPT_US = 300_000  # minimum time left for an attempt at another store replica
+MIN_ATTEMPT_US = 300_000  # minimum time left for an attempt at another store member
 MAX_LOGGED_BYTES = 400  # logged of the response body of a failed call
 
 HTTP_OK = 200
@@ -31,7 +31,7 @@
     Attributes:
         message: The message for the store.
         respond: Sends the response to the operator.
-        hosts: Hosts of the store replicas that have not been tried.
+        hosts: Hosts of the store members that have not been tried.
         deadline: Time by which the operator must have a response, in microseconds.
     """
 
@@ -53,8 +53,8 @@
         Args:
             reactor: Provides the clock.
             rpc_clients: Sends the calls to the store.
-            store: Address of the store replica on this machine; all replicas use the same port.
-            core_hosts: Hosts of all store replicas.
+            store: Address of the store member on this machine; all members use the same port.
+            core_hosts: Hosts of all store members.
         """
         self._reactor = reactor
         self._rpc_clients = rpc_clients
--- a/lilacsill/mesh/registry/poll_server.py
+++ b/lilacsill/mesh/registry/poll_server.py
@@ -54,7 +54,11 @@
         return len(self._polls)
 
     def handle(self, request: Poll, send_reply: SendReply) -> None:
-        """Record a proxy's announcement and reports. Reply at once if the proxy is outdated, else hold the poll."""
+        """Record a proxy's announcement and reports, and reply at once or hold the poll.
+
+        The reply is sent at once if the proxy does not want to wait, or if it is outdated and the pending notification
+        does not cover what it lacks.
+        """
         now = self._environment.now()
         if self._directory.update(request.endpoint, now):
             self.schedule_notification()
@@ -70,12 +74,12 @@
             self._polls.add(poll, request.wait_ms)
 
     def handle_reports(self, reports: list[SuspicionReport], now: int, direct: bool) -> None:
-        """Record reports of unreachable nodes, and remove nodes that have failed.
+        """Record reports of unreachable nodes. After a new one, remove failed nodes if the configuration is current.
 
         Args:
             reports: May include known ones.
             now: The current time.
-            direct: The reporters sent them to this registry, which then forwards them to other registries at once.
+            direct: The reporters sent them to this registry. New ones are then forwarded to other registries at once.
         """
         new = False
         for report in reports:
--- a/lilacsill/mesh/registry/process.py
+++ b/lilacsill/mesh/registry/process.py
@@ -89,7 +89,7 @@
         now = self._reactor.now()
         was_suspended = now - self._last_check_at > CHECK_INTERVAL_US + MAX_CHECK_DELAY_US
         if was_suspended or not self._config.is_current:
-            # This registry was suspended or is partitioned, so the silence of nodes does not show that they failed.
+            # This registry was suspended or may be partitioned, so silence of nodes does not show that they failed.
             self._directory.observing_since = now
         self._last_check_at = now
         self._reactor.after(CHECK_INTERVAL_US, self._check)
--- a/lilacsill/mesh/runtime/environment.py
+++ b/lilacsill/mesh/runtime/environment.py
@@ -1,6 +1,6 @@
 """The interface of protocol code to its process: a clock, timers and requests to other processes.
 
-In the programs it is implemented by the event loop, in tests by a simulation in virtual time.
+The programs implement it over their event loop; tests replace it by a simulation in virtual time.
 """
 
 from __future__ import annotations
--- a/lilacsill/mesh/runtime/freshness.py
+++ b/lilacsill/mesh/runtime/freshness.py
@@ -1,6 +1,6 @@
 """Freshness proofs of the configuration, and their age across hops. Does no I/O; the caller passes the time.
 
-A proof is the statement "this configuration is in force", made by a store replica that holds a read lease. Registries
+A proof is the statement "this configuration is in force", made by a store member that holds a read lease. Registries
 and proxies forward the proof with its age. A process that uses the configuration compares the age with a bound.
 
 A receiver dates a proof on its own monotonic clock, starting at the moment when it sent the request: the responder
@@ -73,7 +73,7 @@
         self._true_at = true_at if self._true_at is None else max(true_at, self._true_at)
 
     def is_current(self, now: int) -> bool:
-        """Whether the newest proof has not expired, so that the copy counts as the configuration in force."""
+        """Whether there is an unexpired proof, so that the copy counts as the configuration in force."""
         return self._true_at is not None and now - self._true_at < self._max_age_us
 
     def age_ms(self, now: int) -> int | None:
--- a/lilacsill/mesh/runtime/link.py
+++ b/lilacsill/mesh/runtime/link.py
@@ -23,7 +23,7 @@
     Attributes:
         on_message: Called with the link, the number in the frame and the message.
         on_closed: Called once, when the link has ended for any reason.
-        on_flushed: Called when the send buffer becomes empty.
+        on_flushed: Called when the kernel has accepted all bytes, after some had to be buffered.
         closed: Whether the link has ended.
     """
 
@@ -35,7 +35,7 @@
         """Take ownership of a connected non-blocking socket.
 
         Raises:
-            OSError: The event loop cannot watch the socket; the caller keeps ownership of it.
+            OSError: The socket cannot be configured or watched; the caller keeps ownership of it.
         """
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_TIMEOUT_MS)
         self._frames = FrameDecoder()
@@ -73,7 +73,7 @@
             self.close()
 
     def eof_received(self) -> None:
-        """Handle that the peer has closed its sending side."""
+        """Handle that the peer has closed its sending side or reset the connection."""
         self._notify_closed()
 
     def flushed(self) -> None:
--- a/lilacsill/mesh/runtime/log_ring.py
+++ b/lilacsill/mesh/runtime/log_ring.py
@@ -18,7 +18,7 @@
 
 
 class LogRing:
-    """Ring buffer of log lines. A warning writes all buffered lines, the warning last."""
+    """Ring buffer of log lines. A warning writes all buffered lines, the warning last, as `flush` permits."""
 
     def __init__(self, max_lines: int = MAX_LINES) -> None:
         self._lines: deque[str] = deque(maxlen=max_lines)
@@ -30,7 +30,7 @@
         self._lines.append(f"{time.monotonic():.3f} {text % arguments if arguments else text}")
 
     def warning(self, text: str, *arguments: object) -> None:
-        """Buffer a line, and write all buffered lines."""
+        """Buffer a line, and flush the buffered lines."""
         self.info(text, *arguments)
         self.flush()
 
--- a/lilacsill/mesh/runtime/messages/__init__.py
+++ b/lilacsill/mesh/runtime/messages/__init__.py
@@ -1,7 +1,7 @@
 """Messages between the processes of the mesh, encoded in msgpack; each frame (`..frames`) contains one message.
 
-There is one module for each kind of link. Except for the messages between proxies, all messages are requests and
-replies, which `lilacsill.mesh.runtime.rpc` matches by number.
+There is one module for each kind of link. Except for the messages of an exchange (`proxying`), all messages are
+requests and replies, which `lilacsill.mesh.runtime.rpc` matches by number.
 """
 
 from __future__ import annotations
--- a/lilacsill/mesh/runtime/messages/base.py
+++ b/lilacsill/mesh/runtime/messages/base.py
@@ -5,7 +5,7 @@
 import msgspec
 
 Headers = list[tuple[bytes, bytes]]
-"""HTTP header lines in order: name with its original case, and value."""
+"""HTTP header lines in order: name as received, and value."""
 
 
 class Message(msgspec.Struct, array_like=True, tag=True, gc=False):
--- a/lilacsill/mesh/runtime/messages/configuration.py
+++ b/lilacsill/mesh/runtime/messages/configuration.py
@@ -39,7 +39,7 @@
 class ConfigUpdate(msgspec.Struct, array_like=True, gc=False):
     """The changes of the configuration in force after the requested sequence number."""
 
-    seq: int  # sequence number of the last change
+    seq: int  # after applying `items`, the receiver is complete up to this sequence number
     items: list[Item]
     freshness: Freshness
 
@@ -47,7 +47,7 @@
 class FollowReply(Message):
     """The reply to `Follow`."""
 
-    update: ConfigUpdate | None  # None: no holder of a read lease was reached
+    update: ConfigUpdate | None  # None: no reply from a member that holds a read lease
     core_addresses: list[str]  # control addresses of all known core machines
 
 
--- a/lilacsill/mesh/runtime/metrics_server.py
+++ b/lilacsill/mesh/runtime/metrics_server.py
@@ -2,7 +2,7 @@
 
 `metrics` in `deploy/system.toml` gives the port and the path to the platform, which fetches the metrics only during the
 investigation of an incident. The Prometheus client library takes 14 MB and 0.1 s of CPU time, so it is imported with
-the first fetch. The import runs in a thread to keep the event loop running: a store replica whose event loop is blocked
+the first fetch. The import runs in a thread to keep the event loop running: a store member whose event loop is blocked
 for half a second loses its read lease.
 """
 
--- a/lilacsill/mesh/runtime/reactor.py
+++ b/lilacsill/mesh/runtime/reactor.py
@@ -78,7 +78,7 @@
     # Descriptors
 
     def add_reader(self, fd: int, callback: Callable[..., Any], *args: Any) -> None:
-        """Call `callback` whenever the descriptor is readable or in error; replaces an earlier callback."""
+        """Call `callback` whenever the descriptor is readable or broken (`BROKEN`); replaces an earlier callback."""
         registered = fd in self._readers or fd in self._writers
         self._readers[fd] = (callback, args)
         self._update_epoll(fd, registered)
@@ -91,7 +91,7 @@
         return True
 
     def add_writer(self, fd: int, callback: Callable[..., Any], *args: Any) -> None:
-        """Call `callback` whenever the descriptor is writable or in error; replaces an earlier callback."""
+        """Call `callback` whenever the descriptor is writable or broken (`BROKEN`); replaces an earlier callback."""
         registered = fd in self._readers or fd in self._writers
         self._writers[fd] = (callback, args)
         self._update_epoll(fd, registered)
--- a/lilacsill/mesh/runtime/settings.py
+++ b/lilacsill/mesh/runtime/settings.py
@@ -85,7 +85,7 @@
     """
     path = path or os.environ.get(ENVIRONMENT_VARIABLE, "")
     if not path:
-        raise SettingsError("", "", f"no settings file given: {ENVIRONMENT_VARIABLE} is not set")
+        raise SettingsError("", "", f"no settings file given: {ENVIRONMENT_VARIABLE} is not set or is empty")
     try:
         with open(path, "rb") as file:
             return parse_settings(path, tomllib.load(file))
