--- a/lilacsill/agent/admin/operations_file.py
+++ b/lilacsill/agent/admin/operations_file.py
@@ -73,7 +73,7 @@
         """Replace the state with the result of `change`.
 
         Raises:
-            OSError: The lock or the file cannot be written; the change is not applied.
+            OSError: The lock cannot be acquired or the file cannot be written; the change is not applied.
         """
         if self._path is None:
             self.state = change(self.state)
--- a/lilacsill/agent/agent.py
+++ b/lilacsill/agent/agent.py
@@ -57,7 +57,7 @@
         self._is_handling = False
         self._requests_accepted = 0
         self.observer: Observer | None = None
-        self.backends_known = asyncio.Event()  # set after the first response of discovery
+        self.backends_known = asyncio.Event()  # set after the first list from discovery
         self._action_handlers: dict[type, Callable[[Any], None]] = {
             balancing.Send: self._send,
             balancing.Reject: self._reject,
@@ -82,7 +82,7 @@
         self._post(balancing.TenantChanged(number, about))
 
     def fleet_changed(self, event: balancing.FleetChanged | balancing.PeerHealthChanged) -> None:
-        """Pass a report from other agents to the decision module."""
+        """Pass a change of the fleet, or of the backend health that its agents report, to the decision module."""
         self._post(event)
 
     def refresh_backends(self) -> None:
@@ -158,7 +158,7 @@
         self._fail_request(number)
 
     def _fail_request(self, number: int) -> None:
-        """Respond with status 500 to a request that the decision module failed to end.
+        """Respond with status 500 to a request, if it is in flight, in place of the decision module.
 
         An error is a valid response whatever the result of the attempts.
         """
--- a/lilacsill/agent/assembly.py
+++ b/lilacsill/agent/assembly.py
@@ -69,9 +69,8 @@
 
 def budget_for(config: Config) -> DescriptorBudget:
     """Return the descriptor budget, which accounts for open descriptors and for the sockets still to be opened."""
-    base = (
-        descriptors.count_open() + 1 + config.peers_allowed
-    )  # plus the client listener and, if allowed, the socket for peers
+    # The open descriptors, the client listener and, if allowed, the socket for peers.
+    base = descriptors.count_open() + 1 + config.peers_allowed
     if config.admin is not None:
         from .admin.server import MAX_DESCRIPTORS
 
--- a/lilacsill/agent/peers/agent_bridge.py
+++ b/lilacsill/agent/peers/agent_bridge.py
@@ -32,7 +32,7 @@
 HEADROOM = 1.25  # the need for a budget, as a multiple of this agent's share of all traffic
 MIN_REQUESTS_FOR_SHARE = 100  # counted by all agents; with fewer, this agent's share of the traffic is unknown
 MAX_COUNT_KEY = 255  # greatest tenant and class number in counts
-MAX_LOG_LINES_PER_MINUTE = 20  # a minute
+MAX_LOG_LINES_PER_MINUTE = 20  # for state changes of agents; further ones are only counted
 MINUTE_US = 60_000_000
 
 
@@ -71,9 +71,8 @@
         self._has_errors = False  # since the last check
         self._checked_at = 0
         self._last_fleet_event: balancing.FleetChanged | None = None
-        self._peer_health: dict[
-            str, balancing.PeerHealthChanged
-        ] = {}  # as last posted to the decision module, by backend
+        # As last posted to the decision module, by backend.
+        self._peer_health: dict[str, balancing.PeerHealthChanged] = {}
         self._log_lines, self._log_minute_at, self._suppressed_lines = 0, 0, 0
         self.is_channel_open = False
         self.wake: Callable[[], None] = lambda: None
@@ -167,7 +166,7 @@
 
     def _post_peer_health(self, now: int) -> None:
         if not self._peer_health and not self._fleet.peer_health.peer_claims:
-            return  # the usual case: neither posted verdicts nor claims of peers
+            return  # the usual case: no verdicts are posted, and peers have no claims
         current: dict[str, balancing.PeerHealthChanged] = {}
         for verdict in self._fleet.verdicts(now):
             event = balancing.PeerHealthChanged(verdict.backend, verdict.ejected, verdict.observed_at, verdict.until)
--- a/lilacsill/agent/peers/datagram.py
+++ b/lilacsill/agent/peers/datagram.py
@@ -3,9 +3,9 @@
     "LS" | version 1 | fleet 4 | sender 2 | target 2 | stamp 8 | sequence 4 | records | tag 8
 
 The tag is a keyed BLAKE2s of all bytes before it, or zero where no secret is set. A datagram is accepted once, and only
-if it is well-formed, has this version and fleet, and comes from the listed address of its sender and from the latest
-known incarnation of that sender. Any other datagram is dropped and counted. This takes one replay window of sequence
-numbers for each listed agent.
+if it is well-formed, is addressed to this agent, has this version and fleet and a valid tag, and comes from the listed
+address of its sender and from the latest known incarnation of that sender. Any other datagram is dropped and counted.
+The state for these checks is one replay window of sequence numbers for each listed agent.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 class DropReason(Enum):
     """The reason why a datagram is dropped."""
 
-    FOREIGN = "foreign"  # from an address that is not listed, or with the number of another agent
+    FOREIGN = "foreign"  # its source address is not the listed one of its sender, or its target is another agent
     TORN = "torn"  # incomplete or malformed
     VERSION = "version"
     FLEET = "fleet"
--- a/lilacsill/agent/peers/escrow.py
+++ b/lilacsill/agent/peers/escrow.py
@@ -143,7 +143,7 @@
         return renewals + rng.sample(new_lenders, min(2, len(new_lenders)))
 
     def open_request(self, now: int, lender: int, nonce: int) -> int:
-        """Open a request to an agent; return the amount, 0 if nothing is needed or too many requests are open."""
+        """Open a request to an agent; return the amount, 0 if too little is needed or too many are open."""
         for key in [key for key, at in self._requested_at.items() if at + self.borrower_lease_us <= now]:
             del self._requested_at[key]
         borrowed = self._borrowed.get(lender, NO_LEASE).amount
--- a/lilacsill/agent/peers/fleet.py
+++ b/lilacsill/agent/peers/fleet.py
@@ -95,7 +95,7 @@
         self.changes: list[StateChange] = []
         # Random, hence far from the nonces of the previous incarnation: a request must not look older than those.
         self._nonce = rng.getrandbits(31)
-        self._period_from = self._period_at = now  # earliest and latest begin of the next period
+        self._period_from = self._period_at = now  # earliest and latest start of the next period
         self._periods = 0
         self._backlog_until = 0  # datagrams read before may have waited during a stall
         self._ready: list[tuple[int, bytes]] = []
--- a/lilacsill/agent/peers/membership.py
+++ b/lilacsill/agent/peers/membership.py
@@ -1,9 +1,9 @@
 """Membership and failure detection: SWIM (Das, Gupta and Motivala, 2002) with the three extensions of Lifeguard (2018).
 
 One member is probed in each period, first directly and then through others. A member that does not answer is suspected,
-and dead unless the suspicion is refuted in time. A process that was stalled, or whose own probes fail,
-raises its health score, which lengthens its probe timeouts and periods. After a stall its suspicions also last longer,
-by the length of the stall.
+and dead unless the suspicion is refuted in time. A process that was stalled, whose own probes fail, or that others
+suspect, trusts itself less: it raises its health score, which lengthens its probe timeouts and periods. After a stall
+its suspicions also last longer, by the length of the stall.
 
 No I/O; the caller passes the time in. A member is identified by its number in the list of agents. Its stamp combines
 the incarnation of its process with the number of suspicions that the process has refuted (see records.py).
@@ -36,9 +36,9 @@
 STALL_PERIODS = 0.5  # with a tick this late, the process counts as stalled
 ISOLATION_PERIODS = 3  # without any datagram, after which this process counts as isolated
 UNREACHABLE_PROBES = 3  # probes per period of members not known to be alive, while they are the majority; else one
-REFUTATION_PERIODS = 6  # before the end of a suspicion from which on the member is probed directly
+REFUTATION_PERIODS = 6  # the member is probed directly during the last periods of its suspicion
 MAX_RELAYED_PROBES = 64  # unanswered probes on behalf of others
-INCARNATION_STEP_MS = 256  # greatest random step from the later incarnation to the new one
+INCARNATION_STEP_MS = 256  # greatest random step from the known incarnation to a later one
 MAX_NEW_INCARNATIONS = 4  # that this process takes before it assumes that another process has its number
 
 Send = Callable[[int, Record], None]
@@ -155,7 +155,7 @@
         return min(times)
 
     def start(self, now: int) -> None:
-        """Schedule the first period."""
+        """Schedule the first period, at a random time within a quarter of a period."""
         self._period_at = now + int(self._rng.random() * self._period_us / 4)
         self.heard_at = now
 
@@ -236,7 +236,7 @@
         self._period_at = now + int(self._period_us * (1 + self.health_score) * (0.9 + 0.2 * self._rng.random()))
 
     def _probe_failed(self, probe: _Probe, now: int) -> None:
-        # If even the Nacks of the members that were asked to probe are missing, this process probably loses datagrams.
+        # If a member that was asked to probe has not even sent a Nack, this process probably loses datagrams itself.
         self.health_score = min(MAX_HEALTH_SCORE, self.health_score + 1 + (probe.nacks_expected > 0))
         member = self.members[probe.target]
         if member.state is MemberState.ALIVE:
--- a/lilacsill/agent/recorder/ring.py
+++ b/lilacsill/agent/recorder/ring.py
@@ -20,7 +20,7 @@
 log = logging.getLogger(__name__)
 
 MAX_BUFFERED_BYTES = 64 * 1024  # the buffer is written once it holds this much,
-FLUSH_INTERVAL_US = 1_000_000  # or with the first event after this time
+FLUSH_INTERVAL_US = 1_000_000  # or when an event is added later than this after the last write
 REJECTED_STATUS = 503  # of a response to a request that the agent rejects
 
 
--- a/lilacsill/agent/recovery/phases.py
+++ b/lilacsill/agent/recovery/phases.py
@@ -12,7 +12,7 @@
 WINDOW_US = 1_000_000
 STEADY_ENTRY_SHARE = 0.95  # successful answers in a window, from which on a returning agent becomes steady
 STEADY_EXIT_SHARE = 0.5  # successful answers in a window, below which an agent is no longer steady
-MIN_ANSWERS = 5  # in a window; a window with fewer does not change the phase between RETURNING and STEADY
+MIN_ANSWERS = 5  # in a window; a window with fewer is ignored
 
 
 class Phase(Enum):
--- a/lilacsill/agent/recovery/service.py
+++ b/lilacsill/agent/recovery/service.py
@@ -170,7 +170,10 @@
         )
 
     def _save(self) -> None:
-        """Write the state in the background unless it is similar to the last one; retry later during a write."""
+        """Write the state in the background, unless it is similar to the last saved one.
+
+        While a write is still running, try again after SAVE_DELAY_US.
+        """
         self._is_save_planned = False
         if self._write is not None and not self._write.done():
             self._save_soon()
--- a/lilacsill/agent/recovery/store.py
+++ b/lilacsill/agent/recovery/store.py
@@ -59,7 +59,7 @@
         """Write a state as the newest generation.
 
         Raises:
-            OSError: The state cannot be written; the generations are unchanged, or shifted by one.
+            OSError: The state cannot be written or synced; the generations may be shifted by one.
         """
         temporary = self._folder / f"{self._name}.state.{os.getpid()}.new"
         try:
--- a/lilacsill/agent/recovery/trust.py
+++ b/lilacsill/agent/recovery/trust.py
@@ -83,8 +83,8 @@
 def age_s(state: SavedState, now: StartTime) -> float | None:
     """Return the age of a saved state in seconds; None: unknown.
 
-    Within one boot of the machine the monotonic clock counts, whatever happened to the wall clock. After a reboot the
-    wall clock counts, unless it shows a time before the save.
+    Within one boot of the machine the monotonic clock counts, whatever happened to the wall clock. Otherwise (after a
+    reboot, or if a boot id is unknown) the wall clock counts, unless it shows a time before the save.
     """
     if state.boot_id and state.boot_id == now.boot_id:
         return max(0.0, (now.monotonic_us - state.saved_us) / 1e6) if now.monotonic_us >= state.saved_us else None
--- a/lilacsill/agent/run.py
+++ b/lilacsill/agent/run.py
@@ -137,7 +137,7 @@
 
 
 async def _wait_for_backends(agent: Agent, stop: asyncio.Event) -> None:
-    """Wait for the first response of discovery, a timeout or `stop`, while the predecessor still serves."""
+    """Wait for the first list from discovery, a timeout or `stop`, while the predecessor still serves."""
     agent.refresh_backends()
     waits = [asyncio.ensure_future(event.wait()) for event in (agent.backends_known, stop)]
     await asyncio.wait(waits, timeout=BACKENDS_KNOWN_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
--- a/lilacsill/agent/watermarks.py
+++ b/lilacsill/agent/watermarks.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 MAX_WATERMARK_BYTES, MIN_WATERMARK_BYTES = 64 * 1024, 4 * 1024
-MEMORY_DIVISOR = 4  # memory limit / budget for bodies
-FREE_DIVISOR = 8  # free budget / watermark of one stream
-BODY_DIVISOR = 4  # budget for fully buffered bodies / maximum size of one such body
+MEMORY_DIVISOR = 4  # the budget for bodies is the memory limit divided by this
+FREE_DIVISOR = 8  # the free budget divided by this limits the watermark of a stream, down to the minimum
+BODY_DIVISOR = 4  # one fully buffered body may use the budget for such bodies divided by this
 
 
 class Watermarks:
--- a/lilacsill/http1/connection.py
+++ b/lilacsill/http1/connection.py
@@ -96,7 +96,7 @@
             self.stream.close()
 
     def drop(self) -> None:
-        """Close the socket at once, without waiting for buffered bytes."""
+        """Close the socket at once and discard buffered bytes; the peer is notified at once."""
         self.discarding = self.closed = True
         if self.stream is not None:
             self.stream.abort()
--- a/lilacsill/net/stream.py
+++ b/lilacsill/net/stream.py
@@ -19,7 +19,7 @@
 
 
 class StreamHandler(Protocol):
-    """The owner of a stream. It is called from the event loop, never from inside a call to the stream."""
+    """The owner of a stream. It is called from the event loop, and inside a call to the stream only by `receive`."""
 
     def data_received(self, data: bytes) -> None:
         """Handle bytes from the peer."""
@@ -170,10 +170,10 @@
                 self.abort()
 
     def abort(self) -> None:
-        """Close at once.
+        """Close at once and discard unsent bytes.
 
-        The socket is closed before this returns, not in a later iteration of the event loop, since the next attempt of
-        the same request may be sent in this iteration.
+        The socket is closed before this returns, not in a later iteration of the event loop, so that the peer is
+        notified at once: the next attempt of the same request may be sent in this iteration.
         """
         if self._closed:
             return
--- a/lilacsill/timers.py
+++ b/lilacsill/timers.py
@@ -1,6 +1,6 @@
 """A timing wheel for thousands of deadlines, with slots of one millisecond. No I/O; the caller passes the time.
 
-Four of the five timers of a request are cancelled before they are due. In a heap, each timer costs one sift on
+Four out of five timers of requests are cancelled before they are due. In a heap, each timer costs one sift on
 insertion and another on removal. Here a timer is an entry of a list, and cancelling it clears the entry (Varghese and
 Lauck, Hashed and Hierarchical Timing Wheels, SOSP 1987, scheme 4).
 """
@@ -12,7 +12,8 @@
 from typing import Any
 
 SLOT_US = 1_000  # width of a slot
-SWEEP_THRESHOLD = 512  # cancelled entries above which the wheel may be swept
+# The wheel is swept if there are more cancelled entries than this and if they are more than half of all entries.
+SWEEP_THRESHOLD = 512
 
 
 class Timer:
