--- a/lilacsill/agent/admission/connections.py
+++ b/lilacsill/agent/admission/connections.py
@@ -9,7 +9,7 @@
 from .settings import ConnectionTimeouts
 
 MAX_GROUP_CANDIDATES = 32  # from a group over its share; some of its connections may have a request in flight
-MAX_STATE_CANDIDATES = 8  # from each state, known and unknown each; the server may find some not evictable
+MAX_STATE_CANDIDATES = 8  # from each state, for known and unknown clients each; the server may find some busy
 
 
 class ConnectionRecord:
@@ -87,11 +87,11 @@
     ) -> list[tuple[EvictionRank, ConnectionRecord]]:
         """Return eviction candidates, in the order in which they should be evicted.
 
-        They are the `MAX_GROUP_CANDIDATES` oldest of a group over its share, the `MAX_STATE_CANDIDATES` oldest of each
-        state, and all connections of addresses over their cap.
+        To bound the list, only these are considered: the first `MAX_GROUP_CANDIDATES` connections of a group over its
+        share, the `MAX_STATE_CANDIDATES` longest in each state, and those of addresses over their cap.
 
         Args:
-            for_known: Whether the connection to be admitted is from a known client.
+            for_known: Whether connections are evicted as for a known client.
             now: The time in microseconds.
             over_share: The connections of a group that exceeds its share, in the order in which they joined it.
         """
--- a/lilacsill/agent/admission/controller.py
+++ b/lilacsill/agent/admission/controller.py
@@ -17,7 +17,7 @@
 from .policy import ConnectionState, EvictionRank, NewConnection, RefusalReason, Verdict, decide, keeps_alive
 from .settings import AdmissionSettings, ConnectionTimeouts, client_identity
 
-LIMIT_RAISE_DELAY_US = 500_000  # from the last descriptor shortage until the lowered limit is raised
+LIMIT_RAISE_DELAY_US = 500_000  # from the last descriptor shortage until the lowered limit is raised step by step
 LAG_SMOOTHING_WEIGHT = 0.3  # weight of a new sample in the moving average of the lag
 MAX_LAG_AGE_US = 100_000  # an older measurement of the lag is ignored
 KEEP_ALIVE_SHARE = 2 / 9  # of the descriptor limit: clients may use a third for requests, and some must stay free
@@ -65,7 +65,7 @@
         descriptors.reserve = settings.reserve
 
     def apply_settings(self, settings: AdmissionSettings) -> None:
-        """Apply new settings; open connections stay until they are evicted under them."""
+        """Apply new settings; open connections stay until they are evicted under the new settings."""
         self._settings = settings
         self.descriptors.reserve = settings.reserve
         self._addresses.apply_settings(settings)
@@ -211,7 +211,10 @@
         return keeps_alive(record.known, with_requests, max_kept)
 
     def start_closing(self, record: ConnectionRecord) -> None:
-        """Record that the server closes a connection; its descriptor is free in the next event loop iteration."""
+        """Record that the server closes a connection to free its descriptor.
+
+        The kernel frees the descriptor in the next event loop iteration.
+        """
         assert record.state is not ConnectionState.IN_FLIGHT and not record.closing
         record.closing = True
         self.connections.remove(record)
--- a/lilacsill/agent/admission/descriptor_account.py
+++ b/lilacsill/agent/admission/descriptor_account.py
@@ -1,8 +1,8 @@
 """Accounting of file descriptors, which the downstream and the upstream side share.
 
 Each side has a guaranteed minimum, its floor, which the other side cannot use. Descriptors above both floors are
-allocated first come, first served. A side that has no descriptor left gets one by closing an idle connection of the
-other side, provided that the other side is above its floor.
+allocated first come, first served. A side that has no descriptor left gets one by closing a connection of the other
+side that has no request in flight, provided that the other side is above its floor.
 """
 
 from __future__ import annotations
@@ -150,12 +150,12 @@
     # The limit
 
     def set_limit(self, limit: int) -> None:
-        """Set the nominal limit; a change of it also ends a temporary lowering."""
+        """Set the nominal limit to what the system allows now; a change also ends a temporary lowering."""
         if limit != self._nominal_limit:
             self._nominal_limit = self._limit = limit
 
     def lower_limit(self, needs: int = 0) -> None:
-        """Lower the limit to the descriptors in use, less `needs`.
+        """Lower the limit to the descriptors in use or set apart, less `needs`.
 
         Called when the kernel refused a descriptor although the limit was not reached, because other programs use the
         remaining ones.
--- a/lilacsill/agent/admission/policy.py
+++ b/lilacsill/agent/admission/policy.py
@@ -63,7 +63,7 @@
     if connection.over_cap and state not in (ConnectionState.READING, ConnectionState.BODY):
         return EvictionRank.OVER_CAP
     if connection.known:
-        # Only long silence suggests an attack; a known client that is silent is treated like an idle one.
+        # Only long silence suggests an attack: a silent known client is evicted only after `idle_min_us`, as if idle.
         return _KNOWN_RANKS.get(state) if connection.long_in_state else None
     return _unknown_rank(connection, for_known)
 
@@ -106,9 +106,9 @@
     below_cap: bool  # its address has fewer connections than the cap
     within_rate: bool  # its address is within the rate of new connections
     open: int  # number of open downstream connections
-    capacity: int  # maximum number of downstream connections, including unused upstream descriptors
+    capacity: int  # maximum number of downstream connections, with what upstream leaves unused above its floor
     unused_reserve: int  # reserved descriptors that known clients do not use yet
-    victim: EvictionRank | None  # the rank of the connection to evict; None: there is none
+    victim: EvictionRank | None  # the lowest rank of any connection that can be evicted; None: there is none
     may_close: bool  # one more connection may be closed in this event loop iteration
     can_close_idle_upstream: bool  # an idle connection to a backend can be closed instead
     busy: bool = False  # the event loop lag is too high to serve unknown clients
@@ -123,7 +123,7 @@
     if connection.open < limit:
         return Verdict.ADMIT, None
     if connection.may_close:
-        # An over-cap, silent or lingering connection costs nothing to close; a warm connection to a backend does.
+        # Closing a silent or lingering connection costs nothing; closing a warm connection to a backend does.
         if connection.victim is not None and connection.victim <= EvictionRank.LINGERING:
             return Verdict.REPLACE, None
         if connection.can_close_idle_upstream and connection.open <= limit:  # closing a single connection is enough
--- a/lilacsill/agent/admission/settings.py
+++ b/lilacsill/agent/admission/settings.py
@@ -16,13 +16,13 @@
     per_address: int = 0  # maximum number of open connections per address
     known: tuple[Network, ...] = ()  # clients in these networks are known
     reserve: int = 0  # descriptors reserved for known clients
-    learn_known_s: float = 0.0  # how long a learned address stays known after its last successful response
+    learn_known_s: float = 0.0  # how long an address learned outside storms stays known after it was last served
     learn_after_s: float = 5.0  # how long after its first successful response an address is learned
     new_per_s: float = 0.0  # average rate of new connections per address
-    new_burst: int = 20  # burst of new connections per address
+    new_burst: int = 20  # maximum number of new connections at once per address
     keep_alive: int = 0  # connections with requests, also idle ones, up to which responses keep alive; 0: by budget
     busy_ms: float = 0.0  # event loop lag above which unknown clients are refused
-    addresses: int = 4096  # limit of unlearned and of learned addresses each, without open connections
+    addresses: int = 4096  # limit each for unlearned and for learned addresses without open connections
     retry_after_s: tuple[float, float] = (0.25, 1.0)  # range of the random Retry-After of a refusal
 
     def is_listed(self, identity: str) -> bool:
@@ -39,7 +39,7 @@
     body_us: int = 900_000  # the head of the request is complete, its body incomplete
     body_byte_us: int = 20  # added per byte of the body received: clients write at least 64 kB per second
     lingering_us: int = 3_000_000  # after an error response in the middle of a request
-    idle_min_us: int = 2_000_000  # idle time before eviction when no descriptor is free
+    idle_min_us: int = 2_000_000  # idle time before it may be evicted when no descriptor is free
     idle_us: int = 20_000_000  # idle time before it is closed in any case
 
 
--- a/lilacsill/agent/inbound/accept.py
+++ b/lilacsill/agent/inbound/accept.py
@@ -13,8 +13,8 @@
 log = logging.getLogger(__name__)
 
 BACKLOG = 512
-MAX_ACCEPTS = 16  # per event loop iteration, so that open connections are served
-# Without even a spare descriptor, or after an unexpected error of accept. asyncio's own server pauses for 1 s.
+MAX_ACCEPTS = 16  # per event loop iteration, so that open connections are served in between
+# Pause if not even the spare descriptor is left, or after an unexpected error. asyncio's own server pauses for 1 s.
 ACCEPT_PAUSE_S = 0.02
 # Errors of the connection to be accepted, not of the listener (accept(2)).
 TRANSIENT_ERRORS = frozenset(
@@ -100,7 +100,7 @@
         return False
 
     def _accept_on_spare(self) -> bool:
-        """Accept on the spare descriptor, so that the client is refused rather than left in the kernel's queue."""
+        """Accept on the spare descriptor, so that no client waits in the kernel's queue without a response."""
         if not self._spare.release():
             return False
         try:
@@ -158,7 +158,7 @@
         host: The address to listen on; `::` accepts IPv4 too.
         port: The port; 0: any free one.
         shared: Whether the kernel distributes connections over all processes that listen there (SO_REUSEPORT, see
-                socket(7)).
+            socket(7)).
 
     Raises:
         OSError: The address cannot be bound.
--- a/lilacsill/agent/inbound/downstream.py
+++ b/lilacsill/agent/inbound/downstream.py
@@ -32,10 +32,10 @@
         """Handle a request and answer it with `call.respond` or `call.begin_response`."""
 
     def client_gone(self, call: DownstreamRequest) -> None:
-        """Handle that the client of a request has closed its connection."""
+        """Cancel a request that cannot be answered any more, usually because its client has closed the connection."""
 
     def fail_all(self) -> None:
-        """Answer all requests in flight at once."""
+        """Respond to all requests in flight at once with an error."""
 
 
 class Validator(Protocol):
@@ -363,7 +363,7 @@
         self._reject(InvalidMessageError(400, "one request at a time"))
 
     def _reject(self, error: InvalidMessageError, headers: Headers | None = None) -> None:
-        """Respond to an invalid, incomplete or pipelined request, and close the connection."""
+        """Send an error as the last response: the request is invalid, incomplete or pipelined, or a fault occurred."""
         self._send_last_response(error.status, headers or [], f"{error}\n".encode())
 
     def _send_last_response(self, status: int, headers: Headers, body: bytes) -> None:
--- a/lilacsill/agent/inbound/draining.py
+++ b/lilacsill/agent/inbound/draining.py
@@ -14,7 +14,7 @@
     """The stages of a graceful shutdown, in seconds from its start."""
 
     idle_s: float  # from when idle connections are closed
-    serve_s: float  # until when new connections are accepted in any case
+    serve_s: float  # new connections are accepted at least until then
     end_s: float  # when all remaining requests in flight fail
 
 
--- a/lilacsill/agent/inbound/refused_connections.py
+++ b/lilacsill/agent/inbound/refused_connections.py
@@ -12,7 +12,9 @@
 
 
 class RefusedConnections:
-    """Waits for requests on at most `max_waiting` refused connections; beyond that the oldest is closed.
+    """Waits up to `REQUEST_WAIT_S` for a request on each of at most `max_waiting` connections, then closes them.
+
+    Beyond `max_waiting`, the oldest is closed.
 
     A connection storm causes many of them. To keep them cheap, all share one timer and none has a stream.
     """
--- a/lilacsill/agent/inbound/response_stream.py
+++ b/lilacsill/agent/inbound/response_stream.py
@@ -73,7 +73,10 @@
             self._connection.response_sent()
 
     def abort(self) -> None:
-        """End an incomplete response; the missing end of the body shows the client that it is truncated."""
+        """End an incomplete response.
+
+        The missing end of the body shows the client that it is truncated, unless the close of the connection frames it.
+        """
         if self.end():
             self._connection.close()
 
--- a/lilacsill/agent/inbound/server.py
+++ b/lilacsill/agent/inbound/server.py
@@ -198,7 +198,10 @@
     # Draining
 
     def start_drain(self, idle_s: float) -> None:
-        """Start an operator's drain: close connections after their response, idle ones after `idle_s` seconds."""
+        """Start an operator's drain, which closes connections only; the server goes on to accept new ones.
+
+        Connections are closed after their response, idle ones after `idle_s` seconds.
+        """
         self._drain.begin(idle_s)
 
     def cancel_drain(self) -> None:
@@ -215,7 +218,7 @@
         """Drain client connections and stop; every accepted request is answered."""
         loop = self._loop
         began_s = loop.time()
-        # A client whose request is in transit when its idle connection closes can retry on a new connection.
+        # A client whose request is in transit when its idle connection closes resends it on a new one, still accepted.
         self._drain.begin(times.idle_s, final=True)
         await asyncio.sleep(times.serve_s)
         while self.connections and loop.time() < began_s + times.end_s:
--- a/lilacsill/agent/inbound/upload.py
+++ b/lilacsill/agent/inbound/upload.py
@@ -69,7 +69,10 @@
     # Called by an attempt
 
     def attach(self, receiver: BodyReceiver) -> bytes | None:
-        """Return the bytes received so far and pass the rest to `receiver`; None: not all buffered, or attached."""
+        """Return the bytes received so far and pass the rest to `receiver`.
+
+        Returns None if the received bytes are no longer all buffered, or if another receiver is attached.
+        """
         if self._is_truncated or self._receiver is not None:
             return None
         self._receiver = receiver
--- a/lilacsill/agent/outbound/exchange.py
+++ b/lilacsill/agent/outbound/exchange.py
@@ -141,7 +141,7 @@
         self, connection: UpstreamConnection, headers: list[tuple[bytes, bytes]], upload: StreamedBody
     ) -> None:
         received = upload.attach(self)
-        if received is None:  # the first bytes were sent by an earlier attempt and are no longer buffered
+        if received is None:  # not all bytes are buffered any more, or another attempt is sending the body
             self._backends.pool.discard(connection)
             self._end(Outcome.NOT_SENT)
             return
@@ -292,7 +292,7 @@
         if self._request.upload is not None:
             self._request.upload.detach(self)
         if self._upload is not None and self._connection is not None:
-            self._connection.reusable = False  # the response came before all of the request was sent
+            self._connection.reusable = False  # the exchange ended before all of the request was sent
         if self._buffering_timer is not None:
             self._buffering_timer.cancel()
         if self._connect_attempt is not None:
--- a/lilacsill/agent/outbound/pool.py
+++ b/lilacsill/agent/outbound/pool.py
@@ -20,7 +20,7 @@
 from ..discovery.listing import Member
 
 IDLE_TIMEOUT_SHARE = 0.7  # of the idle time-out of the backends, after which the pool closes an idle connection
-REUSE_DELAY_US = 2_000  # idle time before reuse: bytes that follow a response without belonging to it arrive within it
+REUSE_DELAY_US = 2_000  # idle time before reuse: stray bytes after a response arrive within this time
 MAX_RESPONSE_BYTES = 40 * 1024 * 1024  # responses of 32 MB occur
 
 
@@ -51,7 +51,7 @@
         self.member, self._pool = member, pool
         self._reader = Reader(HttpResponseParser, MAX_RESPONSE_BYTES, until_close=True)
         self.user: ConnectionUser | None = None
-        self.reusable = True  # all received bytes belong to responses to its requests
+        self.reusable = True  # no stray bytes or fault so far, and the last response keeps it alive
         self.idle_since = 0
         self.evicted = False  # its descriptor is already counted as closing
         self.idle_timer: Timer | None = None
@@ -131,7 +131,7 @@
     """The connections to all backends.
 
     Attributes:
-        evict_downstream: Closes a client connection if both sides are full; returns whether one was closed.
+        evict_downstream: Closes a client connection to free a descriptor; returns whether one was closed.
         descriptors_exhausted: Called with the purpose of a descriptor when the kernel had none.
     """
 
