--- a/lilacsill/mesh/credit/account_owner.py
+++ b/lilacsill/mesh/credit/account_owner.py
@@ -4,8 +4,8 @@
 clock and the messages are passed in.
 
 A grant is sent only after the replica has stored it. A new owner queries the owner and the replica of each earlier
-epoch in which credit may have been granted. It has recovered the account when at least one node of each such pair has
-answered that was up throughout that epoch. One node is enough: a grant needs both, and a node that has answered no
+epoch in which credit may have been granted. It has recovered the account when, of each such pair, at least one node
+that was up throughout that epoch has answered. One node is enough: a grant needs both, and a node that has answered no
 longer grants or replicates for older epochs. If neither node of a pair answers, the new owner waits until older owners
 have lost the right to grant (they need a recent confirmation of their epoch by a majority) and all their leases have
 ended. It then starts without credit.
@@ -102,7 +102,7 @@
 
     Args:
         environment: clock, timers and other nodes.
-        me: the name of this node.
+        node: the name of this node.
         contracts: the tiers of all callers.
         membership: the nodes of the current epoch.
         is_first_start: whether the deployment starts for the first time, so that the epoch begins with this node.
@@ -134,7 +134,11 @@
             self._confirmed_at_us = max(self._confirmed_at_us, asked_at)
 
     def enter_epoch(self, membership: Membership) -> None:
-        """Enter a later epoch. Accounts that this node still owns stay active; others become replicas for handover."""
+        """Enter a later epoch.
+
+        Accounts whose owner and replica stay the same remain active. Others are kept as replicas until they are asked
+        for.
+        """
         if membership.epoch <= self.membership.epoch:
             return
         now = self._environment.now()
@@ -278,7 +282,7 @@
             caller: the caller whose account it is.
             slot: the slot of the account.
             states: copies of the account found at this node and at other nodes.
-            is_unknown: whether no node with complete knowledge has answered for at least one epoch.
+            is_unknown: whether there is an epoch for which no node with complete knowledge has answered.
         """
         if is_unknown and self._environment.now() - self._epoch_began_at_us <= RECOVERY_US:
             self._reject_waiting(slot)
@@ -308,7 +312,7 @@
     # Other nodes
 
     def handle_mirror(self, mirror: Mirror, reply: Replier) -> None:
-        """Store the owner's state as its replica, unless the account was handed over to a later epoch."""
+        """Store the owner's state as its replica, unless this node or the account is in a later epoch."""
         caller, state = mirror.caller, mirror.state
         if mirror.epoch < max(self.membership.epoch, self.fences.get(caller, -1)):
             reply(Mirrored(False))
--- a/lilacsill/mesh/credit/allowance.py
+++ b/lilacsill/mesh/credit/allowance.py
@@ -19,7 +19,7 @@
 
 LEASE_US = 2_000_000  # duration of a lease
 RENEWAL_US = LEASE_US // 3  # a lease with less remaining time is renewed
-PREFETCH_S = 1.2  # spending to request in advance: covers a round trip between regions and one to the replica
+PREFETCH_S = 1.2  # seconds of spending to request ahead: a round trip between regions, and one to the replica
 RETRY_US = 100_000  # minimum interval between two lease requests for one caller
 RATE_DECAY_US = 1_000_000  # time constant of the smoothed spending rate
 REPORT_US = 250_000  # minimum interval between two reports of spent credit
--- a/lilacsill/mesh/credit/contract.py
+++ b/lilacsill/mesh/credit/contract.py
@@ -18,7 +18,7 @@
 
 RESERVE_SHARE = 0.01  # of rate and burst, reserved for nodes that get no answer from an account owner
 MAX_NODES = 256  # each has an equal share of the reserve
-MAX_KEY_BYTES = 128  # maximum length of a caller's key; the rest is truncated
+MAX_KEY_BYTES = 128  # maximum length of a caller's key; longer keys are truncated
 MAX_CREDITS = 1e9
 _NAME = {"type": "string", "required": True, "minlength": 1, "maxlength": 64}
 CONTRACTS_SCHEMA = {
--- a/lilacsill/mesh/credit/messages.py
+++ b/lilacsill/mesh/credit/messages.py
@@ -1,7 +1,7 @@
 """Messages between account owners and proxies, which hold leases, in msgpack. Credits are floats.
 
-A message is an array on the wire: its tag, then its fields in order. Some tags differ
-from the class names, because the classes were renamed later.
+A message is an array on the wire: its tag, then its fields in order. Some tags differ from the class names, because the
+classes were renamed later.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 
 class LeaseRejection(Message, tag="Refused"):
-    """Sent by a node that is not the owner of the caller's account, or does not have the account yet."""
+    """Sent by a node that does not own the account, has not recovered it yet, or may not grant now."""
 
     number: int  # of the request
     retry_us: int
--- a/lilacsill/mesh/operations/claim_client.py
+++ b/lilacsill/mesh/operations/claim_client.py
@@ -41,7 +41,7 @@
 
 Decision = ClaimOutcome | StoredResponse
 OnGranted = Callable[[str, OperationOwner], None]
-"""Called with the operation and claim of each grant, also if it arrives after the request was cancelled."""
+"""Called with the operation and claim of each grant, also if it arrives after the claim was cancelled or timed out."""
 
 
 class ClaimClient:
--- a/lilacsill/mesh/operations/operation_gate.py
+++ b/lilacsill/mesh/operations/operation_gate.py
@@ -1,4 +1,4 @@
-"""Decides whether a request may run its operation, and records the outcome of the run. No I/O."""
+"""The only place where requests get permission to run their operations, and report the outcome. No I/O."""
 
 from __future__ import annotations
 
--- a/lilacsill/mesh/operations/operation_table.py
+++ b/lilacsill/mesh/operations/operation_table.py
@@ -18,7 +18,7 @@
 RETENTION_MARGIN_US = 10_000_000  # added to the key window: a client's window starts before the record is created
 # The members of the store keep a claim for the key window and a margin, counted from its first request. A run under an
 # older claim would outlast it: the claim would expire before the key window of the run ends.
-CLAIM_REUSE_US = 5_000_000
+CLAIM_REUSE_US = 5_000_000  # an older claim is replaced by a new one
 MAX_STORED_BYTES = 16 * 1024 * 1024  # total size of stored responses over all records
 MAX_RESPONSE_BYTES = 1024 * 1024  # size of one response; larger ones are not stored
 MAX_RECORDS = 16_384
@@ -218,7 +218,7 @@
             self.stored_bytes -= response_bytes(record.response)
 
     def _expire(self, now: int) -> None:
-        """Remove the records unchanged for the retention period, except those in progress. O(1) per removed record."""
+        """Remove the records unchanged for the retention period, except those in progress. O(1) per due record."""
         while self._records:
             oldest = next(iter(self._records.values()))
             if now - oldest.changed_at < self._retention_us:
--- a/lilacsill/mesh/quota/quota_client.py
+++ b/lilacsill/mesh/quota/quota_client.py
@@ -2,7 +2,7 @@
 
 Each owner has at most one token request in flight. It carries the demands of all client requests that wait for this
 owner; those that arrive meanwhile go into the next one. A token is used only for a client request that was counted in
-the token request. It was therefore granted after the client request was received and before that arrives at a backend,
+the token request. It was therefore granted after the client request was received and before it arrives at a backend,
 so a delayed answer cannot move client requests from one quota window into another. Tokens granted in excess of the
 client requests that still wait are lost.
 
@@ -131,7 +131,10 @@
             pending.decide(_denied(grant.retry_after_ms * US_PER_MS))
 
     def _cache_denial(self, grant: TokenGrant) -> None:
-        """Deny later requests of the tenant without asking the owner, while no new token can be available."""
+        """Deny later requests of the tenant without asking the owner, while no new token can be available.
+
+        This ends after `MAX_DENIAL_CACHE_US` at the latest.
+        """
         self._denials.pop(grant.tenant, None)
         if grant.retry_after_ms <= 0:
             return
--- a/lilacsill/mesh/quota/quota_decision.py
+++ b/lilacsill/mesh/quota/quota_decision.py
@@ -50,7 +50,7 @@
         return self._on_decision is not None
 
     def cancel(self) -> None:
-        """Cancel the wait; the callback is not called. A token granted for this request is lost."""
+        """Cancel the wait; the callback is not called. A token that is granted for this request later is lost."""
         self._on_decision = None
         if self.timer is not None:
             self.timer.cancel()
--- a/lilacsill/mesh/quota/token_bucket.py
+++ b/lilacsill/mesh/quota/token_bucket.py
@@ -5,7 +5,7 @@
 from math import ceil
 
 US_PER_S = 1_000_000
-MAX_WAIT_US = 3_600 * US_PER_S  # upper bound of the reported wait; at a very low rate it would not fit into a message
+MAX_WAIT_US = 3_600 * US_PER_S  # maximum reported wait; at a very low rate the real one does not fit into a message
 ROUNDING_TOKENS = 1e-9  # tolerance for the rounding errors of float sums
 
 
--- a/lilacsill/mesh/quota/view_probe.py
+++ b/lilacsill/mesh/quota/view_probe.py
@@ -1,4 +1,4 @@
-"""Asks core machines for the current view when no view is known or quota owners do not answer. No I/O."""
+"""Asks core machines for the view that they know, if none is known here or quota owners do not decide. No I/O."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self._backoff_us = MIN_BACKOFF_US
 
     def next_backoff_us(self) -> int:
-        """Return the delay before the next request. It doubles on each call until `reset_backoff`."""
+        """Return the delay before the next request. It doubles per call, up to a maximum, until `reset_backoff`."""
         backoff_us, self._backoff_us = self._backoff_us, min(2 * self._backoff_us, MAX_BACKOFF_US)
         return backoff_us
 
--- a/lilacsill/mesh/relaying/relayed_links.py
+++ b/lilacsill/mesh/relaying/relayed_links.py
@@ -21,7 +21,7 @@
 
 
 class RelayedLinks:
-    """The links to core machines that quotas and operations use."""
+    """The links that quotas and operations use. Only token requests and claims are relayed."""
 
     def __init__(
         self, environment: Environment, core_links: CoreLinks, selector: RelaySelector, counters: RelayCounters
--- a/lilacsill/mesh/tenants/tenant.py
+++ b/lilacsill/mesh/tenants/tenant.py
@@ -57,7 +57,7 @@
 
     Raises:
         InvalidTenantName: The name has a control character; a line break would end the header field and start
-                another one.
+            another one.
     """
     assert item.body is not None
     if _CONTROL_CHARACTER.search(item.name):
