--- a/lilacsill/agent/recovery/state.py
+++ b/lilacsill/agent/recovery/state.py
@@ -40,7 +40,7 @@
 class SavedLatencyModel(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """The measured latencies; 0 answers: none were measured."""
 
-    # Of a warm backend, in microseconds for each unit of load.
+    # The service time of a warm backend, in microseconds for each unit of load.
     service_time_us: Microseconds = msgspec.field(default=0.0, name="pace_us")
     typical_latency_us: Microseconds = msgspec.field(default=0.0, name="typical_us")  # as seen by clients
     answers: Annotated[int, Meta(ge=0, lt=2**53)] = 0
@@ -53,8 +53,8 @@
     agent: str
     saved_unix_ms: UnixMs
     boot_id: str = msgspec.field(name="boot")  # id of the machine's boot during which the state was saved
-    saved_us: Annotated[int, Meta(ge=0)]  # on the monotonic clock of that boot
-    # Of the process that saved the state.
+    saved_us: Annotated[int, Meta(ge=0)]  # time of the save on the monotonic clock of that boot
+    # The incarnation of the process that saved the state.
     incarnation: Annotated[int, Meta(ge=0, lt=2**53)] = msgspec.field(name="life")
     revision: Annotated[int, Meta(ge=0)]
     members: Annotated[list[SavedMember], Meta(max_length=MAX_MEMBERS)]
--- a/lilacsill/balancing/logic/probe_policy.py
+++ b/lilacsill/balancing/logic/probe_policy.py
@@ -6,7 +6,8 @@
 
 MAX_PROBE_SPEND = 0.01  # limit of the cost of probing both samples of every request, as a fraction of response value
 PROBES_PER_REQUEST = 2
-TARGET_SHARE = 0.05  # of the shortest latency target: limit of the duration of a probe and of the age of a fresh report
+# The maximum duration of a probe, and the maximum age of a fresh report, as a fraction of the shortest latency target.
+TARGET_SHARE = 0.05
 
 
 class ProbePolicy:
--- a/lilacsill/mesh/proxy/attempts.py
+++ b/lilacsill/mesh/proxy/attempts.py
@@ -22,10 +22,11 @@
     __slots__ = ("arrivals", "_rejections", "_not_run_endpoints", "_failed_endpoints")
 
     def __init__(self) -> None:
-        # Attempts that reached a backend; limited by the route, and beyond the first also by the retry budget.
+        # Attempts that reached a backend. The route limits them; the retry budget also limits those after the first.
         self.arrivals = 0
         self._rejections = 0
-        self._not_run_endpoints: list[EndpointLoad] = []  # by guarantee of the endpoint, or for lack of a link
+        # They guarantee that the request has not run, or no link to them could be opened.
+        self._not_run_endpoints: list[EndpointLoad] = []
         self._failed_endpoints: list[EndpointLoad] = []
 
     def record_rejected(self, entry: EndpointLoad) -> None:
--- a/lilacsill/mesh/proxy/backend_request.py
+++ b/lilacsill/mesh/proxy/backend_request.py
@@ -38,7 +38,7 @@
 SERVER_ERROR, GATEWAY_TIMEOUT = 500, 504
 MISDIRECTED_REQUEST = 421  # the backend is not the addressed incarnation
 NOT_RUN_STATUSES = (408, MISDIRECTED_REQUEST, 429, 503)  # each tells a client that the request has not run
-UNKNOWN_LENGTH = -1  # on the wire
+UNKNOWN_LENGTH = -1  # the `content_length` in a message if the length of the body is unknown
 
 
 class OutcomeSink(Protocol):
--- a/lilacsill/mesh/proxy/circuit_breaker.py
+++ b/lilacsill/mesh/proxy/circuit_breaker.py
@@ -13,7 +13,7 @@
 MIN_BACKOFF_US = 200_000  # between two trials; doubles with each failure
 MAX_BACKOFF_US = 1_600_000
 TRIAL_TIMEOUT_US = 1_000_000  # a trial in flight for longer does not delay the next one
-WRITE_TRIAL_DELAY_US = 2_000_000  # without an idempotent request, a write becomes the trial after this delay
+WRITE_TRIAL_DELAY_US = 2_000_000  # if no idempotent request arrives within this time, a write may be the trial
 RESPONSE_TIMEOUT_US = 400_000  # minimum time without any response before the backend counts as silent
 TIMEOUT_FACTOR = 4.0  # a request is overdue after this multiple of its usual duration
 MIN_OVERDUE = 2  # minimum number of overdue requests: a single one may just take long
--- a/lilacsill/mesh/proxy/forwarded_request.py
+++ b/lilacsill/mesh/proxy/forwarded_request.py
@@ -267,7 +267,7 @@
     # End of the request
 
     def _refuse_unless_suspects(self) -> None:
-        """Refuse the request, as no further attempt is made, unless a suspected attempt may still be answered."""
+        """Refuse the request, for which no further attempt is made. Do nothing while a suspected attempt is open."""
         if self._suspects:
             return
         self._permission.release_run()
--- a/lilacsill/mesh/proxy/idle_limit.py
+++ b/lilacsill/mesh/proxy/idle_limit.py
@@ -1,8 +1,9 @@
-"""How long a connection to the backend may have been idle before it is reused for a request. No I/O.
+"""The maximum idle time after which a connection to the backend is still reused for a request. No I/O.
 
 Backends drop idle connections, some of them early and without closing them. A request sent on such a stale connection
-is reset, and it is not known whether the request ran. Reads may detect this, since they can be retried. Writes must not
-be put at risk: they use a connection that was in use just before, or a new one, which costs a millisecond.
+is reset, and it is not known whether the request ran. Reads can be retried, so they may take this risk and detect stale
+connections. Writes must not be put at risk: they use a connection that was in use just before, or a new one, which
+costs a millisecond.
 """
 
 from __future__ import annotations
--- a/lilacsill/mesh/store/chain.py
+++ b/lilacsill/mesh/store/chain.py
@@ -79,9 +79,9 @@
     def may_append(self) -> bool:
         """Whether this member is the head and may assign the next sequence number.
 
-        It then has every acknowledged change: its successor has shown in this view that it is not a complete copy ahead
-        of the head.
-        Pending saves, possibly from an earlier view, must be on disk first.
+        The head must have every acknowledged change. Therefore its copy must be complete, and its successor, if any,
+        must have shown in this view that it does not have a complete copy that is ahead of the head's.
+        All pending saves, even those from an earlier view, must be on disk first.
         """
         replica = self._replica
         if not replica.is_head or not replica.complete or self.pending_saves:
--- a/lilacsill/mesh/store/environment.py
+++ b/lilacsill/mesh/store/environment.py
@@ -46,4 +46,4 @@
 
 
 def ignore_completion() -> None:
-    """Do nothing: the callback of a save whose completion nothing waits for."""
+    """Do nothing. This is the callback of a save if no code waits for its completion."""
--- a/lilacsill/mesh/store/successor.py
+++ b/lilacsill/mesh/store/successor.py
@@ -70,7 +70,7 @@
     Attributes:
         acked_seq: All changes up to this sequence number are on the disks of all members from the successor to the
             tail. None: unknown in this view.
-        is_confirmed: Whether the successor has shown in this view that it is not a complete copy ahead of this one.
+        is_confirmed: Whether the successor has shown in this view that it has no complete copy ahead of this one.
         repairs: Descriptions of the latest repairs, newest last, for operators.
     """
 
