--- a/tests/mesh/test_refused_calls.py
+++ b/tests/mesh/test_refused_calls.py
@@ -35,7 +35,7 @@
         operator.call(INVALID, statuses.append)
         time.run(time.now + SECOND)
     assert statuses == [400] * 3
-    assert lines(ring) == [f"rejects a call: {REASON}"]  # copies of one call leave the log to others
+    assert lines(ring) == [f"call rejected: {REASON}"]  # copies of one call leave the log to others
     head = next(store for store in fleet.stores.values() if store.replica.is_head)
     figures = encode_metrics(head, time.now).decode().splitlines()
     assert 'lilacsill_calls_rejected_total{reason="SchemaViolation"} 3.0' in figures
@@ -53,6 +53,6 @@
     for _ in range(4):
         api.handle(call, lambda status, body: None)
     first, second = lines(ring)
-    assert first == "answers a call with 400: first"
-    assert second.startswith("answers a call with 400: second") and len(second) < 500
+    assert first == "operator call failed with HTTP 400: first"
+    assert second.startswith("operator call failed with HTTP 400: second") and len(second) < 500
     assert api.responses == {200: 1, 400: 3}
